--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -88,7 +88,7 @@
 }
 
 // progress is what a reader sees past its position.
-type progress struct {
+type answerUpdate struct {
 	tokens []string
 	done   bool
 	finish string
@@ -97,10 +97,10 @@
 
 // wait returns what there is past the first from tokens, waiting until there
 // is something.
-func (a *answer) wait(ctx context.Context, from int) (progress, error) {
+func (a *answer) wait(ctx context.Context, from int) (answerUpdate, error) {
 	for {
 		a.mu.Lock()
-		p := progress{tokens: a.tokens[from:len(a.tokens):len(a.tokens)], done: a.done, finish: a.finish, failed: a.failed}
+		p := answerUpdate{tokens: a.tokens[from:len(a.tokens):len(a.tokens)], done: a.done, finish: a.finish, failed: a.failed}
 		changed := a.changed
 		a.mu.Unlock()
 		if len(p.tokens) > 0 || p.done {
@@ -109,13 +109,13 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return progress{}, ctx.Err()
+			return answerUpdate{}, ctx.Err()
 		}
 	}
 }
 
 // whole waits for the end and returns the whole text.
-func (a *answer) whole(ctx context.Context) (string, progress, error) {
+func (a *answer) awaitComplete(ctx context.Context) (string, answerUpdate, error) {
 	from := 0
 	for {
 		p, err := a.wait(ctx, from)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -255,11 +255,11 @@
 	began := time.Now()
 	result := placement.Result{Tokens: 1}
 	out, e := s.passOn(j, g, &result, began)
-	result.OK = out == outcomeWhole
-	result.Cancelled = out == outcomeEnded
+	result.OK = out == outcomeComplete
+	result.Cancelled = out == outcomeJobEnded
 	result.Took = time.Since(began)
 	s.dispatcher.attemptEnded(g.attempt, result)
-	if out != outcomeWhole {
+	if out != outcomeComplete {
 		text := ""
 		if e != nil {
 			text = e.Error()
@@ -303,7 +303,7 @@
 func (s *Server) passFailed(j *job, g grant, w *watchdog, err error) (outcome, *failure.Error) {
 	switch {
 	case j.ctx.Err() != nil:
-		return outcomeEnded, nil
+		return outcomeJobEnded, nil
 	case w.stalled():
 		s.o.Client.Retire(g.route.address)
 		return outcomeBroken, failure.New(failure.TypeStalled, "the stream made no progress in time")
@@ -354,14 +354,14 @@
 	case a.Status >= http.StatusInternalServerError:
 		return j.hold(m, a)
 	}
-	return outcomeWhole, nil, false
+	return outcomeComplete, nil, false
 }
 
 // hold keeps a failure of the backend server's own for when no further attempt
 // is made.
 func (j *job) hold(m *memory, a *backend.ForwardAnswer) (outcome, *failure.Error, bool) {
 	e := failure.New(failure.TypeBackendFailed, "the backend server answered "+strconv.Itoa(a.Status))
-	body, err := j.readWhole(m, a)
+	body, err := j.readComplete(m, a)
 	if err == nil {
 		j.forward.failed = &heldAnswer{status: a.Status, header: backend.EndToEnd(a.Header), body: body}
 	}
--- a/internal/entry/forward_relay.go
+++ b/internal/entry/forward_relay.go
@@ -29,7 +29,7 @@
 
 // readWhole reads an answer to its end. One that ends early is an error. What is held
 // counts until the caller has it; while there is no room, the answer is not read.
-func (j *job) readWhole(m *memory, a *backend.ForwardAnswer) ([]byte, error) {
+func (j *job) readComplete(m *memory, a *backend.ForwardAnswer) ([]byte, error) {
 	var body bytes.Buffer
 	for {
 		if err := m.await(j.ctx, answerChunk); err != nil {
@@ -52,13 +52,13 @@
 
 // relayAnswer passes on an answer that is not a stream, once it is whole.
 func (s *Server) relayAnswer(j *job, a *backend.ForwardAnswer) (outcome, *failure.Error) {
-	body, err := j.readWhole(s.memory, a)
+	body, err := j.readComplete(s.memory, a)
 	if err != nil {
 		return s.serviceFailed(j, err)
 	}
 	j.tokenSeen()
 	j.forward.write(&heldAnswer{status: a.Status, header: backend.EndToEnd(a.Header), body: body})
-	return outcomeWhole, nil
+	return outcomeComplete, nil
 }
 
 // relayEvents passes on a stream event by event. Only whole events are passed
@@ -71,7 +71,7 @@
 		e, err := events.next()
 		if err == io.EOF {
 			j.forward.start(s.memory, a)
-			return outcomeWhole, nil
+			return outcomeComplete, nil
 		}
 		if err != nil {
 			return s.passFailed(j, g, w, err)
@@ -91,7 +91,7 @@
 		}
 		s.dispatcher.progress(g.attempt, 1)
 		if err := j.pass(s.memory, a, e, events.drained()); err != nil {
-			return outcomeEnded, nil
+			return outcomeJobEnded, nil
 		}
 	}
 }
--- a/internal/entry/holders.go
+++ b/internal/entry/holders.go
@@ -79,14 +79,14 @@
 // answer leaves a mark, so that no later refusal of the key says "not run".
 //
 // An empty job frees the key from an entry that could not be reached.
-func (h *holders) release(now time.Time, key, entry, job string, whole, begun bool) {
+func (h *holders) release(now time.Time, key, entry, job string, complete, begun bool) {
 	old, ok := h.keys[key]
 	if !ok || old.entry != entry || (job != "" && old.job != job) {
 		return
 	}
 	old.begun = old.begun || begun
 	old.until = now.Add(keptFor)
-	if whole {
+	if complete {
 		return
 	}
 	if !old.begun {
--- a/internal/entry/holders_test.go
+++ b/internal/entry/holders_test.go
@@ -25,9 +25,9 @@
 func TestARunThatBeganIsNotForgotten(t *testing.T) {
 	at := time.Unix(0, 0)
 	for _, c := range []struct {
-		name         string
-		whole, begun bool
-		want         holdAnswer
+		name            string
+		complete, begun bool
+		want            holdAnswer
 	}{
 		{"refused", false, false, holdAnswer{entry: "e2"}},
 		{"began and failed", false, true, holdAnswer{entry: "e2", begun: true}},
@@ -38,7 +38,7 @@
 			h.hold(at, "k", "b", "e1", "j1", time.Minute)
 			h.release(at, "k", "another", "j1", false, false)
 			h.release(at, "k", "e1", "earlier", false, true)
-			h.release(at, "k", "e1", "j1", c.whole, c.begun)
+			h.release(at, "k", "e1", "j1", c.complete, c.begun)
 			assert.Equal(t, h.hold(at, "k", "b", "e2", "j2", time.Minute), c.want)
 		})
 	}
--- a/internal/entry/home.go
+++ b/internal/entry/home.go
@@ -78,7 +78,7 @@
 
 // release tells the home how the run ended. A resend that comes before the
 // home knows attaches here and finds the same.
-func (s *Server) release(j *job, whole, begun bool) {
+func (s *Server) release(j *job, complete, begun bool) {
 	if !j.isHolder {
 		return
 	}
@@ -91,7 +91,7 @@
 	// If this fails the key stays held until its lifetime ends, and resends
 	// attach to this entry.
 	_, _ = client.Release(ctx, &noderpc.ReleaseRequest{
-		ClusterId: s.o.Follower.Board().ClusterID, Key: j.key, Entry: s.o.ID, Job: j.id, Whole: whole, Begun: begun,
+		ClusterId: s.o.Follower.Board().ClusterID, Key: j.key, Entry: s.o.ID, Job: j.id, Whole: complete, Begun: begun,
 	})
 }
 
@@ -210,7 +210,7 @@
 	}
 }
 
-func partOf(j *job, p progress, from int) part {
+func partOf(j *job, p answerUpdate, from int) part {
 	line := part{At: from, Tokens: p.tokens, Finish: p.finish, Failed: p.failed}
 	line.End = p.done && p.failed == nil
 	if p.failed != nil {
--- a/internal/entry/isolate_test.go
+++ b/internal/entry/isolate_test.go
@@ -51,7 +51,7 @@
 	sent := 0
 	e := s.attempts(j, grant{attempt: "j.1"}, func(*job, grant) (outcome, *failure.Error) {
 		sent++
-		return outcomeWhole, nil
+		return outcomeComplete, nil
 	})
 	assert.Equal(t, sent, 0)
 	assert.Assert(t, e != nil)
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -7,7 +7,7 @@
 
 const (
 	// outcomeWhole: the end mark came and everything checked out.
-	outcomeWhole outcome = iota
+	outcomeComplete outcome = iota
 	// outcomeNotStarted: nothing was sent; another target may be tried whatever
 	// the request is.
 	outcomeNotStarted
@@ -17,19 +17,19 @@
 	// outcomeBroken: the attempt may have run and has no whole answer.
 	outcomeBroken
 	// outcomeEnded: the job's own context ended.
-	outcomeEnded
+	outcomeJobEnded
 )
 
 // name is the outcome as metrics and logs show it.
 func (o outcome) name(e *failure.Error) string {
 	switch {
-	case o == outcomeWhole:
+	case o == outcomeComplete:
 		return "whole"
 	case o == outcomeNotStarted:
 		return "not_started"
 	case o == outcomeRejected:
 		return "rejected"
-	case o == outcomeEnded:
+	case o == outcomeJobEnded:
 		return "ended"
 	case e != nil && e.Type == failure.TypeStalled:
 		return "stalled"
--- a/internal/entry/rate_limits_test.go
+++ b/internal/entry/rate_limits_test.go
@@ -108,7 +108,7 @@
 	began := time.Now()
 
 	out, _ := s.call(j, grant{route: route{incarnation: "i-a"}})
-	assert.Equal(t, out, outcomeWhole)
+	assert.Equal(t, out, outcomeComplete)
 	assert.Assert(t, s.rateLimits.limits("i-a"))
 
 	w := newWatchdog(j.ctx, patience{header: time.Minute})
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -40,7 +40,7 @@
 		if stream {
 			return s.relayStream(ctx, c, running, d)
 		}
-		return s.relayWhole(ctx, c, running, d)
+		return s.relayComplete(ctx, c, running, d)
 	})
 }
 
@@ -96,8 +96,8 @@
 	return func() { _ = connection.SetWriteDeadline(time.Time{}) }
 }
 
-func (s *Server) relayWhole(ctx context.Context, c echo.Context, j *job, d dialect) error {
-	text, p, err := j.answer.whole(ctx)
+func (s *Server) relayComplete(ctx context.Context, c echo.Context, j *job, d dialect) error {
+	text, p, err := j.answer.awaitComplete(ctx)
 	if err != nil {
 		return s.callerGone(ctx, j)
 	}
@@ -139,7 +139,7 @@
 	for {
 		p, err := j.answer.wait(ctx, from)
 		if err != nil {
-			p = progress{done: true, failed: s.callerGone(ctx, j)}
+			p = answerUpdate{done: true, failed: s.callerGone(ctx, j)}
 		}
 		if p.failed != nil && from == 0 && len(p.tokens) == 0 {
 			return p.failed
@@ -185,7 +185,7 @@
 
 // endEvents writes the end mark of a whole answer, or the error of one that
 // is not. A write fails only when the caller is gone.
-func endEvents(w *echo.Response, j *job, d dialect, p progress) error {
+func endEvents(w *echo.Response, j *job, d dialect, p answerUpdate) error {
 	defer w.Flush()
 	if p.failed != nil {
 		_ = writeEvent(w, failure.Body{Error: p.failed})
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -78,13 +78,13 @@
 			s.o.Metrics.RateLimitedAttempt()
 		}
 		out, e := attempt(j, g)
-		j.mayHaveRun = j.mayHaveRun || out == outcomeBroken || out == outcomeWhole
+		j.mayHaveRun = j.mayHaveRun || out == outcomeBroken || out == outcomeComplete
 		s.o.Metrics.Attempt(out.name(e))
 		stop := s.afterAttempt(j, g, out, e)
 		switch out {
-		case outcomeWhole:
+		case outcomeComplete:
 			return nil
-		case outcomeEnded:
+		case outcomeJobEnded:
 			return endedAfter(j)
 		case outcomeBroken:
 			begun = true
@@ -140,7 +140,7 @@
 func (s *Server) afterAttempt(j *job, g grant, out outcome, e *failure.Error) *failure.Error {
 	isolated := g.giveBack != nil
 	defer g.end()
-	if out == outcomeWhole {
+	if out == outcomeComplete {
 		if isolated {
 			s.clear(j)
 		}
@@ -155,7 +155,7 @@
 	if cut && s.blameIfCrashed(j, g.route, isolated, time.Now()) {
 		return convicted()
 	}
-	if out == outcomeEnded {
+	if out == outcomeJobEnded {
 		return nil
 	}
 	return s.mayRetry(j, out, e)
@@ -248,11 +248,11 @@
 	began := time.Now()
 	result := placement.Result{}
 	out, e := s.stream(w, j, g, &result, began)
-	result.OK = out == outcomeWhole
-	result.Cancelled = out == outcomeEnded
+	result.OK = out == outcomeComplete
+	result.Cancelled = out == outcomeJobEnded
 	result.Took = time.Since(began)
 	s.dispatcher.attemptEnded(g.attempt, result)
-	if out != outcomeWhole {
+	if out != outcomeComplete {
 		s.giveUp(j, g, out, w.stalled(), e)
 	}
 	return out, e
@@ -318,7 +318,7 @@
 		if token.End {
 			result.Tokens = token.Total
 			j.finish = token.FinishReason
-			return outcomeWhole, nil
+			return outcomeComplete, nil
 		}
 		if first {
 			result.FirstToken = time.Since(began)
@@ -381,7 +381,7 @@
 // callFailed sorts a failed call by what is certain of it.
 func (s *Server) callFailed(j *job, w *watchdog, err error) (outcome, *failure.Error) {
 	if j.ctx.Err() != nil {
-		return outcomeEnded, nil
+		return outcomeJobEnded, nil
 	}
 	if w.stalled() {
 		return outcomeBroken, failure.New(failure.TypeStalled, "the backend server made no progress in time")
--- a/internal/entry/running_test.go
+++ b/internal/entry/running_test.go
@@ -66,7 +66,7 @@
 		a.append("late")
 	}()
 	for range 2 {
-		text, p, err := a.whole(context.Background())
+		text, p, err := a.awaitComplete(context.Background())
 		assert.NilError(t, err)
 		assert.Equal(t, text, "abc")
 		assert.Equal(t, p.finish, "stop")
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -102,7 +102,7 @@
 
 func (s *Server) answerService(c echo.Context, j *job) error {
 	return s.withJob(c, j, s.runService, func(ctx context.Context, running *job) error {
-		_, p, err := running.answer.whole(ctx)
+		_, p, err := running.answer.awaitComplete(ctx)
 		if err != nil {
 			return s.callerGone(ctx, running)
 		}
@@ -143,7 +143,7 @@
 	began := time.Now()
 	out, e := s.call(j, g)
 	s.dispatcher.attemptEnded(g.attempt, placement.Result{
-		OK: out == outcomeWhole, Cancelled: out == outcomeEnded, Took: time.Since(began), FirstToken: time.Since(began), Tokens: 1,
+		OK: out == outcomeComplete, Cancelled: out == outcomeJobEnded, Took: time.Since(began), FirstToken: time.Since(began), Tokens: 1,
 	})
 	return out, e
 }
@@ -168,12 +168,12 @@
 		return outcomeBroken, failure.New(failure.TypeBackendFailed, "the service's answer is over the limit")
 	}
 	sc.status, sc.body, sc.header = answer.Status, bytes.Clone(body), backend.EndToEnd(answer.Header)
-	return outcomeWhole, nil
+	return outcomeComplete, nil
 }
 
 func (s *Server) serviceFailed(j *job, err error) (outcome, *failure.Error) {
 	if j.ctx.Err() != nil {
-		return outcomeEnded, nil
+		return outcomeJobEnded, nil
 	}
 	e := failure.New(failure.TypeBackendFailed, err.Error())
 	var call *backend.CallError
