--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -151,7 +151,7 @@
 		nonIdempotent: !route.Repeatable(),
 		maxAttempts:   route.MaxAttempts,
 		arrived:       now,
-		asked:         now.Add(-s.waits.asked(now, route.Name, f)),
+		firstSent:     now.Add(-s.waitEstimates.sentBefore(now, route.Name, f)),
 		deadline:      now.Add(wait),
 		answer:        newAnswer(),
 		lines:         s.requests.Request(),
--- a/internal/entry/gates.go
+++ b/internal/entry/gates.go
@@ -49,7 +49,7 @@
 	}
 	objective := time.Duration(j.forward.route.ObjectiveMillis) * time.Millisecond
 	left := 1 - d.gateOf(j.model).Expected()
-	return j.asked.Add(time.Duration(left * float64(objective)))
+	return j.firstSent.Add(time.Duration(left * float64(objective)))
 }
 
 // finished takes an attempt off its target and its model's gate. The lock is
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -51,8 +51,8 @@
 	arrived       time.Time
 	// asked is when the caller surely had sent the request for the first time: its
 	// arrival, or earlier for a later try.
-	asked    time.Time
-	deadline time.Time
+	firstSent time.Time
+	deadline  time.Time
 
 	// model is the model asked for, or the pool name of a plain service.
 	model     string
@@ -151,7 +151,7 @@
 		class:         r.Header.Get(HeaderClass),
 		nonIdempotent: r.Header.Get(HeaderNonIdempotent) == "true",
 		arrived:       now,
-		asked:         now,
+		firstSent:     now,
 		answer:        newAnswer(),
 		lines:         s.requests.Request(),
 	}
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -45,13 +45,13 @@
 			if !s.routesStand() {
 				s.updateRoutes()
 			}
-			s.tellWaits(ctx, time.Now())
+			s.reportWaits(ctx, time.Now())
 		case <-s.boardChanged:
 			s.updateRoutes()
 		case <-pump.C:
 			now := time.Now()
 			s.checkProgress(now)
-			s.tellCallers(ctx, now)
+			s.reportCallers(ctx, now)
 			s.tellRateLimits(ctx, now)
 			s.dispatcher.tick(now)
 		case <-ctx.Done():
--- a/internal/entry/running.go
+++ b/internal/entry/running.go
@@ -80,7 +80,7 @@
 	if e := s.mayAdmit(); e != nil {
 		return nil, e
 	}
-	s.callers.came(j.arrived)
+	s.callerReport.noteRequest(j.arrived)
 	first, e := s.running.begin(j, s.limits(j.workspace))
 	if e == nil && first == j {
 		s.work.Add(1)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -109,7 +109,7 @@
 	// policyRevision is the configuration that admission's policy is from.
 	policyRevision uint64
 	// waits is what this entry has learned of how long callers wait.
-	waits *callerWaits
+	waitEstimates *waitEstimates
 	// rateLimits are those that backend servers have named.
 	rateLimits *rateLimits
 	// borrowing holds the retries that this entry borrows and lends.
@@ -121,7 +121,7 @@
 	cold        map[string]placement.RateLimit
 	evacuations evacuations
 	// callers tells the controllers when the first request comes.
-	callers callers
+	callerReport firstCallerReport
 	// routing is what requests of routes are judged by.
 	routing atomic.Pointer[routingTable]
 	// configured closes with the first configuration.
@@ -136,21 +136,21 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(o.ID))
 	s := &Server{
-		o:            o,
-		requests:     requestlog.New(o.Logger, o.RequestLinesPerSecond),
-		running:      newRunning(),
-		isolation:    newIsolation(),
-		holders:      newHolders(),
-		boardChanged: make(chan struct{}, 1),
-		open:         make(map[string]route),
-		progress:     make(progressOf),
-		waits:        newCallerWaits(time.Now().Add(time.Duration(h.Sum64() % uint64(waitsInterval)))),
-		rateLimits:   newRateLimits(),
-		evacuations:  make(evacuations),
-		borrowing:    newBorrowing(),
-		memory:       newMemory(o.Settings.MaxHeldBytes),
-		configured:   make(chan struct{}),
-		started:      time.Now(),
+		o:             o,
+		requests:      requestlog.New(o.Logger, o.RequestLinesPerSecond),
+		running:       newRunning(),
+		isolation:     newIsolation(),
+		holders:       newHolders(),
+		boardChanged:  make(chan struct{}, 1),
+		open:          make(map[string]route),
+		progress:      make(progressOf),
+		waitEstimates: newWaitEstimates(time.Now().Add(time.Duration(h.Sum64() % uint64(waitReportInterval)))),
+		rateLimits:    newRateLimits(),
+		evacuations:   make(evacuations),
+		borrowing:     newBorrowing(),
+		memory:        newMemory(o.Settings.MaxHeldBytes),
+		configured:    make(chan struct{}),
+		started:       time.Now(),
 	}
 	s.holders.unsure(time.Now())
 	s.dispatcher = newDispatcher(placement.Options{
@@ -165,7 +165,7 @@
 // BoardChanged takes a new board into the policy and the routes.
 func (s *Server) BoardChanged(b *blackboard.Board) {
 	s.entriesChanged(b)
-	s.waits.learn(b)
+	s.waitEstimates.loadBoard(b)
 	if b.Config.Revision != s.policyRevision {
 		if s.policyRevision != 0 || b.Config.Version != 0 {
 			_ = level.Info(s.o.Logger).Log("event", "configuration_taken", "revision", b.Config.Revision, "version", b.Config.Version,
--- a/internal/entry/urgency.go
+++ b/internal/entry/urgency.go
@@ -30,7 +30,7 @@
 	switch {
 	case j.forward.begun:
 		return urgentBegun
-	case objective > 0 && now.Sub(j.asked) > objective:
+	case objective > 0 && now.Sub(j.firstSent) > objective:
 		return urgentLate
 	}
 	return urgentOnTime
--- a/internal/entry/urgency_test.go
+++ b/internal/entry/urgency_test.go
@@ -16,12 +16,12 @@
 // one of a higher priority.
 func TestEnginesTakeWhatCanStillBeOnTimeFirst(t *testing.T) {
 	now := time.Now()
-	j := &job{asked: now, forward: &forwarding{route: blackboard.Route{ObjectiveMillis: 200}}}
+	j := &job{firstSent: now, forward: &forwarding{route: blackboard.Route{ObjectiveMillis: 200}}}
 	assert.Equal(t, j.urgency(now.Add(150*time.Millisecond)), urgentOnTime)
 	assert.Equal(t, j.urgency(now.Add(250*time.Millisecond)), urgentLate)
 	j.forward.begun = true
 	assert.Equal(t, j.urgency(now.Add(time.Second)), urgentBegun)
-	j = &job{asked: now, forward: &forwarding{}}
+	j = &job{firstSent: now, forward: &forwarding{}}
 	assert.Equal(t, j.urgency(now.Add(time.Hour)), urgentOnTime, "without an objective nothing is late")
 
 	last := -1
