--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -17,11 +17,11 @@
 
 // failoverLooks is how often in that time a waiting request looks whether
 // there is a group; it gives up when it saw none that often in a row.
-const failoverLooks = 6
+const failoverChecks = 6
 
 // pumpInterval is how often waiting requests are looked at when nothing else
 // does: deadlines pass and backend servers ramp up with time alone.
-const pumpInterval = 20 * time.Millisecond
+const dispatchInterval = 20 * time.Millisecond
 
 // dispatcher carries out what admission and placement decide. It holds the
 // one lock under which they run; it does no I/O.
@@ -33,15 +33,15 @@
 	queue  *admission.Queue
 	picker *placement.Picker
 	// gates are by model; unbegun holds the models of the attempts that they count.
-	gates   map[string]*admission.Gate
-	unbegun map[string]string
-	waiting map[string]*ticket
-	routes  map[string]route
-	models  map[string]bool
+	gates              map[string]*admission.Gate
+	awaitingFirstEvent map[string]string
+	waiting            map[string]*ticket
+	routes             map[string]route
+	servedPools        map[string]bool
 	// gone holds since when pools have had no target, and lookedAt when this entry
 	// first looked.
-	gone     map[string]time.Time
-	lookedAt time.Time
+	emptySince    map[string]time.Time
+	firstRoutesAt time.Time
 	// evacuated holds the pools whose targets all lie in data centres that are evacuated.
 	evacuated map[string]bool
 	// changed closes when the routes change.
@@ -60,7 +60,7 @@
 	route   route
 	refused *failure.Error
 	// giveBack is set when the attempt runs alone; it ends the quarantine.
-	giveBack func()
+	endTurn func()
 }
 
 // route is where an attempt goes.
@@ -71,10 +71,10 @@
 	// region is that of the target's data centre.
 	region string
 	// busy is how many requests the target reports, running and waiting.
-	busy    int
-	address string
-	group   string
-	epoch   uint64
+	requestCount int
+	address      string
+	group        string
+	epoch        uint64
 	// head and incarnation name the backend server that takes the request.
 	head        string
 	incarnation string
@@ -87,23 +87,23 @@
 // end ends the quarantine of an attempt that runs alone. Whoever holds a grant
 // calls it once the attempt is over or will not be made.
 func (g grant) end() {
-	if g.giveBack != nil {
-		g.giveBack()
+	if g.endTurn != nil {
+		g.endTurn()
 	}
 }
 
 func newDispatcher(o placement.Options) *dispatcher {
 	return &dispatcher{
-		seed:    o.Seed,
-		queue:   admission.New(admission.Policy{Seed: o.Seed}),
-		picker:  placement.New(o),
-		gates:   make(map[string]*admission.Gate),
-		unbegun: make(map[string]string),
-		waiting: make(map[string]*ticket),
-		routes:  make(map[string]route),
-		models:  make(map[string]bool),
-		gone:    make(map[string]time.Time),
-		changed: make(chan struct{}),
+		seed:               o.Seed,
+		queue:              admission.New(admission.Policy{Seed: o.Seed}),
+		picker:             placement.New(o),
+		gates:              make(map[string]*admission.Gate),
+		awaitingFirstEvent: make(map[string]string),
+		waiting:            make(map[string]*ticket),
+		routes:             make(map[string]route),
+		servedPools:        make(map[string]bool),
+		emptySince:         make(map[string]time.Time),
+		changed:            make(chan struct{}),
 	}
 }
 
@@ -120,7 +120,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	share := d.picker.LimitRate(now, incarnation, cause, limit)
-	d.pump(now)
+	d.dispatchWaiting(now)
 	return share
 }
 
@@ -134,73 +134,73 @@
 
 // setRoutes replaces the routable targets. awaited names the pools that have a
 // target in quarantine: their requests wait for it rather than be refused.
-func (d *dispatcher) setRoutes(now time.Time, routes map[string]route, targets []placement.Target, awaited map[string]bool) {
+func (d *dispatcher) setRoutes(now time.Time, routes map[string]route, targets []placement.Target, quarantined map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.routes = routes
-	models := maps.Clone(awaited)
+	models := maps.Clone(quarantined)
 	for _, t := range targets {
 		models[t.Model] = true
 	}
-	d.noteGone(now, models)
-	d.dropGates()
+	d.trackEmptyPools(now, models)
+	d.removeIdleGates()
 	d.picker.SetTargets(now, targets)
 	close(d.changed)
 	d.changed = make(chan struct{})
-	d.pump(now)
+	d.dispatchWaiting(now)
 }
 
 // noteGone takes in which pools have a target, and notes since when others have none.
-func (d *dispatcher) noteGone(now time.Time, models map[string]bool) {
-	if d.lookedAt.IsZero() {
-		d.lookedAt = now
+func (d *dispatcher) trackEmptyPools(now time.Time, models map[string]bool) {
+	if d.firstRoutesAt.IsZero() {
+		d.firstRoutesAt = now
 	}
-	for model := range d.models {
+	for model := range d.servedPools {
 		if !models[model] {
-			d.gone[model] = now
+			d.emptySince[model] = now
 		}
 	}
 	for model := range models {
-		delete(d.gone, model)
+		delete(d.emptySince, model)
 	}
-	d.models = models
+	d.servedPools = models
 }
 
 // goneFor returns for how long a pool has had no target.
-func (d *dispatcher) goneFor(now time.Time, model string) time.Duration {
-	if d.models[model] || d.lookedAt.IsZero() {
+func (d *dispatcher) emptyFor(now time.Time, model string) time.Duration {
+	if d.servedPools[model] || d.firstRoutesAt.IsZero() {
 		return 0
 	}
-	since, noted := d.gone[model]
+	since, noted := d.emptySince[model]
 	if !noted {
-		since = d.lookedAt
+		since = d.firstRoutesAt
 	}
 	return now.Sub(since)
 }
 
 // enter offers the job to admission and waits until it may run.
-func (d *dispatcher) enter(j *job) (grant, *failure.Error) {
+func (d *dispatcher) admit(j *job) (grant, *failure.Error) {
 	t, e := d.offer(j)
 	if e != nil {
 		return grant{}, e
 	}
-	looks := time.NewTicker(failoverWait / failoverLooks)
-	defer looks.Stop()
+	checks := time.NewTicker(failoverWait / failoverChecks)
+	defer checks.Stop()
 	routeless := 0
 	for {
 		select {
 		case g := <-t.granted:
 			return g, g.refused
-		case <-looks.C:
+		case <-checks.C:
 			routeless++
 			if d.hasRoute(j) {
 				routeless = 0
 			}
-			if routeless >= failoverLooks {
-				return d.abandon(t, noBackendServer())
+			if routeless >= failoverChecks {
+				return d.withdraw(t, noBackendServer())
 			}
 		case <-j.ctx.Done():
-			return d.abandon(t, ended(j.ctx))
+			return d.withdraw(t, ended(j.ctx))
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if j.homes == nil {
-		return d.models[j.model]
+		return d.servedPools[j.model]
 	}
 	return d.picker.Serves(j.model, j.homes)
 }
@@ -222,20 +222,20 @@
 	switch {
 	case d.evacuated[j.model]:
 		return nil, evacuatedEverywhere()
-	case d.goneFor(now, j.model) > failoverWait:
+	case d.emptyFor(now, j.model) > failoverWait:
 		// What has not failed over in this time is not about to.
 		return nil, noBackendServer()
 	}
-	places, limited := d.picker.Places(now, j.placeBy(now), j.model, j.homes)
-	if limited && places == 0 {
+	slots, limited := d.picker.Places(now, j.placeBy(now), j.model, j.homes)
+	if limited && slots == 0 {
 		return nil, rateLimited()
 	}
 	decision := d.queue.Offer(now, admission.Request{
 		ID: j.id, Workspace: j.workspace, Class: j.class, Model: j.model, Homes: j.homesName(), IdempotencyKey: j.key,
 		Tokens: j.tokens(), Arrived: j.arrived, Deadline: j.deadline, RetryBudget: j.retryBudget(),
-		OnTimeUntil: d.onTimeUntil(j), Places: places,
+		OnTimeUntil: d.onTimeUntil(j), Places: slots,
 	})
-	d.refuse(decision.Evicted)
+	d.refuseEvicted(decision.Evicted)
 	if decision.Refusal != nil {
 		return nil, refusal(*decision.Refusal)
 	}
@@ -247,13 +247,13 @@
 	}
 	t := &ticket{job: j, granted: make(chan grant, 1)}
 	d.waiting[j.id] = t
-	d.pump(now)
+	d.dispatchWaiting(now)
 	return t, nil
 }
 
 // abandon takes a job whose caller is gone out of the queue. It may have been
 // granted at the same moment; then the grant is given back.
-func (d *dispatcher) abandon(t *ticket, why *failure.Error) (grant, *failure.Error) {
+func (d *dispatcher) withdraw(t *ticket, why *failure.Error) (grant, *failure.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -262,17 +262,17 @@
 	select {
 	case g := <-t.granted:
 		if g.refused == nil {
-			d.finished(now, g.attempt, placement.Result{Cancelled: true})
+			d.endAttemptLocked(now, g.attempt, placement.Result{Cancelled: true})
 			d.queue.Done(now, admission.Outcome{ID: t.job.id})
 		}
 	default:
 	}
-	d.pump(now)
+	d.dispatchWaiting(now)
 	return grant{}, why
 }
 
 // pump lets waiting requests go while there is room. The lock is held.
-func (d *dispatcher) pump(now time.Time) {
+func (d *dispatcher) dispatchWaiting(now time.Time) {
 	for model, gate := range d.gates {
 		d.queue.NewestFirst(model, gate.Limiting())
 	}
@@ -280,19 +280,19 @@
 		r, expired, ok := d.queue.Next(now, func(r admission.Request) bool {
 			return d.gateOf(r.Model).Room(now) && d.picker.HasRoom(now, d.waiting[r.ID].job.placed(r.Reserve))
 		})
-		d.refuse(expired)
+		d.refuseEvicted(expired)
 		if !ok {
 			return
 		}
-		d.release(now, r)
+		d.dispatch(now, r)
 	}
 }
 
-func (d *dispatcher) release(now time.Time, r admission.Request) {
+func (d *dispatcher) dispatch(now time.Time, r admission.Request) {
 	t := d.waiting[r.ID]
 	delete(d.waiting, r.ID)
 	t.job.reserve = r.Reserve
-	g, ok := d.choose(now, t.job)
+	g, ok := d.pickTarget(now, t.job)
 	if !ok {
 		g.refused = noBackendServer()
 		d.queue.Done(now, admission.Outcome{ID: r.ID})
@@ -301,16 +301,16 @@
 }
 
 // choose picks the target of the job's next attempt. The lock is held.
-func (d *dispatcher) choose(now time.Time, j *job) (grant, bool) {
+func (d *dispatcher) pickTarget(now time.Time, j *job) (grant, bool) {
 	c, ok := d.picker.Pick(now, j.placed(j.reserve))
 	if !ok {
 		return grant{}, false
 	}
 	g := grant{attempt: j.nextAttempt(), route: d.routes[c.ID]}
 	d.picker.Started(now, g.attempt, c.ID, j.tokens())
-	if j.gated() {
+	if j.isGated() {
 		d.gateOf(j.model).Sent()
-		d.unbegun[g.attempt] = j.model
+		d.awaitingFirstEvent[g.attempt] = j.model
 	}
 	j.lines.Info("event", "route", "request", j.id, "attempt", g.attempt, "model", j.model,
 		"class", j.class, "workspace", j.workspace, "choice", c.ID, "server", g.route.head, "runner_up", c.RunnerUp, "reason", c.Reason,
@@ -319,7 +319,7 @@
 }
 
 // refuse ends the wait of evicted requests. The lock is held.
-func (d *dispatcher) refuse(evicted []admission.Eviction) {
+func (d *dispatcher) refuseEvicted(evicted []admission.Eviction) {
 	for _, e := range evicted {
 		t, ok := d.waiting[e.Request.ID]
 		if !ok {
@@ -333,14 +333,14 @@
 // again picks a target for another attempt of a job that runs already. When
 // there is none it waits, as groups fail over within seconds and rate limits leave
 // room again.
-func (d *dispatcher) again(j *job, until time.Time) (grant, bool) {
+func (d *dispatcher) nextTarget(j *job, until time.Time) (grant, bool) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	for {
 		d.mu.Lock()
 		now := time.Now()
-		g, ok := d.choose(now, j)
-		opens, passes, throttled := d.picker.Throttled(now, j.placed(j.reserve))
+		g, ok := d.pickTarget(now, j)
+		opensAt, isTemporary, throttled := d.picker.Throttled(now, j.placed(j.reserve))
 		changed := d.changed
 		d.mu.Unlock()
 		if ok {
@@ -348,10 +348,10 @@
 		}
 		var open <-chan time.Time
 		switch {
-		case throttled && opens.After(until) && !passes:
+		case throttled && opensAt.After(until) && !isTemporary:
 			return grant{}, false
 		case throttled:
-			open = time.After(opens.Sub(now))
+			open = time.After(opensAt.Sub(now))
 		default:
 			// A target that failed this request once may have come back.
 			j.tried = nil
@@ -368,7 +368,7 @@
 }
 
 // sentAlone notes a request that runs alone on a target.
-func (d *dispatcher) sentAlone(now time.Time, target string) {
+func (d *dispatcher) noteIsolated(now time.Time, target string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.picker.Sent(now, target)
@@ -376,7 +376,7 @@
 
 // idlest returns the routable target of a pool, in the homes given, that reports the least work, of those whose
 // backend servers take a request now.
-func (d *dispatcher) idlest(pool string, homes []string) (route, bool) {
+func (d *dispatcher) leastBusy(pool string, homes []string) (route, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -385,7 +385,7 @@
 		if r.pool != pool || !within(homes, r.region) || d.picker.Shut(now, r.target) {
 			continue
 		}
-		if !found || r.busy < best.busy || (r.busy == best.busy && r.target < best.target) {
+		if !found || r.requestCount < best.requestCount || (r.requestCount == best.requestCount && r.target < best.target) {
 			best, found = r, true
 		}
 	}
@@ -415,8 +415,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	d.finished(now, attempt, r)
-	d.pump(now)
+	d.endAttemptLocked(now, attempt, r)
+	d.dispatchWaiting(now)
 }
 
 func (d *dispatcher) jobEnded(o admission.Outcome) {
@@ -424,7 +424,7 @@
 	defer d.mu.Unlock()
 	now := time.Now()
 	d.queue.Done(now, o)
-	d.pump(now)
+	d.dispatchWaiting(now)
 }
 
 func (d *dispatcher) report(now time.Time, target string, l placement.Load) {
@@ -436,5 +436,5 @@
 func (d *dispatcher) tick(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.pump(now)
+	d.dispatchWaiting(now)
 }
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -89,7 +89,7 @@
 	evacuate(s, board)
 	now := time.Now()
 	assert.Equal(t, len(s.cold), 1)
-	s.dispatcher.sentAlone(now, "a")
+	s.dispatcher.noteIsolated(now, "a")
 	assert.Assert(t, s.dispatcher.picker.Shut(now, "a"))
 	assert.Assert(t, !s.dispatcher.picker.Shut(now, "b"))
 
--- a/internal/entry/forward_relay.go
+++ b/internal/entry/forward_relay.go
@@ -80,7 +80,7 @@
 		if first {
 			result.FirstToken = time.Since(began)
 			j.tokenSeen()
-			s.dispatcher.began(j, g.attempt, result.FirstToken)
+			s.dispatcher.firstEvent(j, g.attempt, result.FirstToken)
 		}
 		w.progress(true)
 		if progress != nil {
--- a/internal/entry/gates.go
+++ b/internal/entry/gates.go
@@ -20,31 +20,31 @@
 
 // dropGates forgets the gates of models without a target. One whose attempts
 // have yet to begin or end stays. The lock is held.
-func (d *dispatcher) dropGates() {
+func (d *dispatcher) removeIdleGates() {
 	maps.DeleteFunc(d.gates, func(model string, gate *admission.Gate) bool {
-		return !d.models[model] && gate.Idle()
+		return !d.servedPools[model] && gate.Idle()
 	})
 }
 
 // began notes the first event of a job's attempt.
-func (d *dispatcher) began(j *job, attempt string, took time.Duration) {
+func (d *dispatcher) firstEvent(j *job, attempt string, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	model, counted := d.unbegun[attempt]
+	model, counted := d.awaitingFirstEvent[attempt]
 	if !counted {
 		return
 	}
-	delete(d.unbegun, attempt)
+	delete(d.awaitingFirstEvent, attempt)
 	now := time.Now()
 	objective := time.Duration(j.forward.route.ObjectiveMillis) * time.Millisecond
 	d.gateOf(model).Began(now, took, objective)
-	d.pump(now)
+	d.dispatchWaiting(now)
 }
 
 // onTimeUntil is until when a job must be sent for its first event to be on time;
 // zero for one without an objective for that. The lock is held.
 func (d *dispatcher) onTimeUntil(j *job) time.Time {
-	if !j.gated() {
+	if !j.isGated() {
 		return time.Time{}
 	}
 	objective := time.Duration(j.forward.route.ObjectiveMillis) * time.Millisecond
@@ -54,10 +54,10 @@
 
 // finished takes an attempt off its target and its model's gate. The lock is
 // held.
-func (d *dispatcher) finished(now time.Time, attempt string, r placement.Result) {
+func (d *dispatcher) endAttemptLocked(now time.Time, attempt string, r placement.Result) {
 	d.picker.Finished(now, attempt, r)
-	if model, counted := d.unbegun[attempt]; counted {
-		delete(d.unbegun, attempt)
+	if model, counted := d.awaitingFirstEvent[attempt]; counted {
+		delete(d.awaitingFirstEvent, attempt)
 		d.gateOf(model).Ended()
 	}
 }
--- a/internal/entry/isolate.go
+++ b/internal/entry/isolate.go
@@ -113,7 +113,7 @@
 	}
 	t.held = nil
 	for time.Now().Before(until) && j.ctx.Err() == nil {
-		r, ok := s.dispatcher.idlest(j.model, j.homes)
+		r, ok := s.dispatcher.leastBusy(j.model, j.homes)
 		if !ok || !s.takeQuarantine(j, r.target) {
 			time.Sleep(alonePoll)
 			continue
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -122,7 +122,7 @@
 
 // gated tells whether a model's gate counts the job: its answer is a stream that
 // should begin within an objective.
-func (j *job) gated() bool {
+func (j *job) isGated() bool {
 	return j.forward != nil && j.forward.route.Kind == blackboard.RouteStreaming && j.forward.route.ObjectiveMillis > 0
 }
 
--- a/internal/entry/rate_limits_test.go
+++ b/internal/entry/rate_limits_test.go
@@ -128,7 +128,7 @@
 		s.dispatcher.limitRate(now, incarnation, placement.Named, &limit)
 	}
 	for _, target := range []string{"a", "b", "c"} {
-		s.dispatcher.sentAlone(now, target)
+		s.dispatcher.noteIsolated(now, target)
 	}
 	offer := func(left time.Duration) *failure.Error {
 		_, e := s.dispatcher.offer(&job{id: left.String(), model: servicePool("files"), deadline: now.Add(left)})
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -37,8 +37,8 @@
 func (s *Server) keepRoutes(ctx context.Context) {
 	ticker := time.NewTicker(routeInterval)
 	defer ticker.Stop()
-	pump := time.NewTicker(pumpInterval)
-	defer pump.Stop()
+	dispatchTicker := time.NewTicker(dispatchInterval)
+	defer dispatchTicker.Stop()
 	for {
 		select {
 		case <-ticker.C:
@@ -48,7 +48,7 @@
 			s.reportWaits(ctx, time.Now())
 		case <-s.boardChanged:
 			s.updateRoutes()
-		case <-pump.C:
+		case <-dispatchTicker.C:
 			now := time.Now()
 			s.checkProgress(now)
 			s.reportCallers(ctx, now)
@@ -165,17 +165,17 @@
 		r.loads[id] = load(report)
 	}
 	r.routes[id] = route{
-		target:      id,
-		pool:        g.Model,
-		region:      r.regions[g.DataCentre],
-		busy:        r.busy(id),
-		address:     head.Address,
-		group:       g.ID,
-		epoch:       g.Epoch,
-		head:        head.VM,
-		incarnation: head.Incarnation,
-		progress:    progress,
-		members:     make(map[string]string, len(g.Members)),
+		target:       id,
+		pool:         g.Model,
+		region:       r.regions[g.DataCentre],
+		requestCount: r.requestCount(id),
+		address:      head.Address,
+		group:        g.ID,
+		epoch:        g.Epoch,
+		head:         head.VM,
+		incarnation:  head.Incarnation,
+		progress:     progress,
+		members:      make(map[string]string, len(g.Members)),
 	}
 	for _, m := range g.Members {
 		r.routes[id].members[m.VM] = m.Incarnation
@@ -200,7 +200,7 @@
 }
 
 // busy is how many requests a target reports, running and waiting.
-func (r *routing) busy(id string) int { return r.loads[id].Running + r.loads[id].Queued }
+func (r *routing) requestCount(id string) int { return r.loads[id].Running + r.loads[id].Queued }
 
 // quarantined tells whether a target is kept for a suspect request.
 func (r *routing) quarantined(pool, target string) bool {
@@ -235,14 +235,14 @@
 		r.loads[id] = load(report)
 	}
 	r.routes[id] = route{
-		target:      id,
-		pool:        servicePool(i.Service),
-		region:      r.regions[i.DataCentre],
-		busy:        r.busy(id),
-		address:     i.Address,
-		head:        id,
-		incarnation: i.Incarnation,
-		members:     map[string]string{id: i.Incarnation},
+		target:       id,
+		pool:         servicePool(i.Service),
+		region:       r.regions[i.DataCentre],
+		requestCount: r.requestCount(id),
+		address:      i.Address,
+		head:         id,
+		incarnation:  i.Incarnation,
+		members:      map[string]string{id: i.Incarnation},
 	}
 	if r.board.Evacuated(i.DataCentre) {
 		r.evacuated[id] = true
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -39,7 +39,7 @@
 		s.finish(j, e, false)
 		return
 	}
-	g, e := s.dispatcher.enter(j)
+	g, e := s.dispatcher.admit(j)
 	j.queued = time.Since(j.arrived)
 	if e != nil {
 		s.finish(j, afterAttempts(j.begun, e), false)
@@ -93,7 +93,7 @@
 			return afterAttempts(begun, stop)
 		}
 		j.tried = append(j.tried, g.route.target)
-		next, ok := s.dispatcher.again(j, earlier(j.deadline, time.Now().Add(failoverWait)))
+		next, ok := s.dispatcher.nextTarget(j, earlier(j.deadline, time.Now().Add(failoverWait)))
 		if !ok {
 			return afterAttempts(begun, noBackendServer())
 		}
@@ -123,13 +123,13 @@
 // alone exchanges a suspect's grant for one where it runs alone, if that can
 // be had in time.
 func (s *Server) alone(j *job, g grant) grant {
-	isolated, giveBack, ok := s.isolate(j)
+	isolated, endTurn, ok := s.isolate(j)
 	if !ok {
 		return g
 	}
 	s.dispatcher.attemptEnded(g.attempt, placement.Result{Cancelled: true})
-	isolated.giveBack = giveBack
-	s.dispatcher.sentAlone(time.Now(), isolated.route.target)
+	isolated.endTurn = endTurn
+	s.dispatcher.noteIsolated(time.Now(), isolated.route.target)
 	j.lines.Info("event", "route", "request", j.id, "attempt", isolated.attempt,
 		"choice", isolated.route.target, "runner_up", g.route.target, "reason", "suspect runs alone")
 	return isolated
@@ -138,7 +138,7 @@
 // afterAttempt learns from an attempt and returns the final answer when no
 // other attempt may be made.
 func (s *Server) afterAttempt(j *job, g grant, out outcome, e *failure.Error) *failure.Error {
-	isolated := g.giveBack != nil
+	isolated := g.endTurn != nil
 	defer g.end()
 	if out == outcomeComplete {
 		if isolated {
--- a/internal/entry/running_test.go
+++ b/internal/entry/running_test.go
@@ -38,7 +38,7 @@
 // later suspect of the model waits in vain.
 func TestATurnAloneIsPassedOnWhenNothingIsDispatched(t *testing.T) {
 	turns := 0
-	g := grant{giveBack: func() { turns++ }}
+	g := grant{endTurn: func() { turns++ }}
 	g.end()
 	grant{}.end()
 	assert.Equal(t, turns, 1)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -398,5 +398,5 @@
 	d.policy = p
 	now := time.Now()
 	d.queue.SetPolicy(now, p)
-	d.pump(now)
+	d.dispatchWaiting(now)
 }
