--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -27,7 +27,7 @@
 		return nil
 	}
 	now := time.Now()
-	out, err := s.askClaim(j, record.Command{Claim: &record.Claim{
+	out, err := s.requestClaim(j, record.Command{Claim: &record.Claim{
 		Key: j.key, Body: j.body, Entry: s.o.ID, Attempt: j.id,
 		DeadlineMillis: j.deadline.Add(claimGrace).UnixMilli(), NowMillis: now.UnixMilli(),
 	}})
@@ -40,12 +40,12 @@
 			WithRan(failure.RanUnknown).WithRetryAfter(time.Second)
 	}
 	j.lines.Info("event", "claim", "request", j.id, "granted", out.Granted, "state", out.State, "holder", out.Entry)
-	return s.answerClaim(j, out)
+	return s.applyClaim(j, out)
 }
 
 // askClaim asks a few times: the same attempt's claim is granted again, so an
 // answer lost on a silent connection costs a second and not the request.
-func (s *Server) askClaim(j *job, c record.Command) (record.Outcome, error) {
+func (s *Server) requestClaim(j *job, c record.Command) (record.Outcome, error) {
 	var out record.Outcome
 	var err error
 	for range claimTries {
@@ -65,7 +65,7 @@
 	claimTimeout = 1500 * time.Millisecond
 )
 
-func (s *Server) answerClaim(j *job, out record.Outcome) *failure.Error {
+func (s *Server) applyClaim(j *job, out record.Outcome) *failure.Error {
 	switch {
 	case out.Granted:
 		j.claimed = true
@@ -95,7 +95,7 @@
 		j.service.replay(a)
 		return nil
 	}
-	var kept keptAnswer
+	var kept recordedCompletion
 	if err := json.Unmarshal(a.Body, &kept); err != nil {
 		return failure.New(failure.TypeInternal, "recorded answer: "+err.Error()).WithRan(failure.RanYes)
 	}
@@ -107,7 +107,7 @@
 }
 
 // keptAnswer is a completion's recorded answer.
-type keptAnswer struct {
+type recordedCompletion struct {
 	Tokens []string `json:"tokens"`
 	Finish string   `json:"finish"`
 }
--- a/internal/entry/finish.go
+++ b/internal/entry/finish.go
@@ -14,19 +14,19 @@
 
 // recordTries bounds how often an outcome is written; the claim's grace
 // passes meanwhile.
-const recordTries = 5
+const recordAttempts = 5
 
 // finish ends the job with an answer or a failure. The whole answer of a
 // claimed request is recorded before any caller gets its end, so that a resend
 // after a lost answer finds it.
 func (s *Server) finish(j *job, e *failure.Error, mayHaveRun bool) {
-	s.meter(j, e)
+	s.recordMetrics(j, e)
 	if e != nil {
 		s.fail(j, e, mayHaveRun)
 		return
 	}
 	if j.claimed {
-		s.settle(j, nil, mayHaveRun)
+		s.recordOutcome(j, nil, mayHaveRun)
 	}
 	go s.release(j, true, true)
 	j.answer.end(j.finish)
@@ -51,7 +51,7 @@
 	j.answer.fail(&c)
 	s.logRefusal(j, &c)
 	if j.claimed {
-		s.settle(j, &c, mayHaveRun)
+		s.recordOutcome(j, &c, mayHaveRun)
 	}
 }
 
@@ -82,7 +82,7 @@
 }
 
 // meter records the request's final answer.
-func (s *Server) meter(j *job, e *failure.Error) {
+func (s *Server) recordMetrics(j *job, e *failure.Error) {
 	r := metrics.Request{
 		Workspace: j.workspace, Class: j.class, Outcome: metrics.Answered, Queued: j.queued,
 		FirstToken: j.firstToken, Whole: time.Since(j.arrived), Tokens: j.answer.length(),
@@ -94,7 +94,7 @@
 }
 
 // settle records what became of a claim.
-func (s *Server) settle(j *job, e *failure.Error, mayHaveRun bool) {
+func (s *Server) recordOutcome(j *job, e *failure.Error, mayHaveRun bool) {
 	if e != nil && !mayHaveRun {
 		s.abandonClaim(j)
 		return
@@ -103,7 +103,7 @@
 	if e == nil {
 		f.Answer = s.recordedAnswer(j)
 	}
-	for range recordTries {
+	for range recordAttempts {
 		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		f.NowMillis = time.Now().UnixMilli()
 		_, err := s.commitRecord(ctx, record.Command{Finish: f})
@@ -111,14 +111,14 @@
 		if err == nil {
 			return
 		}
-		time.Sleep(recordPause)
+		time.Sleep(recordRetryDelay)
 	}
 }
 
 // Times of writing an outcome.
 const (
-	recordTimeout = 2 * time.Second
-	recordPause   = 200 * time.Millisecond
+	recordTimeout    = 2 * time.Second
+	recordRetryDelay = 200 * time.Millisecond
 )
 
 func (s *Server) recordedAnswer(j *job) *record.Answer {
@@ -126,7 +126,7 @@
 		return j.service.recorded()
 	}
 	p, _ := j.answer.wait(context.Background(), 0)
-	body, err := json.Marshal(keptAnswer{Tokens: p.tokens, Finish: j.finish})
+	body, err := json.Marshal(recordedCompletion{Tokens: p.tokens, Finish: j.finish})
 	if err != nil {
 		return nil
 	}
