--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -105,7 +105,7 @@
 	}
 	j.prefix = backend.PrefixBlocks(j.prompt)
 	j.extra = extraFields(data)
-	j.body = completionFingerprint(j, d)
+	j.fingerprint = completionFingerprint(j, d)
 	return &r, nil
 }
 
--- a/internal/entry/finish.go
+++ b/internal/entry/finish.go
@@ -28,7 +28,7 @@
 	if j.claimed {
 		s.recordOutcome(j, nil, mayHaveRun)
 	}
-	go s.release(j, true, true)
+	go s.releaseKey(j, true, true)
 	j.answer.end(j.finish)
 	s.logAnswer(j)
 }
@@ -44,9 +44,9 @@
 	}
 	begun := c.Ran != failure.RanNo
 	if begun {
-		s.release(j, false, true)
+		s.releaseKey(j, false, true)
 	} else {
-		go s.release(j, false, false)
+		go s.releaseKey(j, false, false)
 	}
 	j.answer.fail(&c)
 	s.logRefusal(j, &c)
--- a/internal/entry/isolate_test.go
+++ b/internal/entry/isolate_test.go
@@ -46,7 +46,7 @@
 
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(300*time.Millisecond))
 	defer cancel()
-	j := &job{id: "j", model: "m", body: "body", ctx: ctx, deadline: time.Now().Add(300 * time.Millisecond)}
+	j := &job{id: "j", model: "m", fingerprint: "body", ctx: ctx, deadline: time.Now().Add(300 * time.Millisecond)}
 	time.AfterFunc(50*time.Millisecond, func() { follower.board.Store(after) })
 	sent := 0
 	e := s.attempts(j, grant{attempt: "j.1"}, func(*job, grant) (outcome, *failure.Error) {
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -46,7 +46,7 @@
 	// key is the workspace and the idempotency key, or empty.
 	key string
 	// body is the hash of what was asked: the fingerprint of the request.
-	body          string
+	fingerprint   string
 	nonIdempotent bool
 	arrived       time.Time
 	// asked is when the caller surely had sent the request for the first time: its
--- a/internal/entry/holders.go
+++ b/internal/entry/key_holders.go
@@ -28,18 +28,18 @@
 	// unsureUntil is until when an unknown key may have been held before: this
 	// home has started, the set of entries has changed, or keys were dropped to
 	// make room.
-	unsureUntil time.Time
+	assumeBegunUntil time.Time
 }
 
 type holder struct {
-	key   string
-	body  string
-	entry string
+	key         string
+	fingerprint string
+	entry       string
 	// job is the holder's run; a late word of an earlier run frees nothing.
-	job   string
-	begun bool
-	until time.Time
-	place *list.Element
+	job     string
+	begun   bool
+	until   time.Time
+	element *list.Element
 }
 
 func newHolders() *holders {
@@ -47,32 +47,32 @@
 }
 
 // holdAnswer is the answer to a hold.
-type holdAnswer struct {
+type holdResult struct {
 	entry  string
 	reused bool
 	begun  bool
 }
 
 // hold makes an entry the holder of a key that has none, and says who holds it.
-func (h *holders) hold(now time.Time, key, body, entry, job string, lifetime time.Duration) holdAnswer {
+func (h *holders) hold(now time.Time, key, fingerprint, entry, job string, lifetime time.Duration) holdResult {
 	old, ok := h.keys[key]
 	if ok && now.After(old.until) {
-		h.drop(old)
+		h.remove(old)
 		ok = false
 	}
 	if !ok {
-		begun := now.Before(h.unsureUntil)
-		h.add(now, &holder{key: key, body: body, entry: entry, job: job, begun: begun, until: now.Add(lifetime)})
-		return holdAnswer{entry: entry, begun: begun}
+		begun := now.Before(h.assumeBegunUntil)
+		h.add(now, &holder{key: key, fingerprint: fingerprint, entry: entry, job: job, begun: begun, until: now.Add(lifetime)})
+		return holdResult{entry: entry, begun: begun}
 	}
-	if old.body != body {
-		return holdAnswer{reused: true}
+	if old.fingerprint != fingerprint {
+		return holdResult{reused: true}
 	}
 	if old.entry == "" {
 		old.entry, old.job = entry, job
 		old.until = now.Add(lifetime)
 	}
-	return holdAnswer{entry: old.entry, begun: old.begun}
+	return holdResult{entry: old.entry, begun: old.begun}
 }
 
 // release notes how the holder's run ended. A run that began and has no whole
@@ -90,7 +90,7 @@
 		return
 	}
 	if !old.begun {
-		h.drop(old)
+		h.remove(old)
 		return
 	}
 	old.entry = ""
@@ -98,21 +98,21 @@
 
 // unsure notes that a key unknown here may have been held before, for as long
 // as any run of it may go on.
-func (h *holders) unsure(now time.Time) {
-	h.unsureUntil = now.Add(maxTimeout + keptFor)
+func (h *holders) assumeBegun(now time.Time) {
+	h.assumeBegunUntil = now.Add(maxTimeout + keptFor)
 }
 
 func (h *holders) add(now time.Time, n *holder) {
-	n.place = h.order.PushBack(n)
+	n.element = h.order.PushBack(n)
 	h.keys[n.key] = n
 	for len(h.keys) > maxHolders {
-		h.unsure(now)
-		h.drop(h.order.Front().Value.(*holder))
+		h.assumeBegun(now)
+		h.remove(h.order.Front().Value.(*holder))
 	}
 }
 
-func (h *holders) drop(old *holder) {
-	h.order.Remove(old.place)
+func (h *holders) remove(old *holder) {
+	h.order.Remove(old.element)
 	delete(h.keys, old.key)
 }
 
--- a/internal/entry/holders_test.go
+++ b/internal/entry/key_holders_test.go
@@ -13,10 +13,10 @@
 func TestAKeyHasOneHolder(t *testing.T) {
 	at := time.Unix(0, 0)
 	h := newHolders()
-	assert.Equal(t, h.hold(at, "k", "b", "e1", "j1", time.Minute), holdAnswer{entry: "e1"})
-	assert.Equal(t, h.hold(at, "k", "b", "e2", "j2", time.Minute), holdAnswer{entry: "e1"})
-	assert.Equal(t, h.hold(at, "k", "other", "e2", "j2", time.Minute), holdAnswer{reused: true})
-	assert.Equal(t, h.hold(at.Add(2*time.Minute), "k", "b", "e2", "j2", time.Minute), holdAnswer{entry: "e2"})
+	assert.Equal(t, h.hold(at, "k", "b", "e1", "j1", time.Minute), holdResult{entry: "e1"})
+	assert.Equal(t, h.hold(at, "k", "b", "e2", "j2", time.Minute), holdResult{entry: "e1"})
+	assert.Equal(t, h.hold(at, "k", "other", "e2", "j2", time.Minute), holdResult{reused: true})
+	assert.Equal(t, h.hold(at.Add(2*time.Minute), "k", "b", "e2", "j2", time.Minute), holdResult{entry: "e2"})
 }
 
 // A job runs in part and fails; its caller is told that it may have run. The
@@ -27,11 +27,11 @@
 	for _, c := range []struct {
 		name            string
 		complete, begun bool
-		want            holdAnswer
+		want            holdResult
 	}{
-		{"refused", false, false, holdAnswer{entry: "e2"}},
-		{"began and failed", false, true, holdAnswer{entry: "e2", begun: true}},
-		{"answered", true, true, holdAnswer{entry: "e1", begun: true}},
+		{"refused", false, false, holdResult{entry: "e2"}},
+		{"began and failed", false, true, holdResult{entry: "e2", begun: true}},
+		{"answered", true, true, holdResult{entry: "e1", begun: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHolders()
@@ -49,10 +49,10 @@
 func TestAHomeThatHasStartedIsUnsure(t *testing.T) {
 	at := time.Unix(0, 0)
 	h := newHolders()
-	h.unsure(at)
-	assert.Equal(t, h.hold(at, "k", "b", "e1", "j1", time.Minute), holdAnswer{entry: "e1", begun: true})
+	h.assumeBegun(at)
+	assert.Equal(t, h.hold(at, "k", "b", "e1", "j1", time.Minute), holdResult{entry: "e1", begun: true})
 	later := at.Add(maxTimeout + keptFor + 1)
-	assert.Equal(t, h.hold(later, "l", "b", "e1", "j1", time.Minute), holdAnswer{entry: "e1"})
+	assert.Equal(t, h.hold(later, "l", "b", "e1", "j1", time.Minute), holdResult{entry: "e1"})
 }
 
 func TestHoldersAreBounded(t *testing.T) {
--- a/internal/entry/home.go
+++ b/internal/entry/key_home.go
@@ -22,8 +22,8 @@
 	homeTimeout = 300 * time.Millisecond
 	// holderGap is how long a holder's stream may be silent; the holder sends
 	// a line at least every holderBeat.
-	holderGap  = 2 * time.Second
-	holderBeat = 500 * time.Millisecond
+	holderGap       = 2 * time.Second
+	holderHeartbeat = 500 * time.Millisecond
 	// holderTries bounds how often a request that loses its holder asks again.
 	holderTries = 3
 )
@@ -35,7 +35,7 @@
 		return false, nil
 	}
 	for range holderTries {
-		reply, err := s.hold(j)
+		reply, err := s.holdKey(j)
 		if err != nil {
 			j.lines.Info("event", "home_unreachable", "request", j.id, "err", err)
 			j.begun = true
@@ -54,19 +54,19 @@
 			return true, e
 		}
 		j.begun = true
-		s.forsake(j, reply.Holder)
+		s.freeKey(j, reply.Holder)
 	}
 	return false, nil
 }
 
 // hold asks the home of the job's key. An entry that is its own home asks
 // itself.
-func (s *Server) hold(j *job) (*noderpc.HoldReply, error) {
+func (s *Server) holdKey(j *job) (*noderpc.HoldReply, error) {
 	r := &noderpc.HoldRequest{
-		ClusterId: s.o.Follower.Board().ClusterID, Key: j.key, Body: j.body, Entry: s.o.ID, Job: j.id,
+		ClusterId: s.o.Follower.Board().ClusterID, Key: j.key, Body: j.fingerprint, Entry: s.o.ID, Job: j.id,
 		LifetimeMs: (time.Until(j.deadline) + keptFor).Milliseconds(),
 	}
-	client, err := s.home(j.key)
+	client, err := s.homeClient(j.key)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -78,11 +78,11 @@
 
 // release tells the home how the run ended. A resend that comes before the
 // home knows attaches here and finds the same.
-func (s *Server) release(j *job, complete, begun bool) {
+func (s *Server) releaseKey(j *job, complete, begun bool) {
 	if !j.isHolder {
 		return
 	}
-	client, err := s.home(j.key)
+	client, err := s.homeClient(j.key)
 	if err != nil {
 		return
 	}
@@ -96,8 +96,8 @@
 }
 
 // forsake frees a key whose holder could not be read.
-func (s *Server) forsake(j *job, holder string) {
-	client, err := s.home(j.key)
+func (s *Server) freeKey(j *job, holder string) {
+	client, err := s.homeClient(j.key)
 	if err != nil {
 		return
 	}
@@ -111,17 +111,17 @@
 // ErrNoHome is returned when no entry is registered.
 const ErrNoHome = errors.ConstError("no entry is registered")
 
-func (s *Server) home(key string) (noderpc.Entries, error) {
+func (s *Server) homeClient(key string) (noderpc.Entries, error) {
 	entries := s.o.Follower.Board().Entries
 	id := homeOf(key, entries)
 	if id == "" {
 		return nil, errors.Trace(ErrNoHome)
 	}
-	return s.peerEntry(id, entries[id]), nil
+	return s.entryClient(id, entries[id]), nil
 }
 
 // peerEntry returns the client of an entry; this one asks itself.
-func (s *Server) peerEntry(id string, e blackboard.Entry) noderpc.Entries {
+func (s *Server) entryClient(id string, e blackboard.Entry) noderpc.Entries {
 	if id == s.o.ID {
 		return localHome{s}
 	}
@@ -170,12 +170,12 @@
 	Finish string         `json:"finish,omitempty"`
 	Failed *failure.Error `json:"failed,omitempty"`
 	// RetryAfterMillis goes with Failed.
-	RetryAfterMillis int64         `json:"retry_after_ms,omitempty"`
-	Service          *servicedPart `json:"service,omitempty"`
+	RetryAfterMillis int64              `json:"retry_after_ms,omitempty"`
+	Service          *serviceAnswerPart `json:"service,omitempty"`
 }
 
 // servicedPart is a plain service's whole answer.
-type servicedPart struct {
+type serviceAnswerPart struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
@@ -192,7 +192,7 @@
 	defer s.detach(j)
 	encoder := json.NewEncoder(w)
 	for from := 0; ; {
-		ctx, cancel := context.WithTimeout(r.Context(), holderBeat)
+		ctx, cancel := context.WithTimeout(r.Context(), holderHeartbeat)
 		p, err := j.answer.wait(ctx, from)
 		cancel()
 		if r.Context().Err() != nil {
@@ -217,7 +217,7 @@
 		line.RetryAfterMillis = p.failed.RetryAfter.Milliseconds()
 	}
 	if line.End && j.service != nil {
-		line.Service = &servicedPart{Status: j.service.status, Header: j.service.header, Body: j.service.body}
+		line.Service = &serviceAnswerPart{Status: j.service.status, Header: j.service.header, Body: j.service.body}
 	}
 	return line
 }
@@ -261,7 +261,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &p); err != nil {
 			return false, nil
 		}
-		j.takePart(p)
+		j.addPart(p)
 		if p.Failed != nil {
 			p.Failed.RetryAfter = time.Duration(p.RetryAfterMillis) * time.Millisecond
 			return true, p.Failed
@@ -275,7 +275,7 @@
 
 // takePart adds the tokens that the job does not have yet: it may have read
 // some from a holder before.
-func (j *job) takePart(p part) {
+func (j *job) addPart(p part) {
 	for i, text := range p.Tokens {
 		if p.At+i == j.answer.length() {
 			j.answer.append(text)
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -98,7 +98,7 @@
 	r := &noderpc.LendRetryRequest{ClusterId: board.ClusterID, Pool: pool}
 	ctx, cancel := context.WithTimeout(ctx, loanTimeout)
 	defer cancel()
-	reply, err := s.peerEntry(lender, board.Entries[lender]).LendRetry(ctx, r)
+	reply, err := s.entryClient(lender, board.Entries[lender]).LendRetry(ctx, r)
 	if err != nil {
 		return false, errors.Trace(err)
 	}
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -56,7 +56,7 @@
 // attempts makes attempts until one gives the whole answer or no further one
 // may be made.
 func (s *Server) attempts(j *job, g grant, attempt attemptFunc) *failure.Error {
-	if s.o.Follower.Board().Suspects[j.body].Crashes > 0 {
+	if s.o.Follower.Board().Suspects[j.fingerprint].Crashes > 0 {
 		j.suspect = true
 	}
 	begun := j.begun
@@ -108,7 +108,7 @@
 // of it. It waits eight seconds for a turn alone and crashes a third. What has been learned
 // while it waited counts.
 func (s *Server) mayAttempt(j *job) *failure.Error {
-	if s.o.Follower.Board().Suspects[j.body].Convicted() {
+	if s.o.Follower.Board().Suspects[j.fingerprint].Convicted() {
 		return convicted()
 	}
 	return s.mayDispatch()
--- a/internal/entry/running.go
+++ b/internal/entry/running.go
@@ -46,7 +46,7 @@
 	if e := s.mayAdmit(); e != nil {
 		return nil, e
 	}
-	if s.o.Follower.Board().Suspects[j.body].Convicted() {
+	if s.o.Follower.Board().Suspects[j.fingerprint].Convicted() {
 		return nil, convicted()
 	}
 	j.ctx, j.cancel = context.WithCancelCause(context.Background())
@@ -106,7 +106,7 @@
 	defer r.mu.Unlock()
 	r.dropOld(time.Now())
 	if first, ok := r.jobs[j.key]; ok && j.key != "" {
-		if first.body != j.body {
+		if first.fingerprint != j.fingerprint {
 			return nil, failure.New(failure.TypeKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
 		}
 		first.answer.attach()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -152,7 +152,7 @@
 		configured:    make(chan struct{}),
 		started:       time.Now(),
 	}
-	s.holders.unsure(time.Now())
+	s.holders.assumeBegun(time.Now())
 	s.dispatcher = newDispatcher(placement.Options{
 		Seed: h.Sum64(), Entry: o.ID, DataCentre: o.DataCentre, Ramp: time.Duration(o.Settings.RampMillis) * time.Millisecond,
 	})
@@ -193,7 +193,7 @@
 	s.entryIDs = ids
 	s.holdersMu.Lock()
 	defer s.holdersMu.Unlock()
-	s.holders.unsure(time.Now())
+	s.holders.assumeBegun(time.Now())
 }
 
 // Announced takes what an announcement says beyond liveness.
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -87,7 +87,7 @@
 	j.service = &serviceCall{call: backend.ServiceCall{
 		Method: r.Method, Path: servicePath(r, name), Header: forwarded(r.Header), Body: body,
 	}}
-	j.body = fingerprint("service", name, r.Method, j.service.call.Path, string(body))
+	j.fingerprint = fingerprint("service", name, r.Method, j.service.call.Path, string(body))
 	return j, nil
 }
 
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -93,10 +93,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), boardTimeout)
 	defer cancel()
 	err := s.commitBoard(ctx, &blackboard.ReportCrash{
-		Fingerprints: []string{j.body}, Incarnation: r.unit(), Alone: alone, NowMillis: time.Now().UnixMilli(),
+		Fingerprints: []string{j.fingerprint}, Incarnation: r.unit(), Alone: alone, NowMillis: time.Now().UnixMilli(),
 	}, nil)
-	_ = level.Warn(s.o.Logger).Log("event", "crash", "request", j.id, "fingerprint", j.body, "unit", r.unit(), "alone", alone, "err", errText(err))
-	known := s.o.Follower.Board().Suspects[j.body]
+	_ = level.Warn(s.o.Logger).Log("event", "crash", "request", j.id, "fingerprint", j.fingerprint, "unit", r.unit(), "alone", alone, "err", errText(err))
+	known := s.o.Follower.Board().Suspects[j.fingerprint]
 	if j.nonIdempotent {
 		return known
 	}
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), boardTimeout)
 	defer cancel()
 	// If this fails the request runs alone once more, and is cleared then.
-	_ = s.commitBoard(ctx, &blackboard.ForgetSuspect{Fingerprint: j.body}, nil)
+	_ = s.commitBoard(ctx, &blackboard.ForgetSuspect{Fingerprint: j.fingerprint}, nil)
 }
 
 // convicted is the final answer to a request that crashes backend servers.
