--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -54,7 +54,7 @@
 	// begun says that a part of the answer has been written.
 	begun bool
 	// out writes a stream to the caller; nil until it has begun.
-	out *outbox
+	out *streamWriter
 	// held is how much of whole answers counts towards the entry's memory, in bytes.
 	reservedBytes int
 	// resume and last name the last event that the caller has.
@@ -203,7 +203,7 @@
 	}
 	defer s.work.Done()
 	defer s.running.end(j)
-	defer func() { s.memory.give(j.forward.reservedBytes) }()
+	defer func() { s.memory.release(j.forward.reservedBytes) }()
 	s.run(j, s.attemptForward)
 	if e := j.forward.end(); e != nil {
 		return e
@@ -342,7 +342,7 @@
 // the answer to this one is due, or bytes that prove nothing; the caller would
 // get another caller's answer. The id that the backend server echoes and its
 // proof tell them.
-func (j *job) checkAnswer(m *memory, a *backend.ForwardAnswer) (outcome, *failure.Error, bool) {
+func (j *job) checkAnswer(m *memoryBudget, a *backend.ForwardAnswer) (outcome, *failure.Error, bool) {
 	switch {
 	case a.Foreign:
 		return outcomeBroken, failure.New(failure.TypeBackendFailed, "the backend server sent another request's answer"), true
@@ -359,7 +359,7 @@
 
 // hold keeps a failure of the backend server's own for when no further attempt
 // is made.
-func (j *job) bufferFailure(m *memory, a *backend.ForwardAnswer) (outcome, *failure.Error, bool) {
+func (j *job) bufferFailure(m *memoryBudget, a *backend.ForwardAnswer) (outcome, *failure.Error, bool) {
 	e := failure.New(failure.TypeBackendFailed, "the backend server answered "+strconv.Itoa(a.Status))
 	body, err := j.readComplete(m, a)
 	if err == nil {
--- a/internal/entry/forward_bench_test.go
+++ b/internal/entry/forward_bench_test.go
@@ -27,7 +27,7 @@
 	}
 	text := strings.ReplaceAll(events(ids...), "token", strings.Repeat("t", 60))
 	j := &job{ctx: context.Background(), forward: &forwarding{w: discard{http.Header{}}}}
-	m := newMemory(1 << 30)
+	m := newMemoryBudget(1 << 30)
 	r := newEventReader(strings.NewReader(text))
 	answer := &backend.ForwardAnswer{Status: http.StatusOK, Header: http.Header{}}
 	b.ReportAllocs()
--- a/internal/entry/forward_relay.go
+++ b/internal/entry/forward_relay.go
@@ -29,15 +29,15 @@
 
 // readWhole reads an answer to its end. One that ends early is an error. What is held
 // counts until the caller has it; while there is no room, the answer is not read.
-func (j *job) readComplete(m *memory, a *backend.ForwardAnswer) ([]byte, error) {
+func (j *job) readComplete(m *memoryBudget, a *backend.ForwardAnswer) ([]byte, error) {
 	var body bytes.Buffer
 	for {
-		if err := m.await(j.ctx, answerChunk); err != nil {
+		if err := m.reserve(j.ctx, answerChunk); err != nil {
 			return nil, errors.Trace(err)
 		}
 		j.forward.reservedBytes += answerChunk
 		n, err := io.CopyN(&body, a.Body, answerChunk)
-		m.give(answerChunk - int(n))
+		m.release(answerChunk - int(n))
 		j.forward.reservedBytes -= answerChunk - int(n)
 		switch {
 		case body.Len() > maxServiceAnswer:
@@ -97,18 +97,18 @@
 }
 
 // start writes the head of the stream's first run.
-func (f *forwarding) writeHead(m *memory, a *backend.ForwardAnswer) {
+func (f *forwarding) writeHead(m *memoryBudget, a *backend.ForwardAnswer) {
 	if f.begun {
 		return
 	}
 	f.begun = true
 	copyHeader(f.w.Header(), backend.EndToEnd(a.Header))
 	f.w.WriteHeader(a.Status)
-	f.out = newOutbox(f.w, m)
+	f.out = newStreamWriter(f.w, m)
 }
 
 // pass passes one event on, unless the caller has it already.
-func (j *job) relayEvent(m *memory, a *backend.ForwardAnswer, e event, flush bool) error {
+func (j *job) relayEvent(m *memoryBudget, a *backend.ForwardAnswer, e event, flush bool) error {
 	f := j.forward
 	if e.numbered {
 		if f.resume && e.id <= f.last {
@@ -117,7 +117,7 @@
 		f.resume, f.last = true, e.id
 	}
 	f.writeHead(m, a)
-	return errors.Trace(f.out.put(j.ctx, e.bytes, flush))
+	return errors.Trace(f.out.enqueue(j.ctx, e.bytes, flush))
 }
 
 // event is one server-sent event as it came.
--- a/internal/entry/memory.go
+++ b/internal/entry/memory_budget.go
@@ -11,7 +11,7 @@
 // memory bounds the bytes that an entry holds for callers and backend servers that read or
 // write slowly: request bodies, and answers that their callers have not read yet. It is safe
 // for concurrent use.
-type memory struct {
+type memoryBudget struct {
 	limit int64
 
 	mu   sync.Mutex
@@ -21,12 +21,14 @@
 }
 
 // errMemory is returned for a body that the bound leaves no room for.
-const errMemory = errors.ConstError("this entry holds as much for its callers as it may")
+const errMemoryLimit = errors.ConstError("this entry holds as much for its callers as it may")
 
-func newMemory(limit int64) *memory { return &memory{limit: limit, freed: make(chan struct{})} }
+func newMemoryBudget(limit int64) *memoryBudget {
+	return &memoryBudget{limit: limit, freed: make(chan struct{})}
+}
 
 // take counts n bytes in, and tells whether there is room for them.
-func (m *memory) take(n int) bool {
+func (m *memoryBudget) tryReserve(n int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.limit > 0 && m.used+int64(n) > m.limit {
@@ -37,14 +39,14 @@
 }
 
 // force counts n bytes in, whether there is room or not.
-func (m *memory) force(n int) {
+func (m *memoryBudget) forceReserve(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.used += int64(n)
 }
 
 // give counts n bytes out.
-func (m *memory) give(n int) {
+func (m *memoryBudget) release(n int) {
 	if n == 0 {
 		return
 	}
@@ -56,19 +58,19 @@
 }
 
 // held returns the bytes that are counted in.
-func (m *memory) held() int64 {
+func (m *memoryBudget) reserved() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.used
 }
 
 // await counts n bytes in once there is room for them.
-func (m *memory) await(ctx context.Context, n int) error {
+func (m *memoryBudget) reserve(ctx context.Context, n int) error {
 	for {
 		m.mu.Lock()
 		freed := m.freed
 		m.mu.Unlock()
-		if m.take(n) {
+		if m.tryReserve(n) {
 			return nil
 		}
 		select {
@@ -81,9 +83,9 @@
 
 // Body is a request's body that counts towards what the entry holds.
 type Body struct {
-	from   io.Reader
-	memory *memory
-	taken  int
+	from     io.Reader
+	memory   *memoryBudget
+	reserved int
 }
 
 // HoldBody returns the body of a request, whose bytes are counted from when they are read
@@ -93,18 +95,18 @@
 // Read reads the body, and fails where there is no room for more.
 func (b *Body) Read(p []byte) (int, error) {
 	n, err := b.from.Read(p)
-	if !b.memory.take(n) {
-		return 0, errors.Trace(errMemory)
+	if !b.memory.tryReserve(n) {
+		return 0, errors.Trace(errMemoryLimit)
 	}
-	b.taken += n
+	b.reserved += n
 	return n, err
 }
 
 // Release counts the body out.
 func (b *Body) Release() {
-	b.memory.give(b.taken)
-	b.taken = 0
+	b.memory.release(b.reserved)
+	b.reserved = 0
 }
 
 // IsMemory tells whether a body could not be read for want of room.
-func IsMemory(err error) bool { return errors.Is(err, errMemory) }
+func IsMemory(err error) bool { return errors.Is(err, errMemoryLimit) }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -115,7 +115,7 @@
 	// borrowing holds the retries that this entry borrows and lends.
 	borrowing *borrowing
 	// memory bounds what is held for slow readers and writers.
-	memory *memory
+	memory *memoryBudget
 	// cold holds the limits of backend servers that are cold, and evacuations the data
 	// centres that are evacuated; the routes' loop alone uses them.
 	cold        map[string]placement.RateLimit
@@ -148,7 +148,7 @@
 		rateLimits:    newRateLimits(),
 		evacuations:   make(evacuations),
 		borrowing:     newBorrowing(),
-		memory:        newMemory(o.Settings.MaxHeldBytes),
+		memory:        newMemoryBudget(o.Settings.MaxHeldBytes),
 		configured:    make(chan struct{}),
 		started:       time.Now(),
 	}
--- a/internal/entry/outbox_test.go
+++ b/internal/entry/stream_writer_test.go
@@ -98,11 +98,11 @@
 	s, caller, body := routed(t, &scripted{}), newSlowCaller(), newCountedBody(text)
 	ended := streamTo(s, caller, body)
 	<-body.end
-	assert.Assert(t, s.memory.held() > 0)
+	assert.Assert(t, s.memory.reserved() > 0)
 	close(caller.reads)
 	<-ended
 	assert.Equal(t, caller.got.String(), text)
-	assert.Equal(t, s.memory.held(), int64(0))
+	assert.Equal(t, s.memory.reserved(), int64(0))
 }
 
 // Guards against an entry that runs out of memory by callers that read nothing.
@@ -110,19 +110,19 @@
 	for _, limit := range []int64{4 << 10, 1 << 30} {
 		text := longStream(2000)
 		s, caller, body := routed(t, &scripted{}), newSlowCaller(), newCountedBody(text)
-		s.memory = newMemory(limit)
+		s.memory = newMemoryBudget(limit)
 		ended := streamTo(s, caller, body)
-		bound := min(limit, outboxLimit)
-		for s.memory.held() < bound-256 {
+		bound := min(limit, streamBufferBytes)
+		for s.memory.reserved() < bound-256 {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(20 * time.Millisecond)
-		assert.Assert(t, s.memory.held() <= bound+256, "%d bytes held", s.memory.held())
+		assert.Assert(t, s.memory.reserved() <= bound+256, "%d bytes held", s.memory.reserved())
 		assert.Assert(t, body.so() < int(bound)+2*eventBuffer, "%d bytes read", body.so())
 		close(caller.reads)
 		<-ended
 		assert.Equal(t, caller.got.String(), text)
-		assert.Equal(t, s.memory.held(), int64(0))
+		assert.Equal(t, s.memory.reserved(), int64(0))
 	}
 }
 
@@ -130,8 +130,8 @@
 // callers, and against one that is not delivered for it.
 func TestAWholeAnswerWaitsForRoom(t *testing.T) {
 	s := routed(t, &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answering(200, "whole", false)}})
-	s.memory = newMemory(answerChunk)
-	s.memory.force(1)
+	s.memory = newMemoryBudget(answerChunk)
+	s.memory.forceReserve(1)
 	done := make(chan string)
 	go func() {
 		w, _, _ := send(s, Forwarded{Path: "/many/x"})
@@ -142,16 +142,16 @@
 		t.Fatal("read without room")
 	case <-time.After(50 * time.Millisecond):
 	}
-	s.memory.give(1)
+	s.memory.release(1)
 	assert.Equal(t, <-done, "whole")
-	assert.Equal(t, s.memory.held(), int64(0))
+	assert.Equal(t, s.memory.reserved(), int64(0))
 }
 
 // Guards against request bodies, sent on slowly by their callers or read slowly by backend
 // servers, that fill the memory.
 func TestRequestBodiesAreBoundedTogether(t *testing.T) {
 	s := routed(t, &scripted{})
-	s.memory = newMemory(1000)
+	s.memory = newMemoryBudget(1000)
 	first := s.HoldBody(strings.NewReader(strings.Repeat("a", 800)))
 	_, err := io.ReadAll(first)
 	assert.NilError(t, err)
@@ -160,7 +160,7 @@
 	assert.Assert(t, IsMemory(err))
 	second.Release()
 	first.Release()
-	assert.Equal(t, s.memory.held(), int64(0))
+	assert.Equal(t, s.memory.reserved(), int64(0))
 	third := s.HoldBody(strings.NewReader(strings.Repeat("c", 800)))
 	_, err = io.ReadAll(third)
 	assert.NilError(t, err)
