--- a/internal/entry/progress.go
+++ b/internal/entry/group_progress.go
@@ -16,7 +16,7 @@
 	// stallAfter is how long none of a group's begun streams may bring an event
 	// before this entry takes the group for stalled, if the engines' figures do
 	// not say how long a pass takes.
-	stallAfter = 500 * time.Millisecond
+	defaultSilenceLimit = 500 * time.Millisecond
 	// stallMargin is added to the longest pass, as a part of it, for the way and
 	// for engines that are a little slow.
 	//
@@ -28,18 +28,18 @@
 	stallMargin = 0.15
 	// stallHold is how long such a group gets nothing new from this entry if the
 	// leader does not break it.
-	stallHold = 3 * time.Second
+	stallSuspension = 3 * time.Second
 	// severalStreams is from how many silent streams on the group itself is the
 	// likely cause, and not one connection.
-	severalStreams = 3
+	silentStreamsForLoss = 3
 	// lossAllowance is what a lost packet adds to a pause: the least time after
 	// which TCP sends it again, twice.
-	lossAllowance = 400 * time.Millisecond
+	packetLossAllowance = 400 * time.Millisecond
 	// tellAgain and tellLast are when the leader hears of a silence again.
-	tellAgain = time.Second
-	tellLast  = 2 * time.Second
+	secondReportAfter = time.Second
+	lastReportAfter   = 2 * time.Second
 	// suspectTimeout bounds the call that tells the leader.
-	suspectTimeout = time.Second
+	stallReportTimeout = time.Second
 )
 
 // errGroupLost is the cause of an attempt that is given up because its group
@@ -55,7 +55,7 @@
 // groupProgress follows the streams of this entry on one epoch of a group.
 type groupProgress struct {
 	// patience is how long all begun streams may bring nothing.
-	patience time.Duration
+	silenceLimit time.Duration
 
 	// ctx ends when the group is lost; attempts on it then end too.
 	ctx    context.Context
@@ -67,25 +67,25 @@
 	// last is when any of them last brought one.
 	last time.Time
 	// told is how many of tellAt this silence has passed.
-	told int
+	reportsSent int
 	// heldUntil is set once the group was taken for stalled.
-	heldUntil time.Time
+	suspendedUntil time.Time
 }
 
-func newGroupProgress(patience time.Duration) *groupProgress {
+func newGroupProgress(silenceLimit time.Duration) *groupProgress {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	return &groupProgress{patience: patience, ctx: ctx, cancel: cancel}
+	return &groupProgress{silenceLimit: silenceLimit, ctx: ctx, cancel: cancel}
 }
 
 // patienceWith returns how long the streams of a model may bring nothing.
-func patienceWith(c *blackboard.Configuration, model string) time.Duration {
+func silenceLimitFor(c *blackboard.Configuration, model string) time.Duration {
 	e := c.Services[c.Groups[model].Pool].Engine
 	if e == nil {
-		return stallAfter
+		return defaultSilenceLimit
 	}
 	pass := e.LongestPass(model)
 	if pass == 0 {
-		return stallAfter
+		return defaultSilenceLimit
 	}
 	return pass + time.Duration(stallMargin*float64(pass))
 }
@@ -98,7 +98,7 @@
 		p.begun++
 	}
 	p.last = now
-	p.told = 0
+	p.reportsSent = 0
 }
 
 // ended notes the end of a stream that had begun.
@@ -111,36 +111,36 @@
 // lost tells whether this entry should give the group up by itself: several of
 // its streams are silent, or one for longer than a lost packet takes to come
 // again. The leader, which hears all entries, is mostly quicker.
-func (p *groupProgress) lost(quiet time.Duration) bool {
+func (p *groupProgress) isLost(silence time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.begun >= severalStreams {
-		return quiet > p.patience
+	if p.begun >= silentStreamsForLoss {
+		return silence > p.silenceLimit
 	}
-	return quiet > p.patience+lossAllowance
+	return silence > p.silenceLimit+packetLossAllowance
 }
 
 // due tells whether the leader should hear of a silence, which is when it
 // begins to count, and again when it has lasted.
-func (p *groupProgress) due(quiet time.Duration) bool {
+func (p *groupProgress) isReportDue(silence time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	passed := 0
-	for _, at := range []time.Duration{p.patience, tellAgain, tellLast} {
-		if quiet > at {
+	for _, at := range []time.Duration{p.silenceLimit, secondReportAfter, lastReportAfter} {
+		if silence > at {
 			passed++
 		}
 	}
-	if passed <= p.told {
+	if passed <= p.reportsSent {
 		return false
 	}
-	p.told = passed
+	p.reportsSent = passed
 	return true
 }
 
 // silent returns for how long all begun streams have brought nothing, 0 if
 // there are none.
-func (p *groupProgress) silent(now time.Time) time.Duration {
+func (p *groupProgress) silentFor(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.begun == 0 {
@@ -149,28 +149,28 @@
 	return now.Sub(p.last)
 }
 
-func (p *groupProgress) hold(until time.Time) {
+func (p *groupProgress) suspendUntil(until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heldUntil = until
+	p.suspendedUntil = until
 }
 
-func (p *groupProgress) held(now time.Time) bool {
+func (p *groupProgress) isSuspended(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Before(p.heldUntil)
+	return now.Before(p.suspendedUntil)
 }
 
 // progressOf holds the progress of all groups that this entry sends to. It is
 // used by the routes' loop alone.
-type progressOf map[groupEpoch]*groupProgress
+type progressByEpoch map[groupEpoch]*groupProgress
 
 // of returns the progress of a group's epoch, a new one if there is none or the
 // last was given up and its time is over.
-func (all progressOf) of(now time.Time, k groupEpoch, patience time.Duration) *groupProgress {
+func (all progressByEpoch) getOrAdd(now time.Time, k groupEpoch, silenceLimit time.Duration) *groupProgress {
 	p := all[k]
-	if p == nil || (p.ctx.Err() != nil && !p.held(now)) {
-		p = newGroupProgress(patience)
+	if p == nil || (p.ctx.Err() != nil && !p.isSuspended(now)) {
+		p = newGroupProgress(silenceLimit)
 		all[k] = p
 	}
 	return p
@@ -178,7 +178,7 @@
 
 // follow ends the attempts on groups that are out of service for good. A group
 // that drains finishes what it has.
-func (all progressOf) follow(b *blackboard.Board) {
+func (all progressByEpoch) update(b *blackboard.Board) {
 	for k, p := range all {
 		g, known := b.Groups[k.group]
 		if known && g.Epoch == k.epoch && (g.State == blackboard.Serving || g.State == blackboard.Draining) {
@@ -194,35 +194,35 @@
 func (s *Server) checkProgress(now time.Time) {
 	var silent []*noderpc.SuspectGroup
 	for k, p := range s.progress {
-		quiet := p.silent(now)
-		if quiet <= p.patience {
+		silence := p.silentFor(now)
+		if silence <= p.silenceLimit {
 			continue
 		}
-		if p.due(quiet) {
-			silent = append(silent, &noderpc.SuspectGroup{Group: k.group, Epoch: k.epoch, SilentMs: quiet.Milliseconds()})
+		if p.isReportDue(silence) {
+			silent = append(silent, &noderpc.SuspectGroup{Group: k.group, Epoch: k.epoch, SilentMs: silence.Milliseconds()})
 		}
-		if p.ctx.Err() == nil && p.lost(quiet) {
-			s.giveUpGroup(now, k, p, quiet)
+		if p.ctx.Err() == nil && p.isLost(silence) {
+			s.suspendGroup(now, k, p, silence)
 		}
 	}
 	if len(silent) > 0 && s.o.Suspects != nil {
-		go s.suspectGroups(silent)
+		go s.reportStalls(silent)
 	}
 }
 
 // giveUpGroup ends this entry's attempts on a group and sends it nothing more for
 // a while.
-func (s *Server) giveUpGroup(now time.Time, k groupEpoch, p *groupProgress, quiet time.Duration) {
-	p.hold(now.Add(stallHold))
+func (s *Server) suspendGroup(now time.Time, k groupEpoch, p *groupProgress, silence time.Duration) {
+	p.suspendUntil(now.Add(stallSuspension))
 	p.cancel(errGroupLost)
-	_ = level.Info(s.o.Logger).Log("event", "group_stalled", "group", k.group, "epoch", k.epoch, "silent_ms", quiet.Milliseconds())
+	_ = level.Info(s.o.Logger).Log("event", "group_stalled", "group", k.group, "epoch", k.epoch, "silent_ms", silence.Milliseconds())
 	s.updateRoutes()
 }
 
 // suspectGroups tells the leader once; if the call is lost, the leader finds
 // the member's silence, only later.
-func (s *Server) suspectGroups(groups []*noderpc.SuspectGroup) {
-	ctx, cancel := context.WithTimeout(context.Background(), suspectTimeout)
+func (s *Server) reportStalls(groups []*noderpc.SuspectGroup) {
+	ctx, cancel := context.WithTimeout(context.Background(), stallReportTimeout)
 	defer cancel()
 	err := s.o.Suspects.Suspect(ctx, &noderpc.SuspectRequest{
 		ClusterId: s.o.Follower.Board().ClusterID, EntryId: s.o.ID, Groups: groups,
--- a/internal/entry/progress_test.go
+++ b/internal/entry/group_progress_test.go
@@ -14,31 +14,31 @@
 // group that nobody uses is not stalled.
 func TestAGroupIsSilentWhenAllItsStreamsAre(t *testing.T) {
 	at := time.Unix(0, 0)
-	p := newGroupProgress(stallAfter)
-	assert.Equal(t, p.silent(at.Add(time.Hour)), time.Duration(0))
+	p := newGroupProgress(defaultSilenceLimit)
+	assert.Equal(t, p.silentFor(at.Add(time.Hour)), time.Duration(0))
 	p.event(at, true)
 	p.event(at.Add(100*time.Millisecond), true)
-	assert.Equal(t, p.silent(at.Add(500*time.Millisecond)), 400*time.Millisecond)
+	assert.Equal(t, p.silentFor(at.Add(500*time.Millisecond)), 400*time.Millisecond)
 	p.event(at.Add(500*time.Millisecond), false)
-	assert.Equal(t, p.silent(at.Add(600*time.Millisecond)), 100*time.Millisecond)
+	assert.Equal(t, p.silentFor(at.Add(600*time.Millisecond)), 100*time.Millisecond)
 	p.ended()
 	p.ended()
-	assert.Equal(t, p.silent(at.Add(time.Hour)), time.Duration(0))
+	assert.Equal(t, p.silentFor(at.Add(time.Hour)), time.Duration(0))
 }
 
 // The leader breaks a group. Attempts on it must end at once, so that their
 // streams go on elsewhere; those of a group that drains must not.
 func TestAttemptsEndWithTheirGroup(t *testing.T) {
 	at := time.Unix(0, 0)
-	all := make(progressOf)
+	all := make(progressByEpoch)
 	groups := map[string]blackboard.Group{}
 	for _, state := range []blackboard.GroupState{blackboard.Serving, blackboard.Draining, blackboard.Broken, blackboard.Released} {
-		all.of(at, groupEpoch{string(state), 1}, stallAfter)
+		all.getOrAdd(at, groupEpoch{string(state), 1}, defaultSilenceLimit)
 		groups[string(state)] = blackboard.Group{ID: string(state), Epoch: 1, State: state}
 	}
-	replaced := all.of(at, groupEpoch{"replaced", 1}, stallAfter)
+	replaced := all.getOrAdd(at, groupEpoch{"replaced", 1}, defaultSilenceLimit)
 	groups["replaced"] = blackboard.Group{ID: "replaced", Epoch: 2, State: blackboard.Serving}
-	all.follow(&blackboard.Board{Groups: groups})
+	all.update(&blackboard.Board{Groups: groups})
 	assert.Equal(t, len(all), 2)
 	assert.NilError(t, all[groupEpoch{"serving", 1}].ctx.Err())
 	assert.NilError(t, all[groupEpoch{"draining", 1}].ctx.Err())
@@ -48,13 +48,13 @@
 // A group that was given up wrongly gets new work again after a while.
 func TestAGroupGivenUpWronglyComesBack(t *testing.T) {
 	at := time.Unix(0, 0)
-	all := make(progressOf)
+	all := make(progressByEpoch)
 	k := groupEpoch{"g", 1}
-	first := all.of(at, k, stallAfter)
-	first.hold(at.Add(stallHold))
+	first := all.getOrAdd(at, k, defaultSilenceLimit)
+	first.suspendUntil(at.Add(stallSuspension))
 	first.cancel(errGroupLost)
-	assert.Assert(t, all.of(at, k, stallAfter) == first)
-	second := all.of(at.Add(stallHold), k, stallAfter)
+	assert.Assert(t, all.getOrAdd(at, k, defaultSilenceLimit) == first)
+	second := all.getOrAdd(at.Add(stallSuspension), k, defaultSilenceLimit)
 	assert.Assert(t, second != first)
 	assert.NilError(t, second.ctx.Err())
 }
@@ -69,10 +69,10 @@
 			Models: []blackboard.ModelSpec{{Name: "slow", Pace: 1}, {Name: "fast", Pace: 0.6}},
 		}}, "q": {Engine: &blackboard.EngineSpec{}}},
 	}
-	assert.Equal(t, patienceWith(c, "slow").Round(time.Millisecond), 382*time.Millisecond)
-	assert.Equal(t, patienceWith(c, "fast").Round(time.Millisecond), 229*time.Millisecond)
-	assert.Equal(t, patienceWith(c, "other"), stallAfter)
-	assert.Equal(t, patienceWith(c, "none"), stallAfter)
+	assert.Equal(t, silenceLimitFor(c, "slow").Round(time.Millisecond), 382*time.Millisecond)
+	assert.Equal(t, silenceLimitFor(c, "fast").Round(time.Millisecond), 229*time.Millisecond)
+	assert.Equal(t, silenceLimitFor(c, "other"), defaultSilenceLimit)
+	assert.Equal(t, silenceLimitFor(c, "none"), defaultSilenceLimit)
 }
 
 // A link loses packets: an entry's one stream pauses for longer than a pass. The
@@ -82,13 +82,13 @@
 	at := time.Unix(0, 0)
 	p := newGroupProgress(250 * time.Millisecond)
 	p.event(at, true)
-	assert.Assert(t, p.due(300*time.Millisecond))
-	assert.Assert(t, !p.due(400*time.Millisecond), "told once")
-	assert.Assert(t, !p.lost(400*time.Millisecond))
-	assert.Assert(t, p.lost(700*time.Millisecond))
-	assert.Assert(t, p.due(1100*time.Millisecond), "told again")
+	assert.Assert(t, p.isReportDue(300*time.Millisecond))
+	assert.Assert(t, !p.isReportDue(400*time.Millisecond), "told once")
+	assert.Assert(t, !p.isLost(400*time.Millisecond))
+	assert.Assert(t, p.isLost(700*time.Millisecond))
+	assert.Assert(t, p.isReportDue(1100*time.Millisecond), "told again")
 	p.event(at, true)
 	p.event(at, true)
-	assert.Assert(t, p.lost(300*time.Millisecond))
-	assert.Assert(t, p.due(300*time.Millisecond), "a new silence")
+	assert.Assert(t, p.isLost(300*time.Millisecond))
+	assert.Assert(t, p.isReportDue(300*time.Millisecond), "a new silence")
 }
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -74,7 +74,7 @@
 	// the leader has concluded.
 	byBoard bool
 	// progress is this entry's own view of the groups.
-	progress progressOf
+	progress progressByEpoch
 	// held says that a group gets nothing for a while by this entry's own view, or that one
 	// is open for a moment more.
 	held bool
@@ -119,7 +119,7 @@
 		awaited: make(map[string]bool), byBoard: s.o.Settings.Deaf, progress: s.progress, evacuated: make(map[string]bool),
 		regions: s.o.Regions,
 	}
-	s.progress.follow(r.board)
+	s.progress.update(r.board)
 	s.o.Hearing.With(func(t *evidence.Table) {
 		for id := range r.board.Groups {
 			r.addGroup(t, id)
@@ -151,8 +151,8 @@
 	if r.quarantined(g.Model, id) {
 		return
 	}
-	progress := r.progress.of(r.now, groupEpoch{g.ID, g.Epoch}, patienceWith(&r.board.Config, g.Model))
-	if progress.held(r.now) {
+	progress := r.progress.getOrAdd(r.now, groupEpoch{g.ID, g.Epoch}, silenceLimitFor(&r.board.Config, g.Model))
+	if progress.isSuspended(r.now) {
 		r.held = true
 		r.closed[id] = "its streams make no progress"
 		return
--- a/internal/entry/routes_test.go
+++ b/internal/entry/routes_test.go
@@ -21,7 +21,7 @@
 	assert.Equal(t, len(s.open), 2)
 
 	k := groupEpoch{"wide-0", 1}
-	s.progress[k].hold(time.Now().Add(30 * time.Millisecond))
+	s.progress[k].suspendUntil(time.Now().Add(30 * time.Millisecond))
 	s.updateRoutes()
 	assert.Equal(t, len(s.open), 1)
 	for len(s.open) == 1 {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -89,7 +89,7 @@
 	// open are the routes of the last look, for the log alone.
 	open map[string]route
 	// progress is used by the routes' loop alone.
-	progress progressOf
+	progress progressByEpoch
 	// work counts the running jobs, for a graceful stop. It grows only under
 	// the gate, and not once draining is set.
 	work sync.WaitGroup
@@ -143,7 +143,7 @@
 		holders:       newHolders(),
 		boardChanged:  make(chan struct{}, 1),
 		open:          make(map[string]route),
-		progress:      make(progressOf),
+		progress:      make(progressByEpoch),
 		waitEstimates: newWaitEstimates(time.Now().Add(time.Duration(h.Sum64() % uint64(waitReportInterval)))),
 		rateLimits:    newRateLimits(),
 		evacuations:   make(evacuations),
