--- a/internal/entry/cold.go
+++ b/internal/entry/cold_limits.go
@@ -11,16 +11,16 @@
 
 // followCold limits the requests to the backend servers that a board marks as cold, and ends
 // the limits of those that it no longer does.
-func (s *Server) followCold(b *blackboard.Board) {
+func (s *Server) updateColdLimits(b *blackboard.Board) {
 	limits := s.coldLimits(b)
 	for incarnation := range s.cold {
 		if _, cold := limits[incarnation]; !cold {
-			s.limitCold(incarnation, nil)
+			s.setColdLimit(incarnation, nil)
 		}
 	}
 	for incarnation, limit := range limits {
 		if s.cold[incarnation] != limit {
-			s.limitCold(incarnation, &limit)
+			s.setColdLimit(incarnation, &limit)
 		}
 	}
 	s.cold = limits
@@ -44,8 +44,8 @@
 }
 
 // limitCold puts the limit of a cold backend server in force on this entry; nil ends it.
-func (s *Server) limitCold(incarnation string, limit *placement.RateLimit) {
-	share := s.dispatcher.limitRate(time.Now(), incarnation, placement.Cold, limit)
+func (s *Server) setColdLimit(incarnation string, limit *placement.RateLimit) {
+	share := s.dispatcher.setRateLimit(time.Now(), incarnation, placement.Cold, limit)
 	if limit == nil {
 		_ = level.Info(s.o.Logger).Log("event", "cold_ended", "incarnation", incarnation)
 		return
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -116,7 +116,7 @@
 
 // limitRate puts the rate limit that a backend server has for a cause in force and returns
 // this entry's share of it; nil ends the limit.
-func (d *dispatcher) limitRate(now time.Time, incarnation string, cause placement.Cause, limit *placement.RateLimit) float64 {
+func (d *dispatcher) setRateLimit(now time.Time, incarnation string, cause placement.Cause, limit *placement.RateLimit) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	share := d.picker.LimitRate(now, incarnation, cause, limit)
--- a/internal/entry/evacuation.go
+++ b/internal/entry/evacuation.go
@@ -19,7 +19,7 @@
 const evacuationGrace = 0.4
 
 // follow takes in the evacuations of a board.
-func (e evacuations) follow(now time.Time, b *blackboard.Board) (began, ended []string) {
+func (e evacuations) update(now time.Time, b *blackboard.Board) (began, ended []string) {
 	for dataCentre := range e {
 		if !b.Evacuated(dataCentre) {
 			delete(e, dataCentre)
@@ -47,8 +47,8 @@
 }
 
 // followEvacuations takes in the evacuations of a board and logs what changes.
-func (s *Server) followEvacuations(now time.Time, b *blackboard.Board) {
-	began, ended := s.evacuations.follow(now, b)
+func (s *Server) updateEvacuations(now time.Time, b *blackboard.Board) {
+	began, ended := s.evacuations.update(now, b)
 	for _, dataCentre := range began {
 		_ = level.Info(s.o.Logger).Log("event", "evacuation", "data_centre", dataCentre, "revision", b.Evacuations[dataCentre].Revision)
 	}
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -284,7 +284,7 @@
 	if answer.Load != nil {
 		s.dispatcher.report(time.Now(), g.route.target, s.placementLoad(j, answer.Load))
 	}
-	s.hearForwarded(g.route, answer, began)
+	s.observeForwarded(g.route, answer, began)
 	if out, e, invalid := j.checkAnswer(s.memory, answer); invalid {
 		return out, e
 	}
--- a/internal/entry/rate_limits.go
+++ b/internal/entry/rate_limits.go
@@ -22,7 +22,7 @@
 	// board are the limits on the board that was last followed.
 	board map[string]blackboard.RateLimit
 	// toldAt is when this entry last wrote of a backend server to the board.
-	toldAt map[string]time.Time
+	reportedAt map[string]time.Time
 }
 
 // rateLimit is what this entry goes by for one backend server.
@@ -31,9 +31,9 @@
 	// one that has ceased to name a limit, until the board says so too.
 	perSecond *float64
 	// at is when the entry learned it.
-	at time.Time
+	learnedAt time.Time
 	// heard says that an answer to this entry told it, and not the board.
-	heard bool
+	fromAnswer bool
 }
 
 // value is the limit for the log; 0 for none.
@@ -62,13 +62,13 @@
 const (
 	// confirmEvery is how often the board hears of a limit that stays. The leader ends
 	// those that nobody confirms.
-	confirmEvery = 10 * time.Second
+	limitConfirmInterval = 10 * time.Second
 	// tellLimitAgain is the time between two words to the board about one backend server.
-	tellLimitAgain = time.Second
+	limitReportInterval = time.Second
 )
 
 func newRateLimits() *rateLimits {
-	return &rateLimits{known: make(map[string]rateLimit), toldAt: make(map[string]time.Time)}
+	return &rateLimits{known: make(map[string]rateLimit), reportedAt: make(map[string]time.Time)}
 }
 
 // hear takes in what the answer to a request says, which was sent at a time; nil is no
@@ -76,17 +76,17 @@
 //
 // Answers overtake each other, so one without a limit ends only a limit that was learned
 // before its request was sent.
-func (l *rateLimits) hear(now, sent time.Time, incarnation string, limit *float64) (limitChange, bool) {
+func (l *rateLimits) observe(now, sent time.Time, incarnation string, limit *float64) (limitChange, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before, known := l.known[incarnation]
 	change := limitChange{incarnation: incarnation, perSecond: limit, before: before.perSecond}
 	switch {
 	case limit != nil:
-		l.known[incarnation] = rateLimit{perSecond: limit, at: now, heard: true}
+		l.known[incarnation] = rateLimit{perSecond: limit, learnedAt: now, fromAnswer: true}
 		return change, before.perSecond == nil || *before.perSecond != *limit
-	case known && before.perSecond != nil && sent.After(before.at):
-		l.known[incarnation] = rateLimit{at: now, heard: true}
+	case known && before.perSecond != nil && sent.After(before.learnedAt):
+		l.known[incarnation] = rateLimit{learnedAt: now, fromAnswer: true}
 		return change, true
 	}
 	return change, false
@@ -94,7 +94,7 @@
 
 // follow takes in the limits of a board and returns what they change. A row that has not
 // changed says nothing: what this entry has heard since is newer.
-func (l *rateLimits) follow(now time.Time, board map[string]blackboard.RateLimit) []limitChange {
+func (l *rateLimits) applyBoard(now time.Time, board map[string]blackboard.RateLimit) []limitChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var changes []limitChange
@@ -104,7 +104,7 @@
 		}
 		before := l.known[incarnation]
 		delete(l.known, incarnation)
-		delete(l.toldAt, incarnation)
+		delete(l.reportedAt, incarnation)
 		if before.perSecond != nil {
 			changes = append(changes, limitChange{incarnation: incarnation, before: before.perSecond})
 		}
@@ -118,7 +118,7 @@
 			continue
 		}
 		perSecond := row.PerSecond
-		l.known[incarnation] = rateLimit{perSecond: &perSecond, at: now}
+		l.known[incarnation] = rateLimit{perSecond: &perSecond, learnedAt: now}
 		changes = append(changes, limitChange{incarnation: incarnation, perSecond: &perSecond, before: before.perSecond})
 	}
 	l.board = board
@@ -126,36 +126,36 @@
 }
 
 // due returns the limits that the board should hold and does not.
-func (l *rateLimits) due(now time.Time) []blackboard.NoteRateLimit {
+func (l *rateLimits) dueReports(now time.Time) []blackboard.NoteRateLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var notes []blackboard.NoteRateLimit
 	for incarnation, limit := range l.known {
-		if !limit.heard || now.Sub(l.toldAt[incarnation]) < tellLimitAgain {
+		if !limit.fromAnswer || now.Sub(l.reportedAt[incarnation]) < limitReportInterval {
 			continue
 		}
 		row, onBoard := l.board[incarnation]
 		switch {
 		case limit.perSecond == nil && !onBoard:
 			delete(l.known, incarnation)
-			delete(l.toldAt, incarnation)
+			delete(l.reportedAt, incarnation)
 			continue
 		case limit.perSecond == nil:
-		case onBoard && row.Near(*limit.perSecond) && limit.at.UnixMilli()-row.HeardMillis < confirmEvery.Milliseconds():
+		case onBoard && row.Near(*limit.perSecond) && limit.learnedAt.UnixMilli()-row.HeardMillis < limitConfirmInterval.Milliseconds():
 			continue
 		}
 		note := blackboard.NoteRateLimit{Incarnation: incarnation}
 		if limit.perSecond != nil {
-			note.Limit = &blackboard.RateLimit{PerSecond: *limit.perSecond, HeardMillis: limit.at.UnixMilli()}
+			note.Limit = &blackboard.RateLimit{PerSecond: *limit.perSecond, HeardMillis: limit.learnedAt.UnixMilli()}
 		}
-		l.toldAt[incarnation] = now
+		l.reportedAt[incarnation] = now
 		notes = append(notes, note)
 	}
 	return notes
 }
 
 // limits tells whether a backend server limits its rate.
-func (l *rateLimits) limits(incarnation string) bool {
+func (l *rateLimits) isLimited(incarnation string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.known[incarnation].perSecond != nil
@@ -176,40 +176,40 @@
 
 // hearForwarded takes in what the answer to a forwarded request says of its backend
 // server's rate limit. One that proves nothing may lack the limit for any reason.
-func (s *Server) hearForwarded(r route, a *backend.ForwardAnswer, sent time.Time) {
+func (s *Server) observeForwarded(r route, a *backend.ForwardAnswer, sent time.Time) {
 	genuine := !a.Foreign && (a.Proven || a.NotRun)
 	if a.OtherServer || (!genuine && a.RateLimit == nil) {
 		return
 	}
-	s.hearRateLimit(r, a.RateLimit, sent)
+	s.observeRateLimit(r, a.RateLimit, sent)
 }
 
 // hearRefused takes in what a failed call says of its backend server's rate limit.
-func (s *Server) hearRefused(r route, err error, sent time.Time) {
+func (s *Server) observeRefusal(r route, err error, sent time.Time) {
 	var call *backend.CallError
 	if errors.As(err, &call) && (call.RateLimit != nil || call.Sent == backend.SentRefused) {
-		s.hearRateLimit(r, call.RateLimit, sent)
+		s.observeRateLimit(r, call.RateLimit, sent)
 	}
 }
 
 // hearRateLimit takes in the rate limit in the answer to a request, which was sent at a
 // time; nil is none.
-func (s *Server) hearRateLimit(r route, limit *float64, sent time.Time) {
-	if change, ok := s.rateLimits.hear(time.Now(), sent, r.incarnation, limit); ok {
-		s.limitRate(change, "answer")
+func (s *Server) observeRateLimit(r route, limit *float64, sent time.Time) {
+	if change, ok := s.rateLimits.observe(time.Now(), sent, r.incarnation, limit); ok {
+		s.applyRateLimit(change, "answer")
 	}
 }
 
 // followRateLimits takes in the limits of a board.
-func (s *Server) followRateLimits(b *blackboard.Board) {
-	for _, change := range s.rateLimits.follow(time.Now(), b.RateLimits) {
-		s.limitRate(change, "board")
+func (s *Server) updateRateLimits(b *blackboard.Board) {
+	for _, change := range s.rateLimits.applyBoard(time.Now(), b.RateLimits) {
+		s.applyRateLimit(change, "board")
 	}
 }
 
 // limitRate puts a changed limit in force on this entry.
-func (s *Server) limitRate(c limitChange, source string) {
-	share := s.dispatcher.limitRate(time.Now(), c.incarnation, placement.Named, c.limit())
+func (s *Server) applyRateLimit(c limitChange, source string) {
+	share := s.dispatcher.setRateLimit(time.Now(), c.incarnation, placement.Named, c.limit())
 	event := "rate_limit_ended"
 	if c.perSecond != nil {
 		event = "rate_limit_named"
@@ -219,11 +219,11 @@
 }
 
 // tellRateLimits writes to the board what this entry has heard and the board lacks.
-func (s *Server) tellRateLimits(ctx context.Context, now time.Time) {
+func (s *Server) reportRateLimits(ctx context.Context, now time.Time) {
 	if s.o.Control == nil {
 		return
 	}
-	for _, note := range s.rateLimits.due(now) {
+	for _, note := range s.rateLimits.dueReports(now) {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, boardTimeout)
 			defer cancel()
--- a/internal/entry/rate_limits_test.go
+++ b/internal/entry/rate_limits_test.go
@@ -20,7 +20,7 @@
 	return func(n int) time.Time { return start.Add(time.Duration(n) * time.Second) }
 }
 
-func limits(perSecond float64, heard time.Time) map[string]blackboard.RateLimit {
+func boardLimits(perSecond float64, heard time.Time) map[string]blackboard.RateLimit {
 	return map[string]blackboard.RateLimit{"i": {PerSecond: perSecond, HeardMillis: heard.UnixMilli()}}
 }
 
@@ -28,34 +28,34 @@
 func TestAnEarlierRequestDoesNotEndARateLimit(t *testing.T) {
 	l, named, second := newRateLimits(), 1.8, limitTimes()
 
-	_, changed := l.hear(second(2), second(1), "i", &named)
+	_, changed := l.observe(second(2), second(1), "i", &named)
 	assert.Assert(t, changed)
-	_, changed = l.hear(second(3), second(1), "i", &named)
+	_, changed = l.observe(second(3), second(1), "i", &named)
 	assert.Assert(t, !changed)
-	_, changed = l.hear(second(4), second(2), "i", nil)
+	_, changed = l.observe(second(4), second(2), "i", nil)
 	assert.Assert(t, !changed)
 	assert.Equal(t, l.count(), 1)
 
-	_, changed = l.hear(second(6), second(5), "i", nil)
+	_, changed = l.observe(second(6), second(5), "i", nil)
 	assert.Assert(t, changed)
-	assert.Assert(t, !l.limits("i"))
+	assert.Assert(t, !l.isLimited("i"))
 }
 
 // Guards against entries that do not know what a backend server has told another one.
 func TestARateLimitIsTakenFromTheBoard(t *testing.T) {
 	l, second := newRateLimits(), limitTimes()
 
-	changes := l.follow(second(1), limits(2, second(0)))
+	changes := l.applyBoard(second(1), boardLimits(2, second(0)))
 	assert.Equal(t, len(changes), 1)
 	assert.Equal(t, *changes[0].perSecond, 2.0)
-	assert.Assert(t, l.limits("i"))
-	assert.Equal(t, len(l.follow(second(2), limits(2, second(1)))), 0)
-	assert.Equal(t, len(l.due(second(30))), 0, "only what was heard here is told")
+	assert.Assert(t, l.isLimited("i"))
+	assert.Equal(t, len(l.applyBoard(second(2), boardLimits(2, second(1)))), 0)
+	assert.Equal(t, len(l.dueReports(second(30))), 0, "only what was heard here is told")
 
-	changes = l.follow(second(31), nil)
+	changes = l.applyBoard(second(31), nil)
 	assert.Equal(t, len(changes), 1)
 	assert.Assert(t, changes[0].perSecond == nil)
-	assert.Assert(t, !l.limits("i"))
+	assert.Assert(t, !l.isLimited("i"))
 }
 
 // Guards against a limit that the board lacks because one word to it was lost, and against a
@@ -63,27 +63,27 @@
 func TestTheBoardHearsOfARateLimitUntilItHoldsIt(t *testing.T) {
 	l, named, second := newRateLimits(), 2.0, limitTimes()
 
-	l.hear(second(1), second(0), "i", &named)
-	notes := l.due(second(1))
+	l.observe(second(1), second(0), "i", &named)
+	notes := l.dueReports(second(1))
 	assert.Equal(t, len(notes), 1)
 	assert.Equal(t, notes[0].Limit.PerSecond, 2.0)
-	assert.Equal(t, len(l.due(second(1))), 0)
-	assert.Equal(t, len(l.due(second(3))), 1, "the first word was lost")
+	assert.Equal(t, len(l.dueReports(second(1))), 0)
+	assert.Equal(t, len(l.dueReports(second(3))), 1, "the first word was lost")
 
-	l.follow(second(3), limits(2, second(1)))
-	assert.Equal(t, len(l.due(second(5))), 0)
+	l.applyBoard(second(3), boardLimits(2, second(1)))
+	assert.Equal(t, len(l.dueReports(second(5))), 0)
 	near := 2.1
-	l.hear(second(6), second(5), "i", &near)
-	assert.Equal(t, len(l.due(second(7))), 0, "nearly the same")
-	l.hear(second(13), second(12), "i", &named)
-	assert.Equal(t, len(l.due(second(13))), 1, "the limit is confirmed")
+	l.observe(second(6), second(5), "i", &near)
+	assert.Equal(t, len(l.dueReports(second(7))), 0, "nearly the same")
+	l.observe(second(13), second(12), "i", &named)
+	assert.Equal(t, len(l.dueReports(second(13))), 1, "the limit is confirmed")
 
-	l.hear(second(15), second(14), "i", nil)
-	notes = l.due(second(15))
+	l.observe(second(15), second(14), "i", nil)
+	notes = l.dueReports(second(15))
 	assert.Equal(t, len(notes), 1)
 	assert.Assert(t, notes[0].Limit == nil)
-	l.follow(second(16), nil)
-	assert.Equal(t, len(l.due(second(17))), 0)
+	l.applyBoard(second(16), nil)
+	assert.Equal(t, len(l.dueReports(second(17))), 0)
 }
 
 // limitingClient answers calls and refuses generations, and names a rate limit in both.
@@ -109,7 +109,7 @@
 
 	out, _ := s.call(j, grant{route: route{incarnation: "i-a"}})
 	assert.Equal(t, out, outcomeComplete)
-	assert.Assert(t, s.rateLimits.limits("i-a"))
+	assert.Assert(t, s.rateLimits.isLimited("i-a"))
 
 	w := newWatchdog(j.ctx, patience{header: time.Minute})
 	defer w.stop()
@@ -117,7 +117,7 @@
 	out, _ = s.stream(w, j, grant{route: route{incarnation: "i-b"}}, &result, began)
 	assert.Equal(t, out, outcomeNotStarted)
 	assert.Equal(t, result.RetryAfter, time.Second)
-	assert.Assert(t, s.rateLimits.limits("i-b"))
+	assert.Assert(t, s.rateLimits.isLimited("i-b"))
 }
 
 // Guards against a request that waits for a place which opens right before its deadline.
@@ -125,7 +125,7 @@
 	s, limit := routed(t, &scripted{}), placement.NamedLimit(0.5)
 	now := time.Now()
 	for _, incarnation := range []string{"i-a", "i-b", "i-c"} {
-		s.dispatcher.limitRate(now, incarnation, placement.Named, &limit)
+		s.dispatcher.setRateLimit(now, incarnation, placement.Named, &limit)
 	}
 	for _, target := range []string{"a", "b", "c"} {
 		s.dispatcher.noteIsolated(now, target)
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -52,7 +52,7 @@
 			now := time.Now()
 			s.checkProgress(now)
 			s.reportCallers(ctx, now)
-			s.tellRateLimits(ctx, now)
+			s.reportRateLimits(ctx, now)
 			s.dispatcher.tick(now)
 		case <-ctx.Done():
 			return
@@ -128,13 +128,13 @@
 			r.addService(t, id)
 		}
 	})
-	s.followEvacuations(r.now, r.board)
+	s.updateEvacuations(r.now, r.board)
 	emptied := r.evacuate(r.now, s.evacuations, time.Duration(s.o.Settings.EvacuateMillis)*time.Millisecond)
 	s.routedBy, s.routesHeld = r.board, r.held
 	s.logRouteChanges(r)
 	s.dispatcher.setEntries(callersEntries(r.board))
-	s.followRateLimits(r.board)
-	s.followCold(r.board)
+	s.updateRateLimits(r.board)
+	s.updateColdLimits(r.board)
 	s.dispatcher.setEvacuated(emptied)
 	s.dispatcher.setRoutes(r.now, r.routes, r.targets, r.awaited)
 	for id, l := range r.loads {
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -74,7 +74,7 @@
 			g.end()
 			return afterAttempts(true, failure.New(failure.TypeOutcomeUnknown, "the request may have run and may not run again"))
 		}
-		if s.rateLimits.limits(g.route.incarnation) {
+		if s.rateLimits.isLimited(g.route.incarnation) {
 			s.o.Metrics.RateLimitedAttempt()
 		}
 		out, e := attempt(j, g)
@@ -295,12 +295,12 @@
 func (s *Server) stream(w *watchdog, j *job, g grant, result *placement.Result, began time.Time) (outcome, *failure.Error) {
 	stream, err := s.o.Client.Generate(w.ctx, g.route.address, s.generation(j, g))
 	if err != nil {
-		s.hearRefused(g.route, err, began)
+		s.observeRefusal(g.route, err, began)
 		result.RetryAfter = retryAfterOf(err)
 		return s.classifyCallError(j, w, err)
 	}
 	defer func() { _ = stream.Close() }()
-	s.hearRateLimit(g.route, stream.RateLimit(), began)
+	s.observeRateLimit(g.route, stream.RateLimit(), began)
 	w.headerSeen()
 	first := true
 	for {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -155,11 +155,11 @@
 	began := time.Now()
 	answer, err := s.o.Client.Call(j.ctx, g.route.address, sc.call)
 	if err != nil {
-		s.hearRefused(g.route, err, began)
+		s.observeRefusal(g.route, err, began)
 		return s.classifyServiceError(j, err)
 	}
 	defer func() { _ = answer.Body.Close() }()
-	s.hearRateLimit(g.route, answer.RateLimit, began)
+	s.observeRateLimit(g.route, answer.RateLimit, began)
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxServiceAnswer+1))
 	if err != nil {
 		return s.classifyServiceError(j, err)
