--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -278,7 +278,7 @@
 	}
 	for {
 		r, expired, ok := d.queue.Next(now, func(r admission.Request) bool {
-			return d.gateOf(r.Model).Room(now) && d.picker.HasRoom(now, d.waiting[r.ID].job.placed(r.Reserve))
+			return d.gateOf(r.Model).Room(now) && d.picker.HasRoom(now, d.waiting[r.ID].job.placementRequest(r.Reserve))
 		})
 		d.refuseEvicted(expired)
 		if !ok {
@@ -302,7 +302,7 @@
 
 // choose picks the target of the job's next attempt. The lock is held.
 func (d *dispatcher) pickTarget(now time.Time, j *job) (grant, bool) {
-	c, ok := d.picker.Pick(now, j.placed(j.reserve))
+	c, ok := d.picker.Pick(now, j.placementRequest(j.reserve))
 	if !ok {
 		return grant{}, false
 	}
@@ -340,7 +340,7 @@
 		d.mu.Lock()
 		now := time.Now()
 		g, ok := d.pickTarget(now, j)
-		opensAt, isTemporary, throttled := d.picker.Throttled(now, j.placed(j.reserve))
+		opensAt, isTemporary, throttled := d.picker.Throttled(now, j.placementRequest(j.reserve))
 		changed := d.changed
 		d.mu.Unlock()
 		if ok {
@@ -382,7 +382,7 @@
 	now := time.Now()
 	best, found := route{}, false
 	for _, r := range d.routes {
-		if r.pool != pool || !within(homes, r.region) || d.picker.Shut(now, r.target) {
+		if r.pool != pool || !allowsRegion(homes, r.region) || d.picker.Shut(now, r.target) {
 			continue
 		}
 		if !found || r.requestCount < best.requestCount || (r.requestCount == best.requestCount && r.target < best.target) {
--- a/internal/entry/evacuation.go
+++ b/internal/entry/evacuation.go
@@ -62,7 +62,7 @@
 // A model or a service that has targets there alone keeps them for a moment, in which the
 // leader forms groups elsewhere: its callers would be refused until then. The pools that have
 // no target left are returned.
-func (r *routing) evacuate(now time.Time, e evacuations, limit time.Duration) (emptied map[string]bool) {
+func (r *routeUpdate) evacuate(now time.Time, e evacuations, limit time.Duration) (emptied map[string]bool) {
 	if len(r.evacuated) == 0 {
 		return nil
 	}
@@ -79,7 +79,7 @@
 		switch {
 		case !r.evacuated[t.ID]:
 		case open && !served[t.Model]:
-			r.held = true
+			r.changesWithTime = true
 		default:
 			delete(r.routes, t.ID)
 			emptied[t.Model] = !served[t.Model]
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -52,7 +52,7 @@
 	}
 
 	evacuate(s, spread(s))
-	assert.Equal(t, len(s.open), 3)
+	assert.Equal(t, len(s.loggedRoutes), 3)
 }
 
 // Guards against callers that are refused before another data centre can serve, and against
@@ -61,8 +61,8 @@
 	s := routed(t, &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answering(200, "x", false)}})
 	s.o.Settings.EvacuateMillis = 500
 	evacuate(s, spread(s), "dc-a", "dc-b", "dc-c")
-	assert.Equal(t, len(s.open), 3)
-	assert.Assert(t, !s.routesStand(), "they close with time alone")
+	assert.Equal(t, len(s.loggedRoutes), 3)
+	assert.Assert(t, !s.areRoutesCurrent(), "they close with time alone")
 	_, e, _ := send(s, Forwarded{Path: "/many/x"})
 	assert.Assert(t, e == nil)
 
@@ -70,7 +70,7 @@
 		s.evacuations[dataCentre] = time.Now().Add(-time.Second)
 	}
 	s.updateRoutes()
-	assert.Equal(t, len(s.open), 0)
+	assert.Equal(t, len(s.loggedRoutes), 0)
 	began := time.Now()
 	_, e, _ = send(s, Forwarded{Path: "/many/x"})
 	assert.Equal(t, e.Type, failure.TypeNoBackendServer)
--- a/internal/entry/homes.go
+++ b/internal/entry/homes.go
@@ -25,7 +25,7 @@
 }
 
 // within tells whether a region is among the homes; nil allows any.
-func within(homes []string, region string) bool {
+func allowsRegion(homes []string, region string) bool {
 	return homes == nil || slices.Contains(homes, region)
 }
 
@@ -53,7 +53,7 @@
 
 // placed is the job as placement sees it. reserve is the part of each target to be left free
 // for greater worth.
-func (j *job) placed(reserve float64) placement.Request {
+func (j *job) placementRequest(reserve float64) placement.Request {
 	return placement.Request{
 		ID: j.id, Model: j.model, Prefix: j.prefix, Tokens: j.tokens(), Reserve: reserve, Homes: j.homes, Exclude: j.tried,
 	}
--- a/internal/entry/homes_test.go
+++ b/internal/entry/homes_test.go
@@ -17,7 +17,7 @@
 	assert.DeepEqual(t, homesOf([]string{"a", "b"}, []string{"b", "c"}), []string{"b"})
 	none := homesOf([]string{"a"}, []string{"b"})
 	assert.Assert(t, none != nil && len(none) == 0)
-	assert.Assert(t, within(nil, "a") && !within(none, "a") && !within([]string{"a"}, ""))
+	assert.Assert(t, allowsRegion(nil, "a") && !allowsRegion(none, "a") && !allowsRegion([]string{"a"}, ""))
 }
 
 // homed is a server before three instances in two of three regions, whose route "many" has
--- a/internal/entry/isolate.go
+++ b/internal/entry/isolate.go
@@ -108,7 +108,7 @@
 // emptyTarget returns a target that this entry keeps in quarantine and that
 // runs nothing. The caller has the turn.
 func (s *Server) emptyTarget(j *job, t *turns, until time.Time) (route, bool) {
-	if t.held != nil && within(j.homes, t.held.region) && s.stillHeld(t) {
+	if t.held != nil && allowsRegion(j.homes, t.held.region) && s.stillHeld(t) {
 		return *t.held, true
 	}
 	t.held = nil
@@ -201,7 +201,7 @@
 		if !ok || report.Load == nil || report.Incarnation != r.incarnation {
 			return
 		}
-		l := load(report)
+		l := reportedLoad(report)
 		empty = l.At.After(known) && l.Running == 0 && l.Queued == 0
 	})
 	return empty
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -46,7 +46,7 @@
 // borrow asks the lenders of this entry's pool for one retry.
 func (s *Server) borrow(j *job) bool {
 	board := s.o.Follower.Board()
-	entries := callersEntries(board)
+	entries := callerFacingEntries(board)
 	pool := admission.Pool(j.retryBudget(), s.o.ID, len(entries))
 	if !s.borrowing.mayAsk(time.Now(), pool) {
 		return false
@@ -108,7 +108,7 @@
 // LendRetry lends one retry to another entry, if this one has any left.
 func (h localHome) LendRetry(_ context.Context, r *noderpc.LendRetryRequest) (*noderpc.LendRetryReply, error) {
 	s := h.s
-	entries := len(callersEntries(s.o.Follower.Board()))
+	entries := len(callerFacingEntries(s.o.Follower.Board()))
 	s.borrowing.mu.Lock()
 	defer s.borrowing.mu.Unlock()
 	lent := s.borrowing.lent.Lend(time.Now(), r.Pool, s.o.Settings.RetrySlack, entries)
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -42,7 +42,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			if !s.routesStand() {
+			if !s.areRoutesCurrent() {
 				s.updateRoutes()
 			}
 			s.reportWaits(ctx, time.Now())
@@ -61,7 +61,7 @@
 }
 
 // routing collects the routable targets of one look at board and evidence.
-type routing struct {
+type routeUpdate struct {
 	now     time.Time
 	board   *blackboard.Board
 	routes  map[string]route
@@ -69,15 +69,15 @@
 	loads   map[string]placement.Load
 	closed  map[string]string
 	// awaited are the pools with a target in quarantine.
-	awaited map[string]bool
+	quarantinedPools map[string]bool
 	// byBoard says that this process hears no announcements and goes by what
 	// the leader has concluded.
-	byBoard bool
+	usesBoardLiveness bool
 	// progress is this entry's own view of the groups.
 	progress progressByEpoch
 	// held says that a group gets nothing for a while by this entry's own view, or that one
 	// is open for a moment more.
-	held bool
+	changesWithTime bool
 	// evacuated are the targets that lie in a data centre that is evacuated.
 	evacuated map[string]bool
 	// regions are those of data centres.
@@ -85,8 +85,8 @@
 }
 
 // routable tells whether a group may get new work.
-func (r *routing) routable(t *evidence.Table, id string) (bool, string) {
-	if !r.byBoard {
+func (r *routeUpdate) routable(t *evidence.Table, id string) (bool, string) {
+	if !r.usesBoardLiveness {
 		return t.Routable(r.now, r.board, id)
 	}
 	g := r.board.Groups[id]
@@ -107,16 +107,16 @@
 //
 // Load: a pool of a hundred groups and an entry with a few requests a second, where a look
 // at all routes ten times a second is half of all that it does (BenchmarkUpdateRoutes).
-func (s *Server) routesStand() bool {
+func (s *Server) areRoutesCurrent() bool {
 	board := s.o.Follower.Board()
-	return s.o.Settings.Deaf && board == s.routedBy && !s.routesHeld && len(board.Quarantines) == 0
+	return s.o.Settings.Deaf && board == s.routesBoard && !s.routesChangeWithTime && len(board.Quarantines) == 0
 }
 
 func (s *Server) updateRoutes() {
-	r := &routing{
+	r := &routeUpdate{
 		now: time.Now(), board: s.o.Follower.Board(),
 		routes: make(map[string]route), loads: make(map[string]placement.Load), closed: make(map[string]string),
-		awaited: make(map[string]bool), byBoard: s.o.Settings.Deaf, progress: s.progress, evacuated: make(map[string]bool),
+		quarantinedPools: make(map[string]bool), usesBoardLiveness: s.o.Settings.Deaf, progress: s.progress, evacuated: make(map[string]bool),
 		regions: s.o.Regions,
 	}
 	s.progress.update(r.board)
@@ -130,30 +130,30 @@
 	})
 	s.updateEvacuations(r.now, r.board)
 	emptied := r.evacuate(r.now, s.evacuations, time.Duration(s.o.Settings.EvacuateMillis)*time.Millisecond)
-	s.routedBy, s.routesHeld = r.board, r.held
+	s.routesBoard, s.routesChangeWithTime = r.board, r.changesWithTime
 	s.logRouteChanges(r)
-	s.dispatcher.setEntries(callersEntries(r.board))
+	s.dispatcher.setEntries(callerFacingEntries(r.board))
 	s.updateRateLimits(r.board)
 	s.updateColdLimits(r.board)
 	s.dispatcher.setEvacuated(emptied)
-	s.dispatcher.setRoutes(r.now, r.routes, r.targets, r.awaited)
+	s.dispatcher.setRoutes(r.now, r.routes, r.targets, r.quarantinedPools)
 	for id, l := range r.loads {
 		s.dispatcher.report(r.now, id, l)
 	}
 }
 
-func (r *routing) addGroup(t *evidence.Table, id string) {
+func (r *routeUpdate) addGroup(t *evidence.Table, id string) {
 	g := r.board.Groups[id]
 	if ok, reason := r.routable(t, id); !ok {
 		r.closed[id] = reason
 		return
 	}
-	if r.quarantined(g.Model, id) {
+	if r.closeIfQuarantined(g.Model, id) {
 		return
 	}
 	progress := r.progress.getOrAdd(r.now, groupEpoch{g.ID, g.Epoch}, silenceLimitFor(&r.board.Config, g.Model))
 	if progress.isSuspended(r.now) {
-		r.held = true
+		r.changesWithTime = true
 		r.closed[id] = "its streams make no progress"
 		return
 	}
@@ -162,7 +162,7 @@
 	capacity := r.capacity(g.Model)
 	if report.Load != nil {
 		capacity = report.Load.Capacity
-		r.loads[id] = load(report)
+		r.loads[id] = reportedLoad(report)
 	}
 	r.routes[id] = route{
 		target:       id,
@@ -191,7 +191,7 @@
 
 // capacity is the work in tokens that a group of the model holds well, by the
 // published figures of its engines; 0 if there are none.
-func (r *routing) capacity(model string) int {
+func (r *routeUpdate) capacity(model string) int {
 	e := r.board.Config.Services[r.board.Config.Groups[model].Pool].Engine
 	if e == nil {
 		return 0
@@ -200,39 +200,39 @@
 }
 
 // busy is how many requests a target reports, running and waiting.
-func (r *routing) requestCount(id string) int { return r.loads[id].Running + r.loads[id].Queued }
+func (r *routeUpdate) requestCount(id string) int { return r.loads[id].Running + r.loads[id].Queued }
 
 // quarantined tells whether a target is kept for a suspect request.
-func (r *routing) quarantined(pool, target string) bool {
+func (r *routeUpdate) closeIfQuarantined(pool, target string) bool {
 	q, ok := r.board.Quarantines[pool]
 	if !ok || q.Target != target || !q.Holds(r.now.UnixMilli()) {
 		return false
 	}
 	r.closed[target] = "kept for a suspect request by " + q.Entry
-	r.awaited[pool] = true
+	r.quarantinedPools[pool] = true
 	return true
 }
 
-func (r *routing) addService(t *evidence.Table, id string) {
+func (r *routeUpdate) addService(t *evidence.Table, id string) {
 	i := r.board.Services[id]
 	report, ok := t.GetService(id)
 	switch {
 	case i.Leaving || report.Leaving:
 		r.closed[id] = "instance is leaving"
 		return
-	case r.byBoard && i.Liveness == blackboard.Dead:
+	case r.usesBoardLiveness && i.Liveness == blackboard.Dead:
 		r.closed[id] = "instance is dead"
 		return
-	case r.byBoard:
+	case r.usesBoardLiveness:
 	case !ok || report.Incarnation != i.Incarnation || r.now.Sub(report.HeardAt) > evidence.RoutableAge:
 		r.closed[id] = "instance has no fresh evidence"
 		return
 	}
-	if r.quarantined(servicePool(i.Service), id) {
+	if r.closeIfQuarantined(servicePool(i.Service), id) {
 		return
 	}
 	if report.Load != nil {
-		r.loads[id] = load(report)
+		r.loads[id] = reportedLoad(report)
 	}
 	r.routes[id] = route{
 		target:       id,
@@ -252,7 +252,7 @@
 	})
 }
 
-func load(r evidence.Report) placement.Load {
+func reportedLoad(r evidence.Report) placement.Load {
 	return placement.Load{
 		Running: r.Load.Running, Queued: r.Load.Queued, TokensInFlight: r.Load.TokensInFlight,
 		TokensPerSecond: r.Load.TokensPerSecond,
@@ -262,18 +262,18 @@
 
 // logRouteChanges writes a line for each target that became routable or
 // ceased to be.
-func (s *Server) logRouteChanges(r *routing) {
+func (s *Server) logRouteChanges(r *routeUpdate) {
 	for id := range r.routes {
-		if _, open := s.open[id]; !open {
+		if _, open := s.loggedRoutes[id]; !open {
 			_ = level.Info(s.o.Logger).Log("event", "target_routable", "target", id, "epoch", r.routes[id].epoch)
 		}
 	}
-	for id := range s.open {
+	for id := range s.loggedRoutes {
 		if _, open := r.routes[id]; !open {
 			_ = level.Info(s.o.Logger).Log("event", "target_closed", "target", id, "reason", r.closed[id])
 		}
 	}
-	s.open = r.routes
+	s.loggedRoutes = r.routes
 }
 
 // cacheEvents passes an engine's hints to placement. Only this entry's own
--- a/internal/entry/routes_test.go
+++ b/internal/entry/routes_test.go
@@ -15,20 +15,20 @@
 // group again.
 func TestRoutesAreLookedAtAnewWhileAnythingEndsWithTime(t *testing.T) {
 	s := deafServer(servingPool(1, 4, 1, 2))
-	assert.Assert(t, !s.routesStand(), "never looked")
+	assert.Assert(t, !s.areRoutesCurrent(), "never looked")
 	s.updateRoutes()
-	assert.Assert(t, s.routesStand())
-	assert.Equal(t, len(s.open), 2)
+	assert.Assert(t, s.areRoutesCurrent())
+	assert.Equal(t, len(s.loggedRoutes), 2)
 
 	k := groupEpoch{"wide-0", 1}
 	s.progress[k].suspendUntil(time.Now().Add(30 * time.Millisecond))
 	s.updateRoutes()
-	assert.Equal(t, len(s.open), 1)
-	for len(s.open) == 1 {
-		assert.Assert(t, !s.routesStand(), "held, and not looked at any more")
+	assert.Equal(t, len(s.loggedRoutes), 1)
+	for len(s.loggedRoutes) == 1 {
+		assert.Assert(t, !s.areRoutesCurrent(), "held, and not looked at any more")
 		s.updateRoutes()
 	}
-	assert.Assert(t, s.routesStand())
+	assert.Assert(t, s.areRoutesCurrent())
 }
 
 // A group is kept for a suspect request until a time that only the quarantine's row
@@ -38,9 +38,9 @@
 	s.updateRoutes()
 	next := *s.o.Follower.Board()
 	s.o.Follower = fixedBoard{board: &next, lease: time.Minute}
-	assert.Assert(t, !s.routesStand(), "another board")
+	assert.Assert(t, !s.areRoutesCurrent(), "another board")
 	s.updateRoutes()
-	assert.Assert(t, s.routesStand())
+	assert.Assert(t, s.areRoutesCurrent())
 	next.Quarantines = map[string]blackboard.Quarantine{"wide": {Pool: "wide", Target: "wide-0", UntilMillis: 1}}
-	assert.Assert(t, !s.routesStand(), "a quarantine ends with time")
+	assert.Assert(t, !s.areRoutesCurrent(), "a quarantine ends with time")
 }
--- a/internal/entry/routing_table.go
+++ b/internal/entry/routing_table.go
@@ -15,11 +15,11 @@
 }
 
 // takeConfiguration puts the board's configuration in force on this entry.
-func (s *Server) takeConfiguration(b *blackboard.Board) {
+func (s *Server) applyConfiguration(b *blackboard.Board) {
 	p := policyOf(b.Config)
 	if b.Config.Version > 0 {
 		p.RetryRatio = s.o.Settings.RetryRatio
-		p.RetryPerSecond = admission.OwnRetries(s.o.Settings.RetrySlack, len(callersEntries(b)))
+		p.RetryPerSecond = admission.OwnRetries(s.o.Settings.RetrySlack, len(callerFacingEntries(b)))
 		s.routing.Store(&routingTable{config: &b.Config, index: blackboard.NewRouteIndex(b.Config.Routes)})
 	}
 	s.dispatcher.setPolicy(p)
@@ -43,7 +43,7 @@
 
 // callersEntries returns the entries that take callers' requests, and so share the limit
 // on retries and the rate limits of backend servers; one without a name if there are none.
-func callersEntries(b *blackboard.Board) []string {
+func callerFacingEntries(b *blackboard.Board) []string {
 	var ids []string
 	for id, e := range b.Entries {
 		if e.Address != "" {
@@ -68,7 +68,7 @@
 )
 
 // rankRoutes gives workspaces and routes the worth of their priorities.
-func rankRoutes(c blackboard.Configuration, p *admission.Policy) {
+func applyPriorities(c blackboard.Configuration, p *admission.Policy) {
 	if c.Version == 0 {
 		return
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -87,7 +87,7 @@
 	// boardChanged wakes the routes' loop.
 	boardChanged chan struct{}
 	// open are the routes of the last look, for the log alone.
-	open map[string]route
+	loggedRoutes map[string]route
 	// progress is used by the routes' loop alone.
 	progress progressByEpoch
 	// work counts the running jobs, for a graceful stop. It grows only under
@@ -104,8 +104,8 @@
 	entryIDs []string
 	// routedBy is the board that the routes were last taken from, and routesHeld says
 	// that a group on it was then held; the routes' loop alone uses them.
-	routedBy   *blackboard.Board
-	routesHeld bool
+	routesBoard          *blackboard.Board
+	routesChangeWithTime bool
 	// policyRevision is the configuration that admission's policy is from.
 	policyRevision uint64
 	// waits is what this entry has learned of how long callers wait.
@@ -142,7 +142,7 @@
 		isolation:     newIsolation(),
 		holders:       newHolders(),
 		boardChanged:  make(chan struct{}, 1),
-		open:          make(map[string]route),
+		loggedRoutes:  make(map[string]route),
 		progress:      make(progressByEpoch),
 		waitEstimates: newWaitEstimates(time.Now().Add(time.Duration(h.Sum64() % uint64(waitReportInterval)))),
 		rateLimits:    newRateLimits(),
@@ -172,7 +172,7 @@
 				"board", b.Revision)
 		}
 		s.policyRevision = b.Config.Revision
-		s.takeConfiguration(b)
+		s.applyConfiguration(b)
 	}
 	if b.Config.Revision > 0 {
 		s.configure.Do(func() { close(s.configured) })
@@ -387,7 +387,7 @@
 	for name := range c.Classes {
 		p.Classes[name] = admission.ClassPolicy{Worth: float64(c.ClassWorth(name))}
 	}
-	rankRoutes(c, &p)
+	applyPriorities(c, &p)
 	return p
 }
 
