--- a/internal/entry/isolate.go
+++ b/internal/entry/isolation.go
@@ -15,9 +15,9 @@
 	// the time left that it may take. Past it the suspect runs beside others
 	// after all: an innocent one must not miss its deadline for a crash that
 	// it only shared.
-	aloneWait = 30 * time.Second
-	alonePart = 2
-	alonePoll = 50 * time.Millisecond
+	isolationWait        = 30 * time.Second
+	isolationTimeDivisor = 2
+	isolationPoll        = 50 * time.Millisecond
 	// quarantineFor bounds a quarantine whose entry died.
 	quarantineFor = 60 * time.Second
 	// quarantineMargin is added to the configuration lease: past both, each
@@ -25,7 +25,7 @@
 	quarantineMargin = 500 * time.Millisecond
 	// heldFor is how long a target is kept for one suspect after the other.
 	// It leaves the last of them half of quarantineFor.
-	heldFor = quarantineFor / 2
+	targetReuseFor = quarantineFor / 2
 )
 
 // isolation lets this entry's suspects of a pool run alone, one after the
@@ -33,28 +33,28 @@
 // emptying a target is what costs the others most.
 type isolation struct {
 	mu    sync.Mutex
-	pools map[string]*turns
+	pools map[string]*suspectQueue
 }
 
 // turns are the suspects of one pool on this entry.
-type turns struct {
+type suspectQueue struct {
 	// turn holds one token, which the suspect that runs has taken.
 	turn chan struct{}
 	// waiting counts the suspects that want a turn or have it.
 	waiting int
 	// held is the target that is kept empty, until heldUntil.
-	held      *route
-	heldUntil time.Time
+	target     *route
+	reuseUntil time.Time
 }
 
-func newIsolation() *isolation { return &isolation{pools: make(map[string]*turns)} }
+func newIsolation() *isolation { return &isolation{pools: make(map[string]*suspectQueue)} }
 
-func (i *isolation) enter(pool string) *turns {
+func (i *isolation) enter(pool string) *suspectQueue {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	t, ok := i.pools[pool]
 	if !ok {
-		t = &turns{turn: make(chan struct{}, 1)}
+		t = &suspectQueue{turn: make(chan struct{}, 1)}
 		t.turn <- struct{}{}
 		i.pools[pool] = t
 	}
@@ -63,7 +63,7 @@
 }
 
 // leave counts a suspect out and tells whether it was the last.
-func (i *isolation) leave(t *turns) bool {
+func (i *isolation) leave(t *suspectQueue) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	t.waiting--
@@ -74,7 +74,7 @@
 // returns the grant and a function that ends the turn, or false when neither
 // could be had in time.
 func (s *Server) isolate(j *job) (grant, func(), bool) {
-	until := earlier(time.Now().Add(time.Until(j.deadline)/alonePart), time.Now().Add(aloneWait))
+	until := earlier(time.Now().Add(time.Until(j.deadline)/isolationTimeDivisor), time.Now().Add(isolationWait))
 	t := s.isolation.enter(j.model)
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -88,7 +88,7 @@
 		return grant{}, nil, false
 	}
 	endTurn := func() { s.endTurn(j.model, t) }
-	r, ok := s.emptyTarget(j, t, until)
+	r, ok := s.acquireEmptyTarget(j, t, until)
 	if !ok {
 		endTurn()
 		return grant{}, nil, false
@@ -97,9 +97,9 @@
 }
 
 // endTurn passes the turn on, and gives the target back after the last.
-func (s *Server) endTurn(pool string, t *turns) {
-	if s.isolation.leave(t) && t.held != nil {
-		t.held = nil
+func (s *Server) endTurn(pool string, t *suspectQueue) {
+	if s.isolation.leave(t) && t.target != nil {
+		t.target = nil
 		s.endQuarantine(pool)
 	}
 	t.turn <- struct{}{}
@@ -107,20 +107,20 @@
 
 // emptyTarget returns a target that this entry keeps in quarantine and that
 // runs nothing. The caller has the turn.
-func (s *Server) emptyTarget(j *job, t *turns, until time.Time) (route, bool) {
-	if t.held != nil && allowsRegion(j.homes, t.held.region) && s.stillHeld(t) {
-		return *t.held, true
+func (s *Server) acquireEmptyTarget(j *job, t *suspectQueue, until time.Time) (route, bool) {
+	if t.target != nil && allowsRegion(j.homes, t.target.region) && s.canReuseTarget(t) {
+		return *t.target, true
 	}
-	t.held = nil
+	t.target = nil
 	for time.Now().Before(until) && j.ctx.Err() == nil {
 		r, ok := s.dispatcher.leastBusy(j.model, j.homes)
 		if !ok || !s.takeQuarantine(j, r.target) {
-			time.Sleep(alonePoll)
+			time.Sleep(isolationPoll)
 			continue
 		}
 		taken := time.Now()
 		if s.awaitEmpty(j, r, taken, until) {
-			t.held, t.heldUntil = &r, taken.Add(heldFor)
+			t.target, t.reuseUntil = &r, taken.Add(targetReuseFor)
 			return r, true
 		}
 		s.endQuarantine(j.model)
@@ -132,14 +132,14 @@
 
 // stillHeld tells whether the held target can take another suspect: it has not
 // crashed, and the quarantine outlives the next attempt.
-func (s *Server) stillHeld(t *turns) bool {
-	return time.Now().Before(t.heldUntil) && s.inService(*t.held)
+func (s *Server) canReuseTarget(t *suspectQueue) bool {
+	return time.Now().Before(t.reuseUntil) && s.inService(*t.target)
 }
 
 // inService tells whether a target would be routable but for the quarantine,
 // in the same epoch and incarnation.
 func (s *Server) inService(r route) bool {
-	if changed, _ := s.lookAt(r, time.Now()); changed {
+	if changed, _ := s.checkMembers(r, time.Now()); changed {
 		return false
 	}
 	board := s.o.Follower.Board()
@@ -183,15 +183,15 @@
 // out of service meanwhile, such as one that has just crashed.
 func (s *Server) awaitEmpty(j *job, r route, taken, until time.Time) bool {
 	for time.Now().Before(until) && j.ctx.Err() == nil && s.inService(r) {
-		if s.emptySince(r, taken.Add(s.o.Follower.Granted()+quarantineMargin)) {
+		if s.isEmptyAfter(r, taken.Add(s.o.Follower.Granted()+quarantineMargin)) {
 			return true
 		}
-		time.Sleep(alonePoll)
+		time.Sleep(isolationPoll)
 	}
 	return false
 }
 
-func (s *Server) emptySince(r route, known time.Time) bool {
+func (s *Server) isEmptyAfter(r route, known time.Time) bool {
 	empty := false
 	s.o.Hearing.With(func(t *evidence.Table) {
 		report, ok := t.Get(r.head)
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -62,7 +62,7 @@
 	begun := j.begun
 	for {
 		if j.suspect {
-			g = s.alone(j, g)
+			g = s.tryIsolate(j, g)
 		}
 		if e := s.mayAttempt(j); e != nil {
 			s.dispatcher.attemptEnded(g.attempt, placement.Result{Cancelled: true})
@@ -109,7 +109,7 @@
 // while it waited counts.
 func (s *Server) mayAttempt(j *job) *failure.Error {
 	if s.o.Follower.Board().Suspects[j.fingerprint].Convicted() {
-		return convicted()
+		return crashRefusal()
 	}
 	return s.mayDispatch()
 }
@@ -122,7 +122,7 @@
 
 // alone exchanges a suspect's grant for one where it runs alone, if that can
 // be had in time.
-func (s *Server) alone(j *job, g grant) grant {
+func (s *Server) tryIsolate(j *job, g grant) grant {
 	isolated, endTurn, ok := s.isolate(j)
 	if !ok {
 		return g
@@ -142,18 +142,18 @@
 	defer g.end()
 	if out == outcomeComplete {
 		if isolated {
-			s.clear(j)
+			s.clearSuspect(j)
 		}
 		return nil
 	}
 	cut := out == outcomeBroken && e.Type == failure.TypeBackendFailed && j.forward == nil
 	if cut && j.nonIdempotent {
 		// Its final answer is known; the crash is looked into beside it.
-		go s.blameIfCrashed(j, g.route, isolated, time.Now())
+		go s.reportIfCrashed(j, g.route, isolated, time.Now())
 		return s.mayRetry(j, out, e)
 	}
-	if cut && s.blameIfCrashed(j, g.route, isolated, time.Now()) {
-		return convicted()
+	if cut && s.reportIfCrashed(j, g.route, isolated, time.Now()) {
+		return crashRefusal()
 	}
 	if out == outcomeJobEnded {
 		return nil
--- a/internal/entry/running.go
+++ b/internal/entry/running.go
@@ -47,7 +47,7 @@
 		return nil, e
 	}
 	if s.o.Follower.Board().Suspects[j.fingerprint].Convicted() {
-		return nil, convicted()
+		return nil, crashRefusal()
 	}
 	j.ctx, j.cancel = context.WithCancelCause(context.Background())
 	first, e := s.beginJob(j)
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -31,16 +31,16 @@
 	crashPoll = 50 * time.Millisecond
 	// sureAlive is how long after the cut a server must have announced itself
 	// to count as alive: an announcement may have been under way at the crash.
-	sureAlive = 300 * time.Millisecond
+	aliveAfterCut = 300 * time.Millisecond
 )
 
 // crashed tells whether a backend server of the attempt's target crashed about
 // when the attempt was cut. A server that is silent after it closed the
 // connection has crashed too; one that died with its VM closes nothing, and its
 // attempts stall instead.
-func (s *Server) crashed(ctx context.Context, r route, cut time.Time) bool {
+func (s *Server) hasCrashed(ctx context.Context, r route, cut time.Time) bool {
 	for time.Since(cut) < crashWait && ctx.Err() == nil {
-		changed, alive := s.lookAt(r, cut.Add(sureAlive))
+		changed, alive := s.checkMembers(r, cut.Add(aliveAfterCut))
 		if changed {
 			return true
 		}
@@ -54,7 +54,7 @@
 
 // lookAt tells whether any member has another incarnation than the attempt was
 // sent to, and whether all were heard after a time.
-func (s *Server) lookAt(r route, after time.Time) (changed, alive bool) {
+func (s *Server) checkMembers(r route, after time.Time) (changed, alive bool) {
 	alive = true
 	s.o.Hearing.With(func(t *evidence.Table) {
 		for id, incarnation := range r.members {
@@ -71,7 +71,7 @@
 
 // unit names what crashed, once for all entries that saw it: a group's epoch
 // or an instance's incarnation.
-func (r route) unit() string {
+func (r route) crashID() string {
 	if r.group != "" {
 		return r.group + "@" + formatEpoch(r.epoch)
 	}
@@ -80,22 +80,22 @@
 
 // blameIfCrashed counts a crash against the job if there was one, and tells
 // whether that convicts it.
-func (s *Server) blameIfCrashed(j *job, r route, alone bool, cut time.Time) bool {
+func (s *Server) reportIfCrashed(j *job, r route, alone bool, cut time.Time) bool {
 	ctx := j.ctx
 	if j.nonIdempotent {
 		ctx = context.Background()
 	}
-	return s.crashed(ctx, r, cut) && s.blame(j, r, alone).Convicted()
+	return s.hasCrashed(ctx, r, cut) && s.reportCrash(j, r, alone).Convicted()
 }
 
 // blame counts a crash against the job and returns what is known of it then.
-func (s *Server) blame(j *job, r route, alone bool) blackboard.Suspect {
+func (s *Server) reportCrash(j *job, r route, alone bool) blackboard.Suspect {
 	ctx, cancel := context.WithTimeout(context.Background(), boardTimeout)
 	defer cancel()
 	err := s.commitBoard(ctx, &blackboard.ReportCrash{
-		Fingerprints: []string{j.fingerprint}, Incarnation: r.unit(), Alone: alone, NowMillis: time.Now().UnixMilli(),
+		Fingerprints: []string{j.fingerprint}, Incarnation: r.crashID(), Alone: alone, NowMillis: time.Now().UnixMilli(),
 	}, nil)
-	_ = level.Warn(s.o.Logger).Log("event", "crash", "request", j.id, "fingerprint", j.fingerprint, "unit", r.unit(), "alone", alone, "err", errText(err))
+	_ = level.Warn(s.o.Logger).Log("event", "crash", "request", j.id, "fingerprint", j.fingerprint, "unit", r.crashID(), "alone", alone, "err", errText(err))
 	known := s.o.Follower.Board().Suspects[j.fingerprint]
 	if j.nonIdempotent {
 		return known
@@ -111,7 +111,7 @@
 }
 
 // clear forgets a suspect that was answered whole while it ran alone.
-func (s *Server) clear(j *job) {
+func (s *Server) clearSuspect(j *job) {
 	ctx, cancel := context.WithTimeout(context.Background(), boardTimeout)
 	defer cancel()
 	// If this fails the request runs alone once more, and is cleared then.
@@ -119,7 +119,7 @@
 }
 
 // convicted is the final answer to a request that crashes backend servers.
-func convicted() *failure.Error {
+func crashRefusal() *failure.Error {
 	return failure.New(failure.TypePoisoned,
 		"this request crashed the backend servers that ran it; it is not run again").WithRan(failure.RanUnknown)
 }
