--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -202,7 +202,7 @@
 		return e
 	}
 	defer s.work.Done()
-	defer s.running.end(j)
+	defer s.jobs.end(j)
 	defer func() { s.memory.release(j.forward.reservedBytes) }()
 	s.run(j, s.attemptForward)
 	if e := j.forward.end(); e != nil {
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -331,7 +331,7 @@
 // first moment is over, and not each be held for it.
 func TestOnlyAYoungEntryLetsRequestsWait(t *testing.T) {
 	s := unconfigured(t, &scripted{})
-	s.started = time.Now().Add(-firstConfigurationWait)
+	s.startedAt = time.Now().Add(-firstConfigurationWait)
 	_, e, _ := send(s, Forwarded{Path: "/many/x"})
 	assert.Equal(t, e.Type, failure.TypeUnavailable)
 	assert.Equal(t, e.Ran, failure.RanNo)
--- a/internal/entry/running.go
+++ b/internal/entry/job_table.go
@@ -20,25 +20,25 @@
 )
 
 // running are the keyed jobs of this entry, and those that ended a while ago.
-type running struct {
+type jobTable struct {
 	mu    sync.Mutex
 	jobs  map[string]*job
-	ended []endedJob
+	kept  []keptJob
 	bytes int
 	// open counts the open jobs by workspace, and total all of them.
 	open  map[string]int
 	total int
 }
 
-type endedJob struct {
+type keptJob struct {
 	key   string
 	job   *job
 	bytes int
 	at    time.Time
 }
 
-func newRunning() *running {
-	return &running{jobs: make(map[string]*job), open: make(map[string]int)}
+func newJobTable() *jobTable {
+	return &jobTable{jobs: make(map[string]*job), open: make(map[string]int)}
 }
 
 // start begins the job, or returns the one that the same key began.
@@ -67,7 +67,7 @@
 		defer j.cancel(nil)
 		defer deadline.Stop()
 		run(j)
-		s.running.end(j)
+		s.jobs.end(j)
 	}()
 	return j, nil
 }
@@ -75,13 +75,13 @@
 // beginJob counts the job in under the gate, so that a drain that has begun
 // to wait sees no job begin.
 func (s *Server) beginJob(j *job) (*job, *failure.Error) {
-	s.gate.RLock()
-	defer s.gate.RUnlock()
+	s.drainMu.RLock()
+	defer s.drainMu.RUnlock()
 	if e := s.mayAdmit(); e != nil {
 		return nil, e
 	}
 	s.callerReport.noteRequest(j.arrived)
-	first, e := s.running.begin(j, s.limits(j.workspace))
+	first, e := s.jobs.begin(j, s.openLimitsOf(j.workspace))
 	if e == nil && first == j {
 		s.work.Add(1)
 	}
@@ -93,7 +93,7 @@
 	entry, workspace int
 }
 
-func (s *Server) limits(workspace string) openLimits {
+func (s *Server) openLimitsOf(workspace string) openLimits {
 	l := openLimits{entry: s.o.Settings.MaxOpen, workspace: s.o.Settings.MaxOpen}
 	if n := s.o.Follower.Board().Config.Workspaces[workspace].MaxOpen; n > 0 {
 		l.workspace = n
@@ -101,10 +101,10 @@
 	return l
 }
 
-func (r *running) begin(j *job, l openLimits) (*job, *failure.Error) {
+func (r *jobTable) begin(j *job, l openLimits) (*job, *failure.Error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.dropOld(time.Now())
+	r.evictOld(time.Now())
 	if first, ok := r.jobs[j.key]; ok && j.key != "" {
 		if first.fingerprint != j.fingerprint {
 			return nil, failure.New(failure.TypeKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
@@ -126,7 +126,7 @@
 }
 
 // join returns the keyed job that runs or ran here, counted in as a reader.
-func (r *running) join(key string) (*job, bool) {
+func (r *jobTable) join(key string) (*job, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j, ok := r.jobs[key]
@@ -138,7 +138,7 @@
 
 // end counts the job out. Its answer is kept for resends when it is whole;
 // a failure is not, so that a resend runs anew.
-func (r *running) end(j *job) {
+func (r *jobTable) end(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.total--
@@ -154,15 +154,15 @@
 		delete(r.jobs, j.key)
 		return
 	}
-	j.strip()
-	e := endedJob{key: j.key, job: j, bytes: j.keptBytes(), at: time.Now()}
-	r.ended = append(r.ended, e)
+	j.releaseInputs()
+	e := keptJob{key: j.key, job: j, bytes: j.keptBytes(), at: time.Now()}
+	r.kept = append(r.kept, e)
 	r.bytes += e.bytes
-	r.dropOld(time.Now())
+	r.evictOld(time.Now())
 }
 
 // strip drops what only a running job needs.
-func (j *job) strip() {
+func (j *job) releaseInputs() {
 	j.prompt, j.extra, j.prefix = "", nil, nil
 	if j.service != nil {
 		j.service.call = backend.ServiceCall{}
@@ -186,19 +186,19 @@
 }
 
 // counts returns the open jobs and the bytes of kept answers.
-func (r *running) counts() (open, kept int) {
+func (r *jobTable) counts() (open, kept int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.total, r.bytes
 }
 
-func (r *running) dropOld(now time.Time) {
-	for len(r.ended) > 0 {
-		first := r.ended[0]
-		if len(r.ended) <= keptAnswers && r.bytes <= keptBytes && now.Sub(first.at) < keptFor {
+func (r *jobTable) evictOld(now time.Time) {
+	for len(r.kept) > 0 {
+		first := r.kept[0]
+		if len(r.kept) <= keptAnswers && r.bytes <= keptBytes && now.Sub(first.at) < keptFor {
 			return
 		}
-		r.ended = r.ended[1:]
+		r.kept = r.kept[1:]
 		r.bytes -= first.bytes
 		if r.jobs[first.key] == first.job {
 			delete(r.jobs, first.key)
--- a/internal/entry/running_test.go
+++ b/internal/entry/job_table_test.go
@@ -17,7 +17,7 @@
 // kept for a resend; counted as nothing, they take all the entry's memory.
 func TestKeptAnswersOfServicesAreBounded(t *testing.T) {
 	const size = 8 << 20
-	r := newRunning()
+	r := newJobTable()
 	for i := range 20 {
 		j := &job{key: "w/" + strconv.Itoa(i), workspace: "w", answer: newAnswer(), service: &serviceCall{
 			call: backend.ServiceCall{Body: make([]byte, 10)}, header: http.Header{}, body: make([]byte, size),
--- a/internal/entry/key_home.go
+++ b/internal/entry/key_home.go
@@ -184,7 +184,7 @@
 // ServeAnswers gives a peer the answer of a key that is held here, from the
 // start and as it grows.
 func (s *Server) ServeAnswers(w http.ResponseWriter, r *http.Request) {
-	j, ok := s.running.join(r.URL.Query().Get("key"))
+	j, ok := s.jobs.join(r.URL.Query().Get("key"))
 	if !ok {
 		failure.Write(w, failure.New(failure.TypeNotFound, "the key is not held here"))
 		return
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -78,7 +78,7 @@
 	o          Options
 	requests   *requestlog.Log
 	dispatcher *dispatcher
-	running    *running
+	jobs       *jobTable
 	isolation  *isolation
 	// holders is what this entry knows as the home of keys.
 	holdersMu sync.Mutex
@@ -92,12 +92,12 @@
 	progress progressByEpoch
 	// work counts the running jobs, for a graceful stop. It grows only under
 	// the gate, and not once draining is set.
-	work sync.WaitGroup
-	gate sync.RWMutex
+	work    sync.WaitGroup
+	drainMu sync.RWMutex
 	// draining says that no new work is admitted.
 	draining atomic.Bool
 	// handlers counts the open requests of callers, attached resends too.
-	handlers atomic.Int64
+	openCallers atomic.Int64
 	// leaving says that the entry asked its balancer to stop sending.
 	leaving atomic.Bool
 	// entryIDs are the registered entries of the last board.
@@ -125,10 +125,10 @@
 	// routing is what requests of routes are judged by.
 	routing atomic.Pointer[routingTable]
 	// configured closes with the first configuration.
-	configured chan struct{}
-	configure  sync.Once
+	configured     chan struct{}
+	configuredOnce sync.Once
 	// started is when this process began.
-	started time.Time
+	startedAt time.Time
 }
 
 // NewServer returns a server; Run keeps its routes.
@@ -138,7 +138,7 @@
 	s := &Server{
 		o:             o,
 		requests:      requestlog.New(o.Logger, o.RequestLinesPerSecond),
-		running:       newRunning(),
+		jobs:          newJobTable(),
 		isolation:     newIsolation(),
 		holders:       newHolders(),
 		boardChanged:  make(chan struct{}, 1),
@@ -150,7 +150,7 @@
 		retryLoans:    newRetryLoans(),
 		memory:        newMemoryBudget(o.Settings.MaxHeldBytes),
 		configured:    make(chan struct{}),
-		started:       time.Now(),
+		startedAt:     time.Now(),
 	}
 	s.holders.assumeBegun(time.Now())
 	s.dispatcher = newDispatcher(placement.Options{
@@ -164,7 +164,7 @@
 
 // BoardChanged takes a new board into the policy and the routes.
 func (s *Server) BoardChanged(b *blackboard.Board) {
-	s.entriesChanged(b)
+	s.updateEntries(b)
 	s.waitEstimates.loadBoard(b)
 	if b.Config.Revision != s.policyRevision {
 		if s.policyRevision != 0 || b.Config.Version != 0 {
@@ -175,7 +175,7 @@
 		s.applyConfiguration(b)
 	}
 	if b.Config.Revision > 0 {
-		s.configure.Do(func() { close(s.configured) })
+		s.configuredOnce.Do(func() { close(s.configured) })
 	}
 	select {
 	case s.boardChanged <- struct{}{}:
@@ -184,7 +184,7 @@
 }
 
 // entriesChanged notes that keys may have come to this home from another.
-func (s *Server) entriesChanged(b *blackboard.Board) {
+func (s *Server) updateEntries(b *blackboard.Board) {
 	ids := slices.Sorted(maps.Keys(b.Entries))
 	if slices.Equal(ids, s.entryIDs) {
 		return
@@ -204,7 +204,7 @@
 	e := echo.New()
 	e.HideBanner = true
 	e.HTTPErrorHandler = writeError
-	e.Use(s.boundHandlers)
+	e.Use(s.limitOpenRequests)
 	e.POST(textAPI.path, s.serveCompletion(textAPI))
 	e.POST(chatAPI.path, s.serveCompletion(chatAPI))
 	e.Any("/services/:name", s.serveService)
@@ -217,17 +217,17 @@
 
 // handlersPerOpen is how many callers' requests may be open for each open job
 // that the settings allow: resends that attach, and bodies still on their way.
-const handlersPerOpen = 2
+const requestsPerOpenJob = 2
 
 // boundHandlers bounds what callers hold open before and beside their jobs.
 //
 // Failure: callers send bodies slowly, or resend one key thousands of times;
 // no job is open, so the limit on jobs sees nothing, and the entry's memory
 // goes. Each open request of any kind counts here.
-func (s *Server) boundHandlers(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Server) limitOpenRequests(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		defer s.handlers.Add(-1)
-		if s.handlers.Add(1) > int64(handlersPerOpen*s.o.Settings.MaxOpen) && c.Path() != backend.PathAnnounce {
+		defer s.openCallers.Add(-1)
+		if s.openCallers.Add(1) > int64(requestsPerOpenJob*s.o.Settings.MaxOpen) && c.Path() != backend.PathAnnounce {
 			return s.refuseEarly(c, failure.New(failure.TypeOverloaded, "too many open requests").
 				WithRan(failure.RanNo).WithRetryAfter(time.Second))
 		}
@@ -288,7 +288,7 @@
 		return
 	default:
 	}
-	left := firstConfigurationWait - time.Since(s.started)
+	left := firstConfigurationWait - time.Since(s.startedAt)
 	if left <= 0 {
 		return
 	}
@@ -324,9 +324,9 @@
 	case <-wait.C:
 	case <-ctx.Done():
 	}
-	s.gate.Lock()
+	s.drainMu.Lock()
 	s.draining.Store(true)
-	s.gate.Unlock()
+	s.drainMu.Unlock()
 	refusing()
 	finished := make(chan struct{})
 	go func() {
@@ -343,7 +343,7 @@
 
 // Sample sets the gauges of the entry role.
 func (s *Server) Sample() {
-	open, _ := s.running.counts()
+	open, _ := s.jobs.counts()
 	routes, waiting := s.dispatcher.counts()
 	s.o.Metrics.Sample(metrics.EntrySample{
 		Open: open, Waiting: waiting, Routes: routes, Lease: s.o.Follower.Lease(),
