--- a/internal/entry/urgency_test.go
+++ b/internal/entry/deadline_priority_test.go
@@ -17,22 +17,22 @@
 func TestEnginesTakeWhatCanStillBeOnTimeFirst(t *testing.T) {
 	now := time.Now()
 	j := &job{firstSent: now, forward: &forwarding{route: blackboard.Route{ObjectiveMillis: 200}}}
-	assert.Equal(t, j.urgency(now.Add(150*time.Millisecond)), urgentOnTime)
-	assert.Equal(t, j.urgency(now.Add(250*time.Millisecond)), urgentLate)
+	assert.Equal(t, j.deadlinePriority(now.Add(150*time.Millisecond)), deadlineOnTime)
+	assert.Equal(t, j.deadlinePriority(now.Add(250*time.Millisecond)), deadlineLate)
 	j.forward.begun = true
-	assert.Equal(t, j.urgency(now.Add(time.Second)), urgentBegun)
+	assert.Equal(t, j.deadlinePriority(now.Add(time.Second)), deadlineBegun)
 	j = &job{firstSent: now, forward: &forwarding{}}
-	assert.Equal(t, j.urgency(now.Add(time.Hour)), urgentOnTime, "without an objective nothing is late")
+	assert.Equal(t, j.deadlinePriority(now.Add(time.Hour)), deadlineOnTime, "without an objective nothing is late")
 
 	last := -1
 	for priority := range 3 {
-		for _, u := range []urgency{urgentBegun, urgentOnTime, urgentLate} {
+		for _, u := range []deadlinePriority{deadlineBegun, deadlineOnTime, deadlineLate} {
 			r := engineRank(priority, u)
 			assert.Assert(t, r > last, "priority %d, urgency %d", priority, u)
 			last = r
 		}
 	}
-	assert.Equal(t, engineRank(7, urgentBegun), lowestRank)
+	assert.Equal(t, engineRank(7, deadlineBegun), lowestRank)
 }
 
 // A stream breaks off in the middle and goes on in another run. The engine must
@@ -44,6 +44,6 @@
 	}}
 	_, e, aborted := send(routed(t, f), Forwarded{Path: "/stream/x"})
 	assert.Assert(t, e == nil && !aborted)
-	assert.Equal(t, f.calls[0].Rank, engineRank(0, urgentOnTime))
-	assert.Equal(t, f.calls[1].Rank, engineRank(0, urgentBegun))
+	assert.Equal(t, f.calls[0].Rank, engineRank(0, deadlineOnTime))
+	assert.Equal(t, f.calls[1].Rank, engineRank(0, deadlineBegun))
 }
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -271,7 +271,7 @@
 }
 
 func (s *Server) relayAttempt(j *job, g grant, result *placement.Result, began time.Time) (outcome, *failure.Error) {
-	w := newWatchdog(j.ctx, patience{header: time.Until(j.deadline), firstToken: time.Until(j.deadline), gap: streamGap})
+	w := newWatchdog(j.ctx, progressTimeouts{header: time.Until(j.deadline), firstToken: time.Until(j.deadline), gap: streamGap})
 	defer w.stop()
 	if g.route.progress != nil {
 		defer context.AfterFunc(g.route.progress.ctx, func() { w.cancel(errGroupLost) })()
@@ -318,7 +318,7 @@
 	return backend.ForwardCall{
 		ID: f.request.ID, Address: g.route.address, Incarnation: g.route.incarnation,
 		Method: f.request.Method, Path: f.request.Target, Host: f.request.Host, Header: f.request.Header, Body: f.request.Body,
-		Workspace: j.workspace, TimeLeft: time.Until(j.deadline), Rank: engineRank(f.priority, j.urgency(time.Now())),
+		Workspace: j.workspace, TimeLeft: time.Until(j.deadline), Rank: engineRank(f.priority, j.deadlinePriority(time.Now())),
 		Resume: f.resume, ResumeAfter: f.last, Fresh: j.nonIdempotent,
 	}
 }
--- a/internal/entry/key_home.go
+++ b/internal/entry/key_home.go
@@ -230,7 +230,7 @@
 	if !ok {
 		return false, nil
 	}
-	w := newWatchdog(j.ctx, patience{header: holderGap, firstToken: holderGap, gap: holderGap})
+	w := newWatchdog(j.ctx, progressTimeouts{header: holderGap, firstToken: holderGap, gap: holderGap})
 	defer w.stop()
 	address := "http://" + entry.PeerAddress + PathAnswers + "?key=" + url.QueryEscape(j.key)
 	request, err := http.NewRequestWithContext(w.ctx, http.MethodGet, address, nil)
--- a/internal/entry/rate_limits_test.go
+++ b/internal/entry/rate_limits_test.go
@@ -111,7 +111,7 @@
 	assert.Equal(t, out, outcomeComplete)
 	assert.Assert(t, s.rateLimits.isLimited("i-a"))
 
-	w := newWatchdog(j.ctx, patience{header: time.Minute})
+	w := newWatchdog(j.ctx, progressTimeouts{header: time.Minute})
 	defer w.stop()
 	var result placement.Result
 	out, _ = s.streamTokens(w, j, grant{route: route{incarnation: "i-b"}}, &result, began)
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -243,7 +243,7 @@
 
 // attemptCompletion makes one attempt of a completion.
 func (s *Server) attemptCompletion(j *job, g grant) (outcome, *failure.Error) {
-	w := newWatchdog(j.ctx, s.patience())
+	w := newWatchdog(j.ctx, s.progressTimeouts())
 	defer w.stop()
 	began := time.Now()
 	result := placement.Result{}
@@ -301,7 +301,7 @@
 	}
 	defer func() { _ = stream.Close() }()
 	s.observeRateLimit(g.route, stream.RateLimit(), began)
-	w.headerSeen()
+	w.headerReceived()
 	first := true
 	for {
 		token, err := stream.Next()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -351,9 +351,9 @@
 	})
 }
 
-func (s *Server) patience() patience {
+func (s *Server) progressTimeouts() progressTimeouts {
 	c := s.o.Settings
-	return patience{
+	return progressTimeouts{
 		header:     time.Duration(c.HeaderTimeoutMillis) * time.Millisecond,
 		firstToken: time.Duration(c.FirstTokenTimeoutMillis) * time.Millisecond,
 		gap:        time.Duration(c.TokenGapMillis) * time.Millisecond,
--- a/internal/entry/watchdog.go
+++ b/internal/entry/watchdog.go
@@ -9,7 +9,7 @@
 )
 
 // patience are the deadlines of progress on one attempt.
-type patience struct {
+type progressTimeouts struct {
 	header, firstToken, gap time.Duration
 }
 
@@ -24,17 +24,17 @@
 // sends keep-alives, so silence past the gap means that the connection or the
 // engine is stuck.
 type watchdog struct {
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	timer  *time.Timer
-	p      patience
-	tokens bool
-	fired  atomic.Bool
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	timer    *time.Timer
+	timeouts progressTimeouts
+	sawToken bool
+	fired    atomic.Bool
 }
 
-func newWatchdog(parent context.Context, p patience) *watchdog {
+func newWatchdog(parent context.Context, p progressTimeouts) *watchdog {
 	ctx, cancel := context.WithCancelCause(parent)
-	w := &watchdog{ctx: ctx, cancel: cancel, p: p}
+	w := &watchdog{ctx: ctx, cancel: cancel, timeouts: p}
 	w.timer = time.AfterFunc(p.header, w.fire)
 	return w
 }
@@ -45,18 +45,18 @@
 }
 
 // headerSeen starts the wait for the first token.
-func (w *watchdog) headerSeen() { w.timer.Reset(w.p.firstToken) }
+func (w *watchdog) headerReceived() { w.timer.Reset(w.timeouts.firstToken) }
 
 // progress notes an event; token tells a token from a keep-alive. Keep-alives
 // before the first token extend the wait by the first token's deadline, since
 // the engine's own queue may be long.
 func (w *watchdog) progress(token bool) {
-	w.tokens = w.tokens || token
-	if w.tokens {
-		w.timer.Reset(w.p.gap)
+	w.sawToken = w.sawToken || token
+	if w.sawToken {
+		w.timer.Reset(w.timeouts.gap)
 		return
 	}
-	w.timer.Reset(w.p.firstToken)
+	w.timer.Reset(w.timeouts.firstToken)
 }
 
 // stalled tells whether the watchdog ended the attempt.
