--- a/internal/entry/deadline_priority_test.go
+++ b/internal/entry/deadline_priority_test.go
@@ -14,7 +14,7 @@
 // group loses a member and its streams go on elsewhere. A stream that has begun
 // must come first and the backlog last; no urgency may lift a workspace over
 // one of a higher priority.
-func TestEnginesTakeWhatCanStillBeOnTimeFirst(t *testing.T) {
+func TestEnginesServeOnTimeRequestsFirst(t *testing.T) {
 	now := time.Now()
 	j := &job{firstSent: now, forward: &forwarding{route: blackboard.Route{ObjectiveMillis: 200}}}
 	assert.Equal(t, j.deadlinePriority(now.Add(150*time.Millisecond)), deadlineOnTime)
@@ -37,12 +37,12 @@
 
 // A stream breaks off in the middle and goes on in another run. The engine must
 // be told that a caller waits for the next event.
-func TestAStreamThatGoesOnIsMoreUrgent(t *testing.T) {
-	f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
-		answering(200, events("1", "2")+"id: 3", true),
-		answering(200, events("3"), false),
+func TestResumedStreamRanksFirst(t *testing.T) {
+	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
+		answerWith(200, events("1", "2")+"id: 3", true),
+		answerWith(200, events("3"), false),
 	}}
-	_, e, aborted := send(routed(t, f), Forwarded{Path: "/stream/x"})
+	_, e, aborted := send(configuredServer(t, f), Forwarded{Path: "/stream/x"})
 	assert.Assert(t, e == nil && !aborted)
 	assert.Equal(t, f.calls[0].Rank, engineRank(0, deadlineOnTime))
 	assert.Equal(t, f.calls[1].Rank, engineRank(0, deadlineBegun))
--- a/internal/entry/empty_pool_test.go
+++ b/internal/entry/empty_pool_test.go
@@ -12,7 +12,7 @@
 
 // Guards against requests of a model that nothing serves which are each held for the time of
 // a failover, long after its last group has gone.
-func TestAModelThatIsGoneIsRefusedAtOnce(t *testing.T) {
+func TestModelWithoutGroupsIsRefusedAtOnce(t *testing.T) {
 	d := newDispatcher(placement.Options{})
 	start := time.Now()
 	offer := func(id string) *failure.Error {
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -12,7 +12,7 @@
 )
 
 // spread puts the instances a, b and c in data centres of their own names.
-func spread(s *Server) *blackboard.Board {
+func withDataCentres(s *Server) *blackboard.Board {
 	board := *s.o.Follower.Board()
 	board.Services = make(map[string]blackboard.ServiceInstance)
 	for id, i := range s.o.Follower.Board().Services {
@@ -35,14 +35,14 @@
 }
 
 // Guards against requests and retries that go to a data centre which is evacuated.
-func TestNothingIsSentToAnEvacuatedDataCentre(t *testing.T) {
-	failing := answering(500, "failed", false)
-	f := &scripted{}
+func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
+	failing := answerWith(500, "failed", false)
+	f := &scriptedForwarder{}
 	for range 6 {
 		f.answers = append(f.answers, failing)
 	}
-	s := routed(t, f)
-	evacuate(s, spread(s), "dc-b")
+	s := configuredServer(t, f)
+	evacuate(s, withDataCentres(s), "dc-b")
 	for range 3 {
 		send(s, Forwarded{Path: "/many/x"})
 	}
@@ -51,16 +51,16 @@
 		assert.Assert(t, c.Incarnation != "i-b")
 	}
 
-	evacuate(s, spread(s))
+	evacuate(s, withDataCentres(s))
 	assert.Equal(t, len(s.loggedRoutes), 3)
 }
 
 // Guards against callers that are refused before another data centre can serve, and against
 // requests that go on to one that is evacuated.
-func TestWhatNoOtherDataCentreServesIsServedForAMoment(t *testing.T) {
-	s := routed(t, &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answering(200, "x", false)}})
+func TestEvacuatedTargetsStayOpenForGracePeriodWithoutAlternative(t *testing.T) {
+	s := configuredServer(t, &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, "x", false)}})
 	s.o.Settings.EvacuateMillis = 500
-	evacuate(s, spread(s), "dc-a", "dc-b", "dc-c")
+	evacuate(s, withDataCentres(s), "dc-a", "dc-b", "dc-c")
 	assert.Equal(t, len(s.loggedRoutes), 3)
 	assert.Assert(t, !s.areRoutesCurrent(), "they close with time alone")
 	_, e, _ := send(s, Forwarded{Path: "/many/x"})
@@ -80,10 +80,10 @@
 
 // Guards against an entry that sends a cold backend server its whole part, and one that
 // spares it for good.
-func TestAColdBackendServerGetsItsShare(t *testing.T) {
-	s := routed(t, &scripted{})
+func TestColdBackendServerIsLimited(t *testing.T) {
+	s := configuredServer(t, &scriptedForwarder{})
 	s.o.Settings.ColdFactor = 1
-	board := spread(s)
+	board := withDataCentres(s)
 	board.Config.Services = map[string]blackboard.ServiceSpec{"files": {Name: "files", ColdPerSecond: 1}}
 	board.ColdServers = map[string]blackboard.ColdServer{"i-a": {Service: "files"}, "i-b": {Service: "unknown"}}
 	evacuate(s, board)
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -33,13 +33,13 @@
 func (f fixedBoard) Granted() time.Duration   { return f.lease }
 
 // scripted is a Forwarder that answers each call in turn.
-type scripted struct {
+type scriptedForwarder struct {
 	mu      sync.Mutex
 	answers []func(backend.ForwardCall) (*backend.ForwardAnswer, error)
 	calls   []backend.ForwardCall
 }
 
-func (s *scripted) Forward(_ context.Context, c backend.ForwardCall) (*backend.ForwardAnswer, error) {
+func (s *scriptedForwarder) Forward(_ context.Context, c backend.ForwardCall) (*backend.ForwardAnswer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, c)
@@ -60,7 +60,7 @@
 	return n, err
 }
 
-func answering(status int, body string, cut bool) func(backend.ForwardCall) (*backend.ForwardAnswer, error) {
+func answerWith(status int, body string, cut bool) func(backend.ForwardCall) (*backend.ForwardAnswer, error) {
 	return func(c backend.ForwardCall) (*backend.ForwardAnswer, error) {
 		var r io.Reader = strings.NewReader(body)
 		if cut {
@@ -82,7 +82,7 @@
 
 // unconfigured is an entry before a plain service of three instances and a route
 // of each kind to it, which has not taken its configuration in.
-func unconfigured(t *testing.T, f *scripted) *Server {
+func unconfiguredServer(t *testing.T, f *scriptedForwarder) *Server {
 	t.Helper()
 	key := auth.KeyHash("good")
 	c := &blackboard.ReplaceConfiguration{
@@ -115,17 +115,17 @@
 		assert.NilError(t, err)
 	}
 	follower := fixedBoard{board: board, lease: time.Minute}
-	heard := hearing.New(hearing.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
+	receiver := hearing.New(hearing.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
 	s := NewServer(Options{
 		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1, RetryRatio: 1, RetrySlack: 5000},
-		Follower: follower, Hearing: heard, Logger: log.NewNopLogger(), Forwarder: f,
+		Follower: follower, Hearing: receiver, Logger: log.NewNopLogger(), Forwarder: f,
 	})
 	return s
 }
 
 // routed returns a server that has taken its configuration in.
-func routed(t *testing.T, f *scripted) *Server {
-	s := unconfigured(t, f)
+func configuredServer(t *testing.T, f *scriptedForwarder) *Server {
+	s := unconfiguredServer(t, f)
 	s.BoardChanged(s.o.Follower.Board())
 	s.updateRoutes()
 	return s
@@ -146,12 +146,12 @@
 // A stream is cut after its second event and in the middle of the third. Its
 // caller must get each event once and in order, the rest from another run that
 // was asked to go on after the second.
-func TestACutStreamGoesOnInAnotherRun(t *testing.T) {
-	f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
-		answering(200, events("1", "2")+"id: 3\ndata: tok", true),
-		answering(200, events("3", "4"), false),
+func TestCutStreamResumesInAnotherRun(t *testing.T) {
+	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
+		answerWith(200, events("1", "2")+"id: 3\ndata: tok", true),
+		answerWith(200, events("3", "4"), false),
 	}}
-	w, e, aborted := send(routed(t, f), Forwarded{Path: "/stream/x"})
+	w, e, aborted := send(configuredServer(t, f), Forwarded{Path: "/stream/x"})
 	assert.Assert(t, e == nil && !aborted)
 	assert.Equal(t, w.Body.String(), events("1", "2", "3", "4"))
 	assert.Assert(t, f.calls[1].Resume)
@@ -162,23 +162,23 @@
 
 // The second run sends events again that the caller has. They must not reach it
 // twice.
-func TestEventsThatTheCallerHasAreLeftOut(t *testing.T) {
-	f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
-		answering(200, events("1", "2"), true),
-		answering(200, events("1", "2", "3"), false),
+func TestResumedStreamSkipsRepeatedEvents(t *testing.T) {
+	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
+		answerWith(200, events("1", "2"), true),
+		answerWith(200, events("1", "2", "3"), false),
 	}}
-	w, e, aborted := send(routed(t, f), Forwarded{Path: "/stream/x"})
+	w, e, aborted := send(configuredServer(t, f), Forwarded{Path: "/stream/x"})
 	assert.Assert(t, e == nil && !aborted)
 	assert.Equal(t, w.Body.String(), events("1", "2", "3"))
 }
 
 // A stream that may not be resumed is cut. Its caller must see a broken
 // connection, not an end, and no second run may begin.
-func TestACutStreamThatMayNotRunAgainIsBrokenOff(t *testing.T) {
-	f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
-		answering(200, events("1"), true), answering(200, events("1"), false),
+func TestCutStreamThatIsNotResumableAborts(t *testing.T) {
+	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
+		answerWith(200, events("1"), true), answerWith(200, events("1"), false),
 	}}
-	_, _, aborted := send(routed(t, f), Forwarded{Path: "/single/x"})
+	_, _, aborted := send(configuredServer(t, f), Forwarded{Path: "/single/x"})
 	assert.Assert(t, aborted)
 	assert.Equal(t, len(f.calls), 1)
 }
@@ -186,12 +186,12 @@
 // A backend server takes a non-idempotent request and its answer is lost. The
 // request must not be sent again, and its caller must not be told that it did
 // not run.
-func TestANonIdempotentRequestIsSentOnce(t *testing.T) {
+func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	lost := func(c backend.ForwardCall) (*backend.ForwardAnswer, error) {
 		return nil, &backend.CallError{Address: c.Address, Sent: backend.SentUnknown}
 	}
-	f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){lost, answering(200, "x", false)}}
-	_, e, _ := send(routed(t, f), Forwarded{Path: "/once/x"})
+	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){lost, answerWith(200, "x", false)}}
+	_, e, _ := send(configuredServer(t, f), Forwarded{Path: "/once/x"})
 	assert.Equal(t, len(f.calls), 1)
 	assert.Equal(t, e.Ran, failure.RanUnknown)
 	assert.Assert(t, f.calls[0].Fresh)
@@ -199,38 +199,38 @@
 
 // A backend server says that it did not run a non-idempotent request. Another
 // may be asked then, and when that refuses too, "not run" is true.
-func TestWhatSurelyDidNotRunMayBeSentElsewhere(t *testing.T) {
+func TestNonIdempotentRequestThatDidNotRunIsRetried(t *testing.T) {
 	refusing := func(backend.ForwardCall) (*backend.ForwardAnswer, error) {
 		return &backend.ForwardAnswer{Status: 503, NotRun: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 	}
-	f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){refusing, answering(200, "x", false)}}
-	w, e, _ := send(routed(t, f), Forwarded{Path: "/once/x"})
+	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){refusing, answerWith(200, "x", false)}}
+	w, e, _ := send(configuredServer(t, f), Forwarded{Path: "/once/x"})
 	assert.Assert(t, e == nil)
 	assert.Equal(t, w.Body.String(), "x")
 
-	f = &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){refusing, refusing, answering(200, "x", false)}}
-	_, e, _ = send(routed(t, f), Forwarded{Path: "/once/x"})
+	f = &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){refusing, refusing, answerWith(200, "x", false)}}
+	_, e, _ = send(configuredServer(t, f), Forwarded{Path: "/once/x"})
 	assert.Equal(t, len(f.calls), 2, "max_attempts is 2")
 	assert.Equal(t, e.Ran, failure.RanNo)
 }
 
 // The answer to another request arrives where this one's is due, or one without
 // proof. Neither may reach the caller.
-func TestAForeignAnswerIsNotPassedOn(t *testing.T) {
+func TestForeignOrUnprovenAnswerIsNotPassedOn(t *testing.T) {
 	for name, spoil := range map[string]func(*backend.ForwardAnswer){
 		"foreign":  func(a *backend.ForwardAnswer) { a.Foreign = true },
 		"unproven": func(a *backend.ForwardAnswer) { a.Proven = false },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
+			f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
 				func(c backend.ForwardCall) (*backend.ForwardAnswer, error) {
-					a, _ := answering(200, "another caller's", false)(c)
+					a, _ := answerWith(200, "another caller's", false)(c)
 					spoil(a)
 					return a, nil
 				},
-				answering(200, "own", false),
+				answerWith(200, "own", false),
 			}}
-			w, e, _ := send(routed(t, f), Forwarded{Path: "/many/x"})
+			w, e, _ := send(configuredServer(t, f), Forwarded{Path: "/many/x"})
 			assert.Assert(t, e == nil)
 			assert.Equal(t, w.Body.String(), "own")
 		})
@@ -239,18 +239,18 @@
 
 // A backend server fails an idempotent request. It is tried again; when that
 // fails as well, the caller gets the backend server's own answer.
-func TestTheBackendServersOwnFailureIsPassedOnLast(t *testing.T) {
-	f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
-		answering(500, "first", false), answering(500, "second", false),
+func TestBackendServersOwnFailureIsPassedOnAfterRetries(t *testing.T) {
+	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
+		answerWith(500, "first", false), answerWith(500, "second", false),
 	}}
-	w, e, _ := send(routed(t, f), Forwarded{Path: "/many/x"})
+	w, e, _ := send(configuredServer(t, f), Forwarded{Path: "/many/x"})
 	assert.Assert(t, e == nil)
 	assert.Equal(t, w.Code, 500)
 	assert.Equal(t, w.Body.String(), "second")
 }
 
-func TestRequestsThatTheConfigurationDoesNotAllow(t *testing.T) {
-	s := routed(t, &scripted{})
+func TestRequestsThatConfigurationDoesNotAllow(t *testing.T) {
+	s := configuredServer(t, &scriptedForwarder{})
 	_, e, _ := send(s, Forwarded{Path: "/none/x"})
 	assert.Equal(t, e.Type, failure.TypeNotFound)
 	_, e, _ = send(s, Forwarded{Path: "/keyed/x"})
@@ -262,7 +262,7 @@
 // An entry starts while the control processes can't be reached. It knows no
 // route and no key; it must say that the request did not run, never that there
 // is no such route.
-func TestAnEntryWithoutConfigurationSaysSo(t *testing.T) {
+func TestEntryWithoutConfigurationRefusesAsStale(t *testing.T) {
 	follower := fixedBoard{board: blackboard.New()}
 	s := NewServer(Options{
 		ID: "e", Settings: settings.Entry{MaxOpen: 10, RampMillis: 1, ServeWithoutLease: true}, Follower: follower, Logger: log.NewNopLogger(),
@@ -276,12 +276,12 @@
 // Backend servers lose the answers of some requests, which may run again. What
 // the requests of their service have earned must pay for it, whichever workspaces
 // they are of; refused for want of a budget, callers would spend their own retries.
-func TestRetriesArePaidByTheRequestsOfTheirService(t *testing.T) {
-	f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
-		answering(200, "1", false), answering(200, "2", false), answering(200, "cut", true), answering(200, "whole", false),
-		answering(200, "cut", true),
+func TestRetryBudgetIsPerService(t *testing.T) {
+	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
+		answerWith(200, "1", false), answerWith(200, "2", false), answerWith(200, "cut", true), answerWith(200, "whole", false),
+		answerWith(200, "cut", true),
 	}}
-	s := routed(t, f)
+	s := configuredServer(t, f)
 	s.dispatcher.setPolicy(admission.Policy{RetryRatio: 0.34, RetryPerSecond: 0.001})
 	for _, want := range []string{"1", "2", "whole"} {
 		w, e, _ := send(s, Forwarded{ID: want, Path: "/keyed/x", Key: "good"})
@@ -297,12 +297,12 @@
 // A backend server that is full says that it has not run the request. Sending it
 // elsewhere adds load too, so it is paid from the same budget; past it the
 // caller is told that the request did not run.
-func TestRejectedAttemptsCountAgainstTheBudget(t *testing.T) {
+func TestRejectedAttemptsUseRetryBudget(t *testing.T) {
 	rejected := func(backend.ForwardCall) (*backend.ForwardAnswer, error) {
 		return &backend.ForwardAnswer{Status: 503, NotRun: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 	}
-	f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){rejected, rejected}}
-	s := routed(t, f)
+	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){rejected, rejected}}
+	s := configuredServer(t, f)
 	s.dispatcher.setPolicy(admission.Policy{RetryRatio: 0.001, RetryPerSecond: 0.001})
 	_, e, _ := send(s, Forwarded{Path: "/many/x"})
 	assert.Equal(t, e.Ran, failure.RanNo)
@@ -313,8 +313,8 @@
 // entry has heard from the control processes. A caller that is refused spends its
 // only retry, and all come back in the same moment. Its request must wait for the
 // configuration, which is about to come, and be served.
-func TestARequestWaitsForTheFirstConfiguration(t *testing.T) {
-	s := unconfigured(t, &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answering(200, "own", false)}})
+func TestRequestWaitsForFirstConfiguration(t *testing.T) {
+	s := unconfiguredServer(t, &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, "own", false)}})
 	answered := make(chan string)
 	go func() {
 		w, _, _ := send(s, Forwarded{Path: "/many/x"})
@@ -329,8 +329,8 @@
 // The control processes are lost for good while an entry restarts. Nobody knows
 // when there will be a configuration, so callers must be told at once once the
 // first moment is over, and not each be held for it.
-func TestOnlyAYoungEntryLetsRequestsWait(t *testing.T) {
-	s := unconfigured(t, &scripted{})
+func TestOnlyRecentlyStartedEntryLetsRequestsWait(t *testing.T) {
+	s := unconfiguredServer(t, &scriptedForwarder{})
 	s.startedAt = time.Now().Add(-firstConfigurationWait)
 	_, e, _ := send(s, Forwarded{Path: "/many/x"})
 	assert.Equal(t, e.Type, failure.TypeUnavailable)
@@ -339,9 +339,9 @@
 
 // The control processes are lost. An entry that is set to serve on does so
 // under the configuration that it has; any other refuses.
-func TestServingOnWithoutALease(t *testing.T) {
+func TestServingWithoutLease(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		s := routed(t, &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answering(200, "x", false)}})
+		s := configuredServer(t, &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, "x", false)}})
 		s.o.Follower = fixedBoard{board: s.o.Follower.Board()}
 		s.o.Settings.ServeWithoutLease = on
 		_, e, _ := send(s, Forwarded{Path: "/many/x"})
--- a/internal/entry/group_progress_test.go
+++ b/internal/entry/group_progress_test.go
@@ -12,7 +12,7 @@
 // A member of a group dies silently and all its streams stop. The group counts
 // as silent from the last event of any of them, and only while one is open: a
 // group that nobody uses is not stalled.
-func TestAGroupIsSilentWhenAllItsStreamsAre(t *testing.T) {
+func TestGroupIsSilentWhenAllItsStreamsAre(t *testing.T) {
 	at := time.Unix(0, 0)
 	p := newGroupProgress(defaultSilenceLimit)
 	assert.Equal(t, p.silentFor(at.Add(time.Hour)), time.Duration(0))
@@ -46,7 +46,7 @@
 }
 
 // A group that was given up wrongly gets new work again after a while.
-func TestAGroupGivenUpWronglyComesBack(t *testing.T) {
+func TestSuspendedGroupReturns(t *testing.T) {
 	at := time.Unix(0, 0)
 	all := make(progressByEpoch)
 	k := groupEpoch{"g", 1}
@@ -61,7 +61,7 @@
 
 // Engines publish what a pass takes. A group is given the longest pass and a
 // margin, whatever its model's pace is; without figures, the default.
-func TestPatienceFollowsTheEnginesFigures(t *testing.T) {
+func TestSilenceLimitFollowsEngineFigures(t *testing.T) {
 	c := &blackboard.Configuration{
 		Groups: map[string]blackboard.GroupSpec{"slow": {Pool: "p"}, "fast": {Pool: "p"}, "other": {Pool: "q"}},
 		Services: map[string]blackboard.ServiceSpec{"p": {Engine: &blackboard.EngineSpec{
--- a/internal/entry/homes_test.go
+++ b/internal/entry/homes_test.go
@@ -22,10 +22,10 @@
 
 // homed is a server before three instances in two of three regions, whose route "many" has
 // homes.
-func homed(t *testing.T, f *scripted, homes ...string) *Server {
+func serverWithHomes(t *testing.T, f *scriptedForwarder, homes ...string) *Server {
 	t.Helper()
-	s := unconfigured(t, f)
-	board := spread(s)
+	s := unconfiguredServer(t, f)
+	board := withDataCentres(s)
 	s.o.Regions = map[string]string{"dc-a": "north", "dc-b": "south", "dc-c": "south", "dc-d": "west"}
 	routes := make(map[string]blackboard.Route)
 	for name, r := range board.Config.Routes {
@@ -43,12 +43,12 @@
 
 // Guards against a request that reaches a backend server outside its homes, at its first
 // attempt or a later one.
-func TestARequestStaysInItsHomes(t *testing.T) {
-	f := &scripted{}
+func TestRequestStaysInItsHomes(t *testing.T) {
+	f := &scriptedForwarder{}
 	for range 6 {
-		f.answers = append(f.answers, answering(500, "failed", false))
+		f.answers = append(f.answers, answerWith(500, "failed", false))
 	}
-	s := homed(t, f, "south")
+	s := serverWithHomes(t, f, "south")
 	for range 3 {
 		send(s, Forwarded{Path: "/many/x"})
 	}
@@ -59,9 +59,9 @@
 }
 
 // Guards against a request without a backend server in its homes that holds up the others.
-func TestARequestWithoutABackendServerInItsHomesWaitsAlone(t *testing.T) {
-	f := &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answering(200, events("1"), false)}}
-	s := homed(t, f, "west")
+func TestRequestWithoutBackendServerInItsHomesBlocksNoOther(t *testing.T) {
+	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, events("1"), false)}}
+	s := serverWithHomes(t, f, "west")
 	refused := make(chan *failure.Error)
 	go func() {
 		_, e, _ := send(s, Forwarded{ID: "homed", Path: "/many/x"})
@@ -76,8 +76,8 @@
 }
 
 // Guards against a request that is held although no region can ever serve it.
-func TestARequestWithoutAKnownHomeIsRefusedAtOnce(t *testing.T) {
-	s := homed(t, &scripted{}, "elsewhere")
+func TestRequestWithUnknownHomesIsRefusedAtOnce(t *testing.T) {
+	s := serverWithHomes(t, &scriptedForwarder{}, "elsewhere")
 	began := time.Now()
 	_, e, _ := send(s, Forwarded{Path: "/many/x"})
 	assert.Equal(t, e.Type, failure.TypeNoBackendServer)
--- a/internal/entry/isolation_test.go
+++ b/internal/entry/isolation_test.go
@@ -23,9 +23,9 @@
 func (f *changingBoard) Granted() time.Duration   { return time.Second }
 
 // cutOff is a committer that reaches no control process.
-type cutOff struct{}
+type unreachableControl struct{}
 
-func (cutOff) Commit(context.Context, *noderpc.CommitRequest) ([]byte, error) {
+func (unreachableControl) Commit(context.Context, *noderpc.CommitRequest) ([]byte, error) {
 	return nil, failure.New(failure.TypeUnavailable, "no control process answers")
 }
 
@@ -33,13 +33,13 @@
 // the caller sends it here before this entry's board tells. Here it is a suspect that waits
 // for a turn alone; by the time it has one, or gives up waiting, the board tells. It must
 // be refused then: sent on, it crashed a third backend server.
-func TestARequestConvictedWhileItWaitsIsNotSent(t *testing.T) {
+func TestRequestWithCrashesAttributedWhileItWaitsIsNotSent(t *testing.T) {
 	follower := &changingBoard{}
 	before := blackboard.New()
 	before.Suspects["body"] = blackboard.Suspect{Fingerprint: "body", Crashes: 1, Incarnations: []string{"a"}}
 	follower.board.Store(before)
 	s := deafServer(before)
-	s.o.Follower, s.o.Control = follower, cutOff{}
+	s.o.Follower, s.o.Control = follower, unreachableControl{}
 	after := blackboard.New()
 	after.Suspects["body"] = blackboard.Suspect{Fingerprint: "body", Crashes: 2, Alone: 1, Incarnations: []string{"a", "b"}}
 	assert.Assert(t, after.Suspects["body"].Convicted())
--- a/internal/entry/job_table_test.go
+++ b/internal/entry/job_table_test.go
@@ -36,7 +36,7 @@
 // A suspect waits for its turn alone, and when the turn comes the entry has
 // lost its lease. The request is refused; if the turn is not passed on, every
 // later suspect of the model waits in vain.
-func TestATurnAloneIsPassedOnWhenNothingIsDispatched(t *testing.T) {
+func TestIsolationTurnIsPassedOnWhenNothingIsDispatched(t *testing.T) {
 	turns := 0
 	g := grant{endTurn: func() { turns++ }}
 	g.end()
@@ -44,7 +44,7 @@
 	assert.Equal(t, turns, 1)
 }
 
-func TestAnAnswerLongerThanAskedForIsStopped(t *testing.T) {
+func TestAnswerLongerThanRequestedIsStopped(t *testing.T) {
 	j := &job{answer: newAnswer(), maxTokens: 2}
 	for i := range 2 {
 		assert.Assert(t, checkToken(backend.Token{Attempt: "a", Offset: i, Text: "x"}, "a", j) == nil)
@@ -55,7 +55,7 @@
 	assert.Assert(t, checkToken(backend.Token{Attempt: "a", End: true, Total: 2}, "a", j) == nil)
 }
 
-func TestAnAnswerIsReadFromTheStartByEachReader(t *testing.T) {
+func TestEachReaderReadsAnswerFromStart(t *testing.T) {
 	a := newAnswer()
 	go func() {
 		for _, text := range []string{"a", "b", "c"} {
--- a/internal/entry/key_holders_test.go
+++ b/internal/entry/key_holders_test.go
@@ -10,7 +10,7 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-func TestAKeyHasOneHolder(t *testing.T) {
+func TestKeyHasOneHolder(t *testing.T) {
 	at := time.Unix(0, 0)
 	h := newHolders()
 	assert.Equal(t, h.hold(at, "k", "b", "e1", "j1", time.Minute), holdResult{entry: "e1"})
@@ -22,7 +22,7 @@
 // A job runs in part and fails; its caller is told that it may have run. The
 // caller resends to another entry, which is full and refuses. It must not say
 // "not run".
-func TestARunThatBeganIsNotForgotten(t *testing.T) {
+func TestBegunRunIsRemembered(t *testing.T) {
 	at := time.Unix(0, 0)
 	for _, c := range []struct {
 		name            string
@@ -46,7 +46,7 @@
 
 // A home restarts and has forgotten that a key ran. A resend is refused by
 // another entry: it must not say "not run".
-func TestAHomeThatHasStartedIsUnsure(t *testing.T) {
+func TestRestartedHomeAssumesRunsBegan(t *testing.T) {
 	at := time.Unix(0, 0)
 	h := newHolders()
 	h.assumeBegun(at)
@@ -66,7 +66,7 @@
 
 // One of nine entries is lost. Only the keys that it was home to may move:
 // resends of all others must still find their holder.
-func TestALostEntryMovesItsOwnKeysAlone(t *testing.T) {
+func TestLostEntryMovesOnlyItsOwnKeys(t *testing.T) {
 	entries := map[string]blackboard.Entry{}
 	for i := range 9 {
 		entries["e"+strconv.Itoa(i)] = blackboard.Entry{}
--- a/internal/entry/rate_limits_test.go
+++ b/internal/entry/rate_limits_test.go
@@ -15,7 +15,7 @@
 )
 
 // limitTimes are whole seconds after a start.
-func limitTimes() func(int) time.Time {
+func secondsAfterStart() func(int) time.Time {
 	start := time.Now()
 	return func(n int) time.Time { return start.Add(time.Duration(n) * time.Second) }
 }
@@ -25,8 +25,8 @@
 }
 
 // Guards against a rate limit that ends with an answer to a request sent before it was named.
-func TestAnEarlierRequestDoesNotEndARateLimit(t *testing.T) {
-	l, named, second := newRateLimits(), 1.8, limitTimes()
+func TestAnswerToEarlierRequestDoesNotEndRateLimit(t *testing.T) {
+	l, named, second := newRateLimits(), 1.8, secondsAfterStart()
 
 	_, changed := l.observe(second(2), second(1), "i", &named)
 	assert.Assert(t, changed)
@@ -42,8 +42,8 @@
 }
 
 // Guards against entries that do not know what a backend server has told another one.
-func TestARateLimitIsTakenFromTheBoard(t *testing.T) {
-	l, second := newRateLimits(), limitTimes()
+func TestRateLimitIsTakenFromBoard(t *testing.T) {
+	l, second := newRateLimits(), secondsAfterStart()
 
 	changes := l.applyBoard(second(1), boardLimits(2, second(0)))
 	assert.Equal(t, len(changes), 1)
@@ -60,8 +60,8 @@
 
 // Guards against a limit that the board lacks because one word to it was lost, and against a
 // word for each answer.
-func TestTheBoardHearsOfARateLimitUntilItHoldsIt(t *testing.T) {
-	l, named, second := newRateLimits(), 2.0, limitTimes()
+func TestRateLimitIsReportedUntilBoardShowsIt(t *testing.T) {
+	l, named, second := newRateLimits(), 2.0, secondsAfterStart()
 
 	l.observe(second(1), second(0), "i", &named)
 	notes := l.dueReports(second(1))
@@ -101,8 +101,8 @@
 }
 
 // Guards against limits that are heard in the answers to forwarded requests alone.
-func TestARateLimitIsHeardInEachKindOfAnswer(t *testing.T) {
-	s := routed(t, &scripted{})
+func TestRateLimitIsObservedInEachKindOfAnswer(t *testing.T) {
+	s := configuredServer(t, &scriptedForwarder{})
 	s.o.Client = limitingClient{perSecond: 2}
 	j := &job{ctx: context.Background(), service: &serviceCall{}, answer: newAnswer()}
 	began := time.Now()
@@ -121,8 +121,8 @@
 }
 
 // Guards against a request that waits for a place which opens right before its deadline.
-func TestARequestIsRefusedAtOnceForAPlaceThatComesTooLate(t *testing.T) {
-	s, limit := routed(t, &scripted{}), placement.NamedLimit(0.5)
+func TestRequestIsRefusedAtOnceIfSlotComesTooLate(t *testing.T) {
+	s, limit := configuredServer(t, &scriptedForwarder{}), placement.NamedLimit(0.5)
 	now := time.Now()
 	for _, incarnation := range []string{"i-a", "i-b", "i-c"} {
 		s.dispatcher.setRateLimit(now, incarnation, placement.Named, &limit)
--- a/internal/entry/routes_bench_test.go
+++ b/internal/entry/routes_bench_test.go
@@ -28,9 +28,9 @@
 // deafServer returns an entry that goes by a board.
 func deafServer(board *blackboard.Board) *Server {
 	follower := fixedBoard{board: board, lease: time.Minute}
-	heard := hearing.New(hearing.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
+	receiver := hearing.New(hearing.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
 	return NewServer(Options{
-		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1}, Follower: follower, Hearing: heard,
+		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1}, Follower: follower, Hearing: receiver,
 		Logger: log.NewNopLogger(),
 	})
 }
--- a/internal/entry/routes_test.go
+++ b/internal/entry/routes_test.go
@@ -13,7 +13,7 @@
 // before. A group whose streams stood still gets nothing for a while: no change of
 // the board says when that ends, so the entry must go on looking, and route to the
 // group again.
-func TestRoutesAreLookedAtAnewWhileAnythingEndsWithTime(t *testing.T) {
+func TestRoutesAreUpdatedWhileTheyChangeWithTime(t *testing.T) {
 	s := deafServer(servingPool(1, 4, 1, 2))
 	assert.Assert(t, !s.areRoutesCurrent(), "never looked")
 	s.updateRoutes()
@@ -33,7 +33,7 @@
 
 // A group is kept for a suspect request until a time that only the quarantine's row
 // tells; a group that breaks is on a new board.
-func TestRoutesFollowTheBoardAndQuarantines(t *testing.T) {
+func TestRoutesFollowBoardAndQuarantines(t *testing.T) {
 	s := deafServer(servingPool(1, 4, 1, 2))
 	s.updateRoutes()
 	next := *s.o.Follower.Board()
--- a/internal/entry/stream_writer_test.go
+++ b/internal/entry/stream_writer_test.go
@@ -62,7 +62,7 @@
 	return n, err
 }
 
-func (b *countedBody) so() int {
+func (b *countedBody) readBytes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.read
@@ -70,7 +70,7 @@
 
 // streamTo sends a request for a stream whose answer is text, to be read by the caller.
 func streamTo(s *Server, caller *slowCaller, body *countedBody) (ended chan struct{}) {
-	s.o.Forwarder = &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
+	s.o.Forwarder = &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
 		func(backend.ForwardCall) (*backend.ForwardAnswer, error) {
 			return &backend.ForwardAnswer{Status: 200, Header: http.Header{}, Body: body, Length: -1, Proven: true}, nil
 		},
@@ -93,9 +93,9 @@
 
 // Guards against a backend server that holds an answer, and cuts it off, as the caller reads
 // nothing.
-func TestACallerThatReadsNothingHoldsUpNoBackendServer(t *testing.T) {
+func TestSlowCallerDoesNotBlockBackendServer(t *testing.T) {
 	text := longStream(200)
-	s, caller, body := routed(t, &scripted{}), newSlowCaller(), newCountedBody(text)
+	s, caller, body := configuredServer(t, &scriptedForwarder{}), newSlowCaller(), newCountedBody(text)
 	ended := streamTo(s, caller, body)
 	<-body.end
 	assert.Assert(t, s.memory.reserved() > 0)
@@ -106,10 +106,10 @@
 }
 
 // Guards against an entry that runs out of memory by callers that read nothing.
-func TestWhatIsHeldForACallerIsBounded(t *testing.T) {
+func TestStreamBufferIsBounded(t *testing.T) {
 	for _, limit := range []int64{4 << 10, 1 << 30} {
 		text := longStream(2000)
-		s, caller, body := routed(t, &scripted{}), newSlowCaller(), newCountedBody(text)
+		s, caller, body := configuredServer(t, &scriptedForwarder{}), newSlowCaller(), newCountedBody(text)
 		s.memory = newMemoryBudget(limit)
 		ended := streamTo(s, caller, body)
 		bound := min(limit, streamBufferBytes)
@@ -118,7 +118,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 		assert.Assert(t, s.memory.reserved() <= bound+256, "%d bytes held", s.memory.reserved())
-		assert.Assert(t, body.so() < int(bound)+2*eventBuffer, "%d bytes read", body.so())
+		assert.Assert(t, body.readBytes() < int(bound)+2*eventBuffer, "%d bytes read", body.readBytes())
 		close(caller.reads)
 		<-ended
 		assert.Equal(t, caller.got.String(), text)
@@ -128,8 +128,8 @@
 
 // Guards against whole answers that are read without a bound while others wait for their
 // callers, and against one that is not delivered for it.
-func TestAWholeAnswerWaitsForRoom(t *testing.T) {
-	s := routed(t, &scripted{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answering(200, "whole", false)}})
+func TestCompleteAnswerWaitsForMemory(t *testing.T) {
+	s := configuredServer(t, &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, "whole", false)}})
 	s.memory = newMemoryBudget(answerChunk)
 	s.memory.forceReserve(1)
 	done := make(chan string)
@@ -149,8 +149,8 @@
 
 // Guards against request bodies, sent on slowly by their callers or read slowly by backend
 // servers, that fill the memory.
-func TestRequestBodiesAreBoundedTogether(t *testing.T) {
-	s := routed(t, &scripted{})
+func TestRequestBodiesShareMemoryLimit(t *testing.T) {
+	s := configuredServer(t, &scriptedForwarder{})
 	s.memory = newMemoryBudget(1000)
 	first := s.HoldBody(strings.NewReader(strings.Repeat("a", 800)))
 	_, err := io.ReadAll(first)
