--- a/internal/entry/caller_report.go
+++ b/internal/entry/caller_report.go
@@ -10,20 +10,22 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// callers tells once that callers have come: until then the controllers load weights
-// without regard to the store's rate.
+// firstCallerReport reports once to the board that callers have begun to send requests. Until
+// then the controllers load weights without regard to the weight store's rate.
 type firstCallerReport struct {
-	// since is when this entry got its first request, in Unix milliseconds; 0 before that.
+	// firstRequestMillis is when this entry received its first request, in Unix milliseconds; 0
+	// before that.
 	firstRequestMillis atomic.Int64
-	// toldAt is when it was last told; the routes' loop alone uses it.
+	// reportedAt is when this entry last reported. Only the route loop uses it.
 	reportedAt time.Time
 }
 
 const (
-	// callersPerSecond is how many entries tell the leader in a second: all get their first
-	// requests at the same moment, and one word is enough.
+	// callerReportsPerSecond is how many entries report to the leader in a second. All entries
+	// receive their first requests at the same moment, and one report is enough.
 	callerReportsPerSecond = 800
-	// callersAgain is when an entry tells again that finds nothing of it on the board.
+	// callerReportRetry is the time after which an entry reports again if the board does not
+	// show the report.
 	callerReportRetry = 500 * time.Millisecond
 )
 
@@ -31,8 +33,9 @@
 	c.firstRequestMillis.CompareAndSwap(0, now.UnixMilli())
 }
 
-// due tells whether an entry should tell now. turn is its place among all entries, from 0
-// to 1: each waits for its own, and those that see the word on the board keep quiet.
+// isDue reports whether this entry should report now. turn is the entry's position among all
+// entries, from 0 to 1: each entry waits for its turn and does not report once the board shows
+// a report.
 func (c *firstCallerReport) isDue(now time.Time, b *blackboard.Board, turn float64) bool {
 	since := c.firstRequestMillis.Load()
 	if since == 0 || b.ClusterID == "" || b.CallersMillis != 0 || now.Sub(c.reportedAt) < callerReportRetry {
@@ -46,7 +49,8 @@
 	return true
 }
 
-// tellCallers writes to the board that callers have come, unless it is there.
+// reportCallers writes to the board that callers have begun to send requests, unless the board
+// shows it.
 func (s *Server) reportCallers(ctx context.Context, now time.Time) {
 	if s.o.Control == nil || !s.callerReport.isDue(now, s.o.Follower.Board(), hashFraction(s.o.ID)) {
 		return
@@ -56,6 +60,6 @@
 		defer cancel()
 		since := s.callerReport.firstRequestMillis.Load()
 		err := s.commitBoard(ctx, &blackboard.NoteCallers{NowMillis: since}, nil)
-		_ = level.Info(s.o.Logger).Log("event", "callers_told", "since_ms", since, "err", errText(err))
+		_ = level.Info(s.o.Logger).Log("event", "callers_reported", "since_ms", since, "err", errText(err))
 	}()
 }
--- a/internal/entry/wait_estimates.go
+++ b/internal/entry/wait_estimates.go
@@ -11,25 +11,26 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// callerWaits learns how long callers wait, and keeps it on the board for processes that
-// start anew. It is safe for concurrent use.
+// waitEstimates estimates how long the callers of each route wait. The estimates are also kept
+// on the board for processes that restart. It is safe for concurrent use.
 type waitEstimates struct {
 	mu        sync.Mutex
 	estimates *admission.Waits
-	// told is when this entry last looked for something to tell.
+	// checkedAt is when this entry last compared its estimates with the board.
 	checkedAt time.Time
 }
 
-// newCallerWaits returns one that looks for something to tell an interval after a time; that
-// time differs for each entry, so that the first to tell spares the others.
+// newWaitEstimates returns estimates that are first compared with the board an interval after
+// from. That time differs between entries, so that the first entry to report spares the others.
 func newWaitEstimates(from time.Time) *waitEstimates {
 	return &waitEstimates{estimates: admission.NewWaits(), checkedAt: from}
 }
 
-// asked returns how long ago a caller surely began with its request.
+// sentBefore returns the least time that must have passed since the caller first sent its
+// request.
 func (c *waitEstimates) sentBefore(now time.Time, route string, f Forwarded) time.Duration {
 	if f.Timeout <= 0 || f.Resume {
-		// A stream that goes on was begun before, and says nothing of its start.
+		// A resumed stream began earlier, so its remaining time tells nothing about its start.
 		return 0
 	}
 	c.mu.Lock()
@@ -37,7 +38,7 @@
 	return c.estimates.Asked(now, route, f.Timeout)
 }
 
-// learn takes over what the board holds.
+// loadBoard takes over the estimates that the board holds.
 func (c *waitEstimates) loadBoard(b *blackboard.Board) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,12 +47,12 @@
 	}
 }
 
-// waitsInterval is the time between two looks of an entry for something to tell: the
-// board needs it once, and many entries see the same.
+// waitReportInterval is the time between two comparisons of an entry's estimates with the
+// board. The board needs each estimate once, and many entries arrive at the same one.
 const waitReportInterval = 5 * time.Second
 
-// tellWaits writes what this entry has learned to the board where that differs, one
-// route at a time.
+// reportWaits writes this entry's estimate of one route to the board if it differs from the
+// board's.
 func (s *Server) reportWaits(ctx context.Context, now time.Time) {
 	board := s.o.Follower.Board()
 	route, least := s.waitEstimates.nextChange(now, board)
@@ -62,13 +63,13 @@
 		ctx, cancel := context.WithTimeout(ctx, boardTimeout)
 		defer cancel()
 		err := s.commitBoard(ctx, &blackboard.NoteWait{Route: route, LeastMillis: least.Milliseconds()}, nil)
-		_ = level.Info(s.o.Logger).Log("event", "wait_told", "route", route, "least_ms", least.Milliseconds(),
+		_ = level.Info(s.o.Logger).Log("event", "wait_estimate_reported", "route", route, "least_ms", least.Milliseconds(),
 			"known_ms", board.Waits[route], "err", errText(err))
 	}()
 }
 
-// news returns a route of which the board should hold another time, "" if there is
-// none or it is too soon to look.
+// nextChange returns a route whose estimate on the board should change, and the new estimate.
+// The route is empty if there is none, or if the interval has not passed.
 func (c *waitEstimates) nextChange(now time.Time, b *blackboard.Board) (route string, least time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
