--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -10,21 +10,21 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// failoverWait is how long a request waits for a serving group when there is
-// none: longer than it takes to replace a group by a loaded spare, and short
-// enough that its caller learns soon that there is nothing to wait for.
+// failoverWait is how long a request waits for a serving group when there is none. It is longer
+// than replacing a group by a loaded spare takes, and short enough that the caller soon learns
+// that no group will come.
 const failoverWait = 3 * time.Second
 
-// failoverLooks is how often in that time a waiting request looks whether
-// there is a group; it gives up when it saw none that often in a row.
+// failoverChecks is how often a waiting request checks within failoverWait whether there is a
+// group. The request gives up when this many checks in a row find none.
 const failoverChecks = 6
 
-// pumpInterval is how often waiting requests are looked at when nothing else
-// does: deadlines pass and backend servers ramp up with time alone.
+// dispatchInterval is the time between two attempts to dispatch waiting requests when no event
+// triggers one. Deadlines pass and backend servers ramp up with time alone.
 const dispatchInterval = 20 * time.Millisecond
 
-// dispatcher carries out what admission and placement decide. It holds the
-// one lock under which they run; it does no I/O.
+// dispatcher carries out the decisions of admission and placement. Its one lock guards both; it
+// does no I/O.
 type dispatcher struct {
 	policy admission.Policy
 	seed   uint64
@@ -32,60 +32,62 @@
 	mu     sync.Mutex
 	queue  *admission.Queue
 	picker *placement.Picker
-	// gates are by model; unbegun holds the models of the attempts that they count.
+	// gates holds the admission gate of each model. awaitingFirstEvent holds the model of each
+	// attempt that a gate counts and that has not delivered an event yet.
 	gates              map[string]*admission.Gate
 	awaitingFirstEvent map[string]string
 	waiting            map[string]*ticket
 	routes             map[string]route
 	servedPools        map[string]bool
-	// gone holds since when pools have had no target, and lookedAt when this entry
-	// first looked.
+	// emptySince holds since when pools have had no target. firstRoutesAt is when this entry
+	// first set its routes.
 	emptySince    map[string]time.Time
 	firstRoutesAt time.Time
-	// evacuated holds the pools whose targets all lie in data centres that are evacuated.
+	// evacuated holds the pools whose targets are all in evacuated data centres.
 	evacuated map[string]bool
-	// changed closes when the routes change.
+	// changed is closed when the routes change.
 	changed chan struct{}
 }
 
-// ticket is a request's place in the queue.
+// ticket is a request's slot in the queue.
 type ticket struct {
 	job     *job
 	granted chan grant
 }
 
-// grant ends the wait: a first attempt's target, or a refusal.
+// grant ends a request's wait with the target of an attempt, or with a refusal.
 type grant struct {
 	attempt string
 	route   route
 	refused *failure.Error
-	// giveBack is set when the attempt runs alone; it ends the quarantine.
+	// endTurn is set when the attempt runs isolated; it ends the request's turn in isolation.
 	endTurn func()
 }
 
-// route is where an attempt goes.
+// route is a target that attempts may be sent to. It is not a configured route
+// (blackboard.Route), which matches callers' requests.
 type route struct {
 	target string
-	// pool is the model or the plain service.
+	// pool is the model, or the name of a plain service.
 	pool string
-	// region is that of the target's data centre.
+	// region is the region of the target's data centre.
 	region string
-	// busy is how many requests the target reports, running and waiting.
+	// requestCount is how many requests the target reports, running and queued.
 	requestCount int
 	address      string
 	group        string
 	epoch        uint64
-	// head and incarnation name the backend server that takes the request.
+	// head and incarnation name the backend server that receives the requests.
 	head        string
 	incarnation string
-	// progress is that of the group's streams here; nil for plain services.
+	// progress tracks this entry's streams on the group; nil for plain services.
 	progress *groupProgress
 	// members maps each backend server of the target to its incarnation.
 	members map[string]string
 }
 
-// end ends the quarantine of an attempt that runs alone. Whoever holds a grant
-// calls it once the attempt is over or will not be made.
+// end ends the turn of an attempt that runs isolated. The holder of a grant calls it when the
+// attempt is over or will not be made.
 func (g grant) end() {
 	if g.endTurn != nil {
 		g.endTurn()
@@ -107,15 +109,15 @@
 	}
 }
 
-// setEntries names the entries that take callers' requests.
+// setEntries sets the entries that serve callers' requests.
 func (d *dispatcher) setEntries(ids []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.picker.SetEntries(ids)
 }
 
-// limitRate puts the rate limit that a backend server has for a cause in force and returns
-// this entry's share of it; nil ends the limit.
+// setRateLimit applies the rate limit that a backend server has for a cause and returns this
+// entry's share of it, in requests a second; nil ends the limit.
 func (d *dispatcher) setRateLimit(now time.Time, incarnation string, cause placement.Cause, limit *placement.RateLimit) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,16 +126,16 @@
 	return share
 }
 
-// setEvacuated names the pools whose targets all lie in data centres that are evacuated:
-// their requests are refused at once.
+// setEvacuated sets the pools whose targets are all in evacuated data centres. Their requests
+// are refused at once.
 func (d *dispatcher) setEvacuated(pools map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.evacuated = pools
 }
 
-// setRoutes replaces the routable targets. awaited names the pools that have a
-// target in quarantine: their requests wait for it rather than be refused.
+// setRoutes replaces the routable targets. quarantined holds the pools that have a target in
+// quarantine: their requests wait for it and are not refused.
 func (d *dispatcher) setRoutes(now time.Time, routes map[string]route, targets []placement.Target, quarantined map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,7 +152,7 @@
 	d.dispatchWaiting(now)
 }
 
-// noteGone takes in which pools have a target, and notes since when others have none.
+// trackEmptyPools records which pools have a target, and since when the others have had none.
 func (d *dispatcher) trackEmptyPools(now time.Time, models map[string]bool) {
 	if d.firstRoutesAt.IsZero() {
 		d.firstRoutesAt = now
@@ -166,7 +168,7 @@
 	d.servedPools = models
 }
 
-// goneFor returns for how long a pool has had no target.
+// emptyFor returns for how long a pool has had no target.
 func (d *dispatcher) emptyFor(now time.Time, model string) time.Duration {
 	if d.servedPools[model] || d.firstRoutesAt.IsZero() {
 		return 0
@@ -178,7 +180,7 @@
 	return now.Sub(since)
 }
 
-// enter offers the job to admission and waits until it may run.
+// admit offers the job to admission and waits until it may run.
 func (d *dispatcher) admit(j *job) (grant, *failure.Error) {
 	t, e := d.offer(j)
 	if e != nil {
@@ -205,7 +207,7 @@
 	}
 }
 
-// hasRoute tells whether there is, or will be, a target for the job.
+// hasRoute reports whether there is, or will be, a target for the job.
 func (d *dispatcher) hasRoute(j *job) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -223,7 +225,7 @@
 	case d.evacuated[j.model]:
 		return nil, evacuatedRefusal()
 	case d.emptyFor(now, j.model) > failoverWait:
-		// What has not failed over in this time is not about to.
+		// A pool that has not failed over within this time is not about to.
 		return nil, noBackendServer()
 	}
 	slots, limited := d.picker.Places(now, j.placeBy(now), j.model, j.homes)
@@ -240,9 +242,9 @@
 		return nil, refusal(*decision.Refusal)
 	}
 	if decision.Joined != "" {
-		// The entry attaches resends before they come here, so this one raced
-		// the end of the request that it repeats.
-		return nil, failure.New(failure.TypeInProgress, "the request is about to end here").
+		// The entry attaches resends before they are offered here, so this resend arrived just
+		// as the request that it repeats ended.
+		return nil, failure.New(failure.TypeInProgress, "an earlier send of the request is about to end on this entry").
 			WithRan(failure.RanUnknown).WithRetryAfter(time.Second)
 	}
 	t := &ticket{job: j, granted: make(chan grant, 1)}
@@ -251,8 +253,8 @@
 	return t, nil
 }
 
-// abandon takes a job whose caller is gone out of the queue. It may have been
-// granted at the same moment; then the grant is given back.
+// withdraw removes a job from the queue when its wait has ended. If the job was granted an
+// attempt at the same moment, withdraw gives the grant back.
 func (d *dispatcher) withdraw(t *ticket, why *failure.Error) (grant, *failure.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -271,7 +273,7 @@
 	return grant{}, why
 }
 
-// pump lets waiting requests go while there is room. The lock is held.
+// dispatchWaiting sends waiting requests while there is capacity. The caller holds the lock.
 func (d *dispatcher) dispatchWaiting(now time.Time) {
 	for model, gate := range d.gates {
 		d.queue.NewestFirst(model, gate.Limiting())
@@ -300,7 +302,7 @@
 	t.granted <- g
 }
 
-// choose picks the target of the job's next attempt. The lock is held.
+// pickTarget picks the target of the job's next attempt. The caller holds the lock.
 func (d *dispatcher) pickTarget(now time.Time, j *job) (grant, bool) {
 	c, ok := d.picker.Pick(now, j.placementRequest(j.reserve))
 	if !ok {
@@ -318,7 +320,7 @@
 	return g, true
 }
 
-// refuse ends the wait of evicted requests. The lock is held.
+// refuseEvicted ends the wait of evicted requests. The caller holds the lock.
 func (d *dispatcher) refuseEvicted(evicted []admission.Eviction) {
 	for _, e := range evicted {
 		t, ok := d.waiting[e.Request.ID]
@@ -330,9 +332,8 @@
 	}
 }
 
-// again picks a target for another attempt of a job that runs already. When
-// there is none it waits, as groups fail over within seconds and rate limits leave
-// room again.
+// nextTarget picks a target for a further attempt of a running job. If there is none it waits
+// until the given time, as groups fail over within seconds and rate limits free capacity again.
 func (d *dispatcher) nextTarget(j *job, until time.Time) (grant, bool) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -353,7 +354,7 @@
 		case throttled:
 			open = time.After(opensAt.Sub(now))
 		default:
-			// A target that failed this request once may have come back.
+			// A target that has failed this request may have recovered.
 			j.tried = nil
 		}
 		select {
@@ -367,15 +368,15 @@
 	}
 }
 
-// sentAlone notes a request that runs alone on a target.
+// noteIsolated records a request that was sent to a target in isolation.
 func (d *dispatcher) noteIsolated(now time.Time, target string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.picker.Sent(now, target)
 }
 
-// idlest returns the routable target of a pool, in the homes given, that reports the least work, of those whose
-// backend servers take a request now.
+// leastBusy returns the target of a pool that reports the fewest requests, among those that lie
+// in homes and whose rate limits allow a request now.
 func (d *dispatcher) leastBusy(pool string, homes []string) (route, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -392,7 +393,7 @@
 	return best, found
 }
 
-// counts returns the routable targets and the waiting requests.
+// counts returns the number of routable targets and of waiting requests.
 func (d *dispatcher) counts() (routes, waiting int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/empty_pool_test.go
+++ b/internal/entry/empty_pool_test.go
@@ -10,8 +10,8 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// Guards against requests of a model that nothing serves which are each held for the time of
-// a failover, long after its last group has gone.
+// Guards against holding each request of a model for the failover time long after the model's
+// last group has been removed.
 func TestModelWithoutGroupsIsRefusedAtOnce(t *testing.T) {
 	d := newDispatcher(placement.Options{})
 	start := time.Now()
@@ -32,7 +32,7 @@
 
 	serve(start.Add(-20*time.Second), "m")
 	serve(start.Add(-2 * failoverWait))
-	e := offer("gone")
+	e := offer("removed")
 	assert.Equal(t, e.Type, failure.TypeNoBackendServer)
 	assert.Equal(t, e.Ran, failure.RanNo)
 	assert.Assert(t, e.RetryAfter > 0)
--- a/internal/entry/gates.go
+++ b/internal/entry/gates.go
@@ -8,7 +8,7 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// gateOf returns the gate of a model. The lock is held.
+// gateOf returns the gate of a model. The caller holds the lock.
 func (d *dispatcher) gateOf(model string) *admission.Gate {
 	gate := d.gates[model]
 	if gate == nil {
@@ -18,15 +18,15 @@
 	return gate
 }
 
-// dropGates forgets the gates of models without a target. One whose attempts
-// have yet to begin or end stays. The lock is held.
+// removeIdleGates removes the gates of models without a target. A gate stays while attempts
+// that it counts have not begun or ended. The caller holds the lock.
 func (d *dispatcher) removeIdleGates() {
 	maps.DeleteFunc(d.gates, func(model string, gate *admission.Gate) bool {
 		return !d.servedPools[model] && gate.Idle()
 	})
 }
 
-// began notes the first event of a job's attempt.
+// firstEvent records the first event of a job's attempt, which came after the time took.
 func (d *dispatcher) firstEvent(j *job, attempt string, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,8 +41,8 @@
 	d.dispatchWaiting(now)
 }
 
-// onTimeUntil is until when a job must be sent for its first event to be on time;
-// zero for one without an objective for that. The lock is held.
+// onTimeUntil returns until when a job must be sent for its first event to be on time; zero for
+// a job without an objective. The caller holds the lock.
 func (d *dispatcher) onTimeUntil(j *job) time.Time {
 	if !j.isGated() {
 		return time.Time{}
@@ -52,8 +52,8 @@
 	return j.firstSent.Add(time.Duration(left * float64(objective)))
 }
 
-// finished takes an attempt off its target and its model's gate. The lock is
-// held.
+// endAttemptLocked removes an attempt from its target and from its model's gate. The caller
+// holds the lock.
 func (d *dispatcher) endAttemptLocked(now time.Time, attempt string, r placement.Result) {
 	d.picker.Finished(now, attempt, r)
 	if model, counted := d.awaitingFirstEvent[attempt]; counted {
