--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -12,16 +12,16 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// claimGrace is how long past its deadline a claim waits for its outcome
-// before it counts as unknown: longer than an entry takes to record one.
+// claimGrace is how long past its deadline a claim waits for its outcome before the outcome
+// counts as unknown. It is longer than an entry takes to record an outcome.
 const claimGrace = 10 * time.Second
 
-// claim asks a majority of the control replicas for the right to run a
-// non-idempotent request that has a key.
+// claim asks a majority of the control replicas for the right to run a non-idempotent request
+// that has a key.
 //
-// It guards against the same request running on two entries, or again after
-// the entry that ran it died: the claim is synced on a majority before the
-// first byte goes to a backend server, and only one claim of a key is granted.
+// It prevents the same request from running on two entries, or again after the entry that ran
+// it has died. The claim is synced to disk on a majority before the first byte goes to a
+// backend server, and only one claim of a key is granted.
 func (s *Server) claim(j *job) *failure.Error {
 	if !j.nonIdempotent || j.key == "" {
 		return nil
@@ -33,8 +33,8 @@
 	}})
 	s.o.Metrics.Claim(time.Since(now))
 	if err != nil {
-		// Nothing was dispatched under this claim, whether it was written or
-		// not; but an earlier send of the same key may have been.
+		// Nothing was dispatched under this claim, whether or not it was written. An earlier
+		// send of the same key may have been dispatched.
 		go s.abandonClaim(j)
 		return failure.New(failure.TypeUnavailable, "the request could not be claimed: "+err.Error()).
 			WithRan(failure.RanUnknown).WithRetryAfter(time.Second)
@@ -43,8 +43,8 @@
 	return s.applyClaim(j, out)
 }
 
-// askClaim asks a few times: the same attempt's claim is granted again, so an
-// answer lost on a silent connection costs a second and not the request.
+// requestClaim asks up to claimTries times. A claim by the same attempt is granted again, so an
+// answer lost on a silent connection costs one timeout and not the request.
 func (s *Server) requestClaim(j *job, c record.Command) (record.Outcome, error) {
 	var out record.Outcome
 	var err error
@@ -59,7 +59,7 @@
 	return out, err
 }
 
-// Times of asking for a claim: an election takes under a second.
+// Limits of a request for a claim. An election takes under a second.
 const (
 	claimTries   = 3
 	claimTimeout = 1500 * time.Millisecond
@@ -71,7 +71,7 @@
 		j.claimed = true
 		return nil
 	case out.Full:
-		return failure.New(failure.TypeOverloaded, "no room for another at-most-once record").
+		return failure.New(failure.TypeOverloaded, "no capacity for another at-most-once record").
 			WithRan(failure.RanNo).WithRetryAfter(staleRetryAfter)
 	case out.Reused:
 		return failure.New(failure.TypeKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
@@ -88,7 +88,7 @@
 	return s.replay(j, *out.Answer)
 }
 
-// replay gives the recorded answer.
+// replay answers the job with the recorded answer.
 func (s *Server) replay(j *job, a record.Answer) *failure.Error {
 	j.replayed = true
 	if j.service != nil {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// keptAnswer is a completion's recorded answer.
+// recordedCompletion is a completion's answer as the at-most-once record holds it.
 type recordedCompletion struct {
 	Tokens []string `json:"tokens"`
 	Finish string   `json:"finish"`
--- a/internal/entry/finish.go
+++ b/internal/entry/finish.go
@@ -12,13 +12,12 @@
 	"github.com/citronstep/citronstep/internal/record"
 )
 
-// recordTries bounds how often an outcome is written; the claim's grace
-// passes meanwhile.
+// recordAttempts is how often this entry tries to write an outcome; the claim's grace period
+// ends meanwhile.
 const recordAttempts = 5
 
-// finish ends the job with an answer or a failure. The whole answer of a
-// claimed request is recorded before any caller gets its end, so that a resend
-// after a lost answer finds it.
+// finish ends the job with an answer or a failure. The complete answer of a claimed request is
+// recorded before any caller receives its end, so that a resend after a lost answer finds it.
 func (s *Server) finish(j *job, e *failure.Error, mayHaveRun bool) {
 	s.recordMetrics(j, e)
 	if e != nil {
@@ -33,9 +32,9 @@
 	s.logAnswer(j)
 }
 
-// fail gives the failure to the callers at once, and only then writes what
-// became of the claim: nobody waits for that. The home of an idempotent key is
-// told first when the run began, so that no resend overtakes the mark.
+// fail sends the failure to the callers at once and records the claim's outcome afterwards, as
+// no caller waits for the record. If the run began, the home of an idempotent key is notified
+// before the callers, so that no resend arrives before the mark.
 func (s *Server) fail(j *job, e *failure.Error, mayHaveRun bool) {
 	c := *e
 	c.RequestID = j.id
@@ -55,8 +54,7 @@
 	}
 }
 
-// logRefusal writes why a request that was taken got no answer, with what
-// decided it.
+// logRefusal logs why an accepted request got no answer, with the values that decided it.
 func (s *Server) logRefusal(j *job, e *failure.Error) {
 	j.lines.Info("event", "refuse", "request", j.id, "type", e.Type, "ran", e.Ran, "reason", e.Message, "detail", e.Detail,
 		"class", j.class, "workspace", j.workspace, "model", j.model, "tokens", j.tokens(), "attempts", j.attempts,
@@ -65,8 +63,8 @@
 	j.lines.End(true)
 }
 
-// logAnswer writes how a request was answered that took more than one attempt or
-// longer than its objective. The others have nothing to explain.
+// logAnswer logs how a request was answered if it took more than one attempt or longer than its
+// objective. Other requests need no explanation.
 func (s *Server) logAnswer(j *job) {
 	took := j.firstToken
 	if took == 0 {
@@ -81,7 +79,7 @@
 	j.lines.End(false)
 }
 
-// meter records the request's final answer.
+// recordMetrics records the metrics of the request's final answer.
 func (s *Server) recordMetrics(j *job, e *failure.Error) {
 	r := metrics.Request{
 		Workspace: j.workspace, Class: j.class, Outcome: metrics.Answered, Queued: j.queued,
@@ -93,7 +91,7 @@
 	s.o.Metrics.Request(r)
 }
 
-// settle records what became of a claim.
+// recordOutcome records the outcome of a claimed request.
 func (s *Server) recordOutcome(j *job, e *failure.Error, mayHaveRun bool) {
 	if e != nil && !mayHaveRun {
 		s.abandonClaim(j)
@@ -133,11 +131,11 @@
 	return &record.Answer{Status: http.StatusOK, Body: body}
 }
 
-// abandonClaim gives back a claim under which surely nothing was sent.
+// abandonClaim withdraws a claim under which certainly nothing was sent.
 func (s *Server) abandonClaim(j *job) {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	// If this fails, the record becomes Unknown at its deadline, which is
-	// less than the truth but never false.
+	// If this fails, the record becomes Unknown at its deadline, which is less precise but
+	// never false.
 	_, _ = s.commitRecord(ctx, record.Command{Abandon: &record.Abandon{Key: j.key, Attempt: j.id}})
 }
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -6,21 +6,20 @@
 type outcome int
 
 const (
-	// outcomeWhole: the end mark came and everything checked out.
+	// outcomeComplete: the end mark arrived and all checks passed.
 	outcomeComplete outcome = iota
-	// outcomeNotStarted: nothing was sent; another target may be tried whatever
-	// the request is.
+	// outcomeNotStarted: nothing was sent. Any request may be tried on another target.
 	outcomeNotStarted
-	// outcomeRejected: the backend server says that it has not run the request.
-	// Another may be tried, but the load of the attempt has been added.
+	// outcomeRejected: the backend server states that it has not run the request. Another may
+	// be tried, but the attempt has added its load.
 	outcomeRejected
-	// outcomeBroken: the attempt may have run and has no whole answer.
+	// outcomeBroken: the attempt may have run and has no complete answer.
 	outcomeBroken
-	// outcomeEnded: the job's own context ended.
+	// outcomeJobEnded: the job's own context ended.
 	outcomeJobEnded
 )
 
-// name is the outcome as metrics and logs show it.
+// name returns the outcome's name in metrics and logs.
 func (o outcome) name(e *failure.Error) string {
 	switch {
 	case o == outcomeComplete:
