--- a/internal/entry/key_holders.go
+++ b/internal/entry/key_holders.go
@@ -9,25 +9,23 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// The resends of one idempotent request may reach any entry. Each key has a
-// home entry, found by rendezvous hashing, which knows the entry that runs the
-// request or keeps its answer; the others attach to that one. Only a few bytes
-// a key go to the home, and nothing is written to a disk: when the home is lost
-// a resend may run the request again, which its caller has allowed by calling
-// it idempotent.
+// The resends of one idempotent request may reach any entry. Each key has a home entry, found
+// by rendezvous hashing. The home knows which entry runs the request or keeps its answer, and
+// the other entries attach to that one. Only a few bytes for each key go to the home, and
+// nothing is written to disk. If the home is lost, a resend may run the request again, which
+// the caller has allowed by declaring it idempotent.
 
-// maxHolders bounds the keys that one home remembers; the oldest go first.
+// maxHolders is how many keys one home remembers; the oldest are removed first.
 const maxHolders = 100_000
 
-// holders is what one home entry knows. It has no clock and is not safe for
-// concurrent use.
+// holders is the key table of one home entry. It has no clock and is not safe for concurrent
+// use.
 type holders struct {
 	keys map[string]*holder
 	// order lists the keys, oldest first.
 	order *list.List
-	// unsureUntil is until when an unknown key may have been held before: this
-	// home has started, the set of entries has changed, or keys were dropped to
-	// make room.
+	// assumeBegunUntil is until when an unknown key counts as run before: this home has
+	// started, the set of entries has changed, or keys were removed to free capacity.
 	assumeBegunUntil time.Time
 }
 
@@ -35,7 +33,7 @@
 	key         string
 	fingerprint string
 	entry       string
-	// job is the holder's run; a late word of an earlier run frees nothing.
+	// job is the holder's run. A late release of an earlier run frees nothing.
 	job     string
 	begun   bool
 	until   time.Time
@@ -46,14 +44,14 @@
 	return &holders{keys: make(map[string]*holder), order: list.New()}
 }
 
-// holdAnswer is the answer to a hold.
+// holdResult is the result of a hold.
 type holdResult struct {
 	entry  string
 	reused bool
 	begun  bool
 }
 
-// hold makes an entry the holder of a key that has none, and says who holds it.
+// hold makes an entry the holder of a key that has none, and returns the key's holder.
 func (h *holders) hold(now time.Time, key, fingerprint, entry, job string, lifetime time.Duration) holdResult {
 	old, ok := h.keys[key]
 	if ok && now.After(old.until) {
@@ -75,8 +73,8 @@
 	return holdResult{entry: old.entry, begun: old.begun}
 }
 
-// release notes how the holder's run ended. A run that began and has no whole
-// answer leaves a mark, so that no later refusal of the key says "not run".
+// release records how the holder's run ended. A run that began and has no complete answer
+// leaves a mark, so that no later refusal of the key claims that the request did not run.
 //
 // An empty job frees the key from an entry that could not be reached.
 func (h *holders) release(now time.Time, key, entry, job string, complete, begun bool) {
@@ -96,8 +94,7 @@
 	old.entry = ""
 }
 
-// unsure notes that a key unknown here may have been held before, for as long
-// as any run of it may go on.
+// assumeBegun makes unknown keys count as run before, for as long as any run of them may go on.
 func (h *holders) assumeBegun(now time.Time) {
 	h.assumeBegunUntil = now.Add(maxTimeout + keptFor)
 }
@@ -116,8 +113,8 @@
 	delete(h.keys, old.key)
 }
 
-// homeOf returns the entry that is home to a key: the one of greatest
-// rendezvous weight, so that a lost entry moves its own keys alone.
+// homeOf returns the home entry of a key: the one of greatest rendezvous weight. So the loss of
+// an entry moves only the keys that it was home to.
 func homeOf(key string, entries map[string]blackboard.Entry) string {
 	home, best := "", uint64(0)
 	for id := range entries {
--- a/internal/entry/key_holders_test.go
+++ b/internal/entry/key_holders_test.go
@@ -19,9 +19,9 @@
 	assert.Equal(t, h.hold(at.Add(2*time.Minute), "k", "b", "e2", "j2", time.Minute), holdResult{entry: "e2"})
 }
 
-// A job runs in part and fails; its caller is told that it may have run. The
-// caller resends to another entry, which is full and refuses. It must not say
-// "not run".
+// A job runs in part and fails; its caller is told that it may have run. The caller resends to
+// another entry, which is full and refuses. The refusal must not state that the request did not
+// run.
 func TestBegunRunIsRemembered(t *testing.T) {
 	at := time.Unix(0, 0)
 	for _, c := range []struct {
@@ -44,8 +44,8 @@
 	}
 }
 
-// A home restarts and has forgotten that a key ran. A resend is refused by
-// another entry: it must not say "not run".
+// A home restarts and has lost the information that a key ran. Another entry that refuses a
+// resend must not state that the request did not run.
 func TestRestartedHomeAssumesRunsBegan(t *testing.T) {
 	at := time.Unix(0, 0)
 	h := newHolders()
@@ -64,8 +64,8 @@
 	assert.Equal(t, h.order.Len(), maxHolders)
 }
 
-// One of nine entries is lost. Only the keys that it was home to may move:
-// resends of all others must still find their holder.
+// One of nine entries is lost. Only the keys that it was home to may move: resends of all
+// others must still find their holder.
 func TestLostEntryMovesOnlyItsOwnKeys(t *testing.T) {
 	entries := map[string]blackboard.Entry{}
 	for i := range 9 {
--- a/internal/entry/key_home.go
+++ b/internal/entry/key_home.go
@@ -15,21 +15,21 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Times of asking a key's home and holder.
+// Times of calls to a key's home and holder.
 const (
-	// homeTimeout bounds the question to the home. Past it the request runs
-	// here, as if nobody held its key.
+	// homeTimeout is the time limit of a call to the home. Past it the request runs here, as if
+	// no entry held its key.
 	homeTimeout = 300 * time.Millisecond
-	// holderGap is how long a holder's stream may be silent; the holder sends
-	// a line at least every holderBeat.
+	// holderGap is how long a holder's stream may be silent. The holder sends a line at least
+	// every holderHeartbeat.
 	holderGap       = 2 * time.Second
 	holderHeartbeat = 500 * time.Millisecond
-	// holderTries bounds how often a request that loses its holder asks again.
+	// holderTries is how often a request that loses its holder asks the home again.
 	holderTries = 3
 )
 
-// answeredByHolder tells whether the job got its answer from another entry that
-// holds its key. Otherwise this entry is the holder and the job runs here.
+// answeredByHolder reports whether the job got its answer from another entry that holds its
+// key. Otherwise this entry is the holder and the job runs here.
 func (s *Server) answeredByHolder(j *job) (bool, *failure.Error) {
 	if j.key == "" || j.nonIdempotent {
 		return false, nil
@@ -59,8 +59,8 @@
 	return false, nil
 }
 
-// hold asks the home of the job's key. An entry that is its own home asks
-// itself.
+// holdKey asks the home of the job's key for its holder. An entry that is the home itself
+// answers locally.
 func (s *Server) holdKey(j *job) (*noderpc.HoldReply, error) {
 	r := &noderpc.HoldRequest{
 		ClusterId: s.o.Follower.Board().ClusterID, Key: j.key, Body: j.fingerprint, Entry: s.o.ID, Job: j.id,
@@ -76,8 +76,8 @@
 	return reply, errors.Trace(err)
 }
 
-// release tells the home how the run ended. A resend that comes before the
-// home knows attaches here and finds the same.
+// releaseKey reports to the home how the run ended. A resend that arrives before the home knows
+// attaches here and gets the same result.
 func (s *Server) releaseKey(j *job, complete, begun bool) {
 	if !j.isHolder {
 		return
@@ -88,14 +88,14 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), homeTimeout)
 	defer cancel()
-	// If this fails the key stays held until its lifetime ends, and resends
-	// attach to this entry.
+	// If this fails, the key stays held until its lifetime ends, and resends attach to this
+	// entry.
 	_, _ = client.Release(ctx, &noderpc.ReleaseRequest{
 		ClusterId: s.o.Follower.Board().ClusterID, Key: j.key, Entry: s.o.ID, Job: j.id, Whole: complete, Begun: begun,
 	})
 }
 
-// forsake frees a key whose holder could not be read.
+// freeKey frees a key whose holder could not be read.
 func (s *Server) freeKey(j *job, holder string) {
 	client, err := s.homeClient(j.key)
 	if err != nil {
@@ -120,7 +120,7 @@
 	return s.entryClient(id, entries[id]), nil
 }
 
-// peerEntry returns the client of an entry; this one asks itself.
+// entryClient returns the client of an entry. The client of this entry calls it directly.
 func (s *Server) entryClient(id string, e blackboard.Entry) noderpc.Entries {
 	if id == s.o.ID {
 		return localHome{s}
@@ -128,10 +128,10 @@
 	return noderpc.NewEntriesProtobufClient("http://"+e.PeerAddress, s.o.Peers)
 }
 
-// localHome is this entry as the home of a key.
+// localHome is this entry as the home of keys.
 type localHome struct{ s *Server }
 
-// Hold answers the question who holds a key.
+// Hold returns the holder of a key; the caller becomes the holder if there is none.
 func (h localHome) Hold(_ context.Context, r *noderpc.HoldRequest) (*noderpc.HoldReply, error) {
 	h.s.holdersMu.Lock()
 	defer h.s.holdersMu.Unlock()
@@ -139,7 +139,7 @@
 	return &noderpc.HoldReply{Holder: got.entry, Reused: got.reused, Begun: got.begun}, nil
 }
 
-// Release notes how a holder's run ended.
+// Release records how a holder's run ended.
 func (h localHome) Release(_ context.Context, r *noderpc.ReleaseRequest) (*noderpc.ReleaseReply, error) {
 	h.s.holdersMu.Lock()
 	defer h.s.holdersMu.Unlock()
@@ -147,7 +147,7 @@
 	return &noderpc.ReleaseReply{}, nil
 }
 
-// Home returns what this entry serves to its peers as the home of keys.
+// Home returns the service that this entry offers its peers as the home of keys.
 func (s *Server) Home() HomeService { return localHome{s} }
 
 // HomeService is the part of the entries' protocol that homes serve.
@@ -157,36 +157,36 @@
 	LendRetry(context.Context, *noderpc.LendRetryRequest) (*noderpc.LendRetryReply, error)
 }
 
-// PathAnswers is where an entry gives its peers the answer of a key.
+// PathAnswers is the path at which an entry serves its peers the answer of a key.
 const PathAnswers = "/entry/v1/answers"
 
-// part is one line of an answer as one entry gives it to another. An empty
-// part says that the holder is at work.
+// part is one line of an answer as one entry sends it to another. An empty part is a heartbeat:
+// the holder is still running the request.
 type part struct {
-	// At is the position of the first of Tokens.
+	// At is the index of the first of Tokens.
 	At     int            `json:"at,omitempty"`
 	Tokens []string       `json:"tokens,omitempty"`
 	End    bool           `json:"end,omitempty"`
 	Finish string         `json:"finish,omitempty"`
 	Failed *failure.Error `json:"failed,omitempty"`
-	// RetryAfterMillis goes with Failed.
+	// RetryAfterMillis belongs to Failed.
 	RetryAfterMillis int64              `json:"retry_after_ms,omitempty"`
 	Service          *serviceAnswerPart `json:"service,omitempty"`
 }
 
-// servicedPart is a plain service's whole answer.
+// serviceAnswerPart is a plain service's complete answer.
 type serviceAnswerPart struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
 }
 
-// ServeAnswers gives a peer the answer of a key that is held here, from the
-// start and as it grows.
+// ServeAnswers streams the answer of a key that this entry holds to a peer, from the start and
+// as it grows.
 func (s *Server) ServeAnswers(w http.ResponseWriter, r *http.Request) {
 	j, ok := s.jobs.join(r.URL.Query().Get("key"))
 	if !ok {
-		failure.Write(w, failure.New(failure.TypeNotFound, "the key is not held here"))
+		failure.Write(w, failure.New(failure.TypeNotFound, "this entry does not hold the key"))
 		return
 	}
 	defer s.detach(j)
@@ -222,9 +222,8 @@
 	return line
 }
 
-// readHolder reads the answer from the entry that holds the key. It returns
-// false when the holder was lost before the end; the tokens read so far stay
-// and the job goes on from there.
+// readHolder reads the answer from the entry that holds the key. It returns false if the holder
+// was lost before the end. The tokens read so far stay, and the job resumes from there.
 func (s *Server) readHolder(j *job, holder string) (bool, *failure.Error) {
 	entry, ok := s.o.Follower.Board().Entries[holder]
 	if !ok {
@@ -248,7 +247,7 @@
 	return readParts(w, j, response)
 }
 
-// maxPart bounds one line of a peer's answer: a plain service's whole answer
+// maxPart is the longest line of a peer's answer, in bytes: a plain service's complete answer
 // in base64, and its header.
 const maxPart = 2 * maxServiceAnswer
 
@@ -273,8 +272,8 @@
 	return false, nil
 }
 
-// takePart adds the tokens that the job does not have yet: it may have read
-// some from a holder before.
+// addPart adds the tokens that the job does not have yet. It may have read some from an earlier
+// holder.
 func (j *job) addPart(p part) {
 	for i, text := range p.Tokens {
 		if p.At+i == j.answer.length() {
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -6,7 +6,8 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// keyIndex finds a workspace by the hash of its key.
+// keyIndex finds a workspace by the hash of its key. It rebuilds its index when the
+// configuration changes. It is safe for concurrent use.
 type keyIndex struct {
 	mu       sync.Mutex
 	revision uint64
