--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -16,8 +16,7 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// Forwarded is a caller's HTTP request for a route, as an ingress has decoded
-// it.
+// Forwarded is a caller's HTTP request for a route, as an ingress has decoded it.
 type Forwarded struct {
 	// ID is the caller's own id of this send.
 	ID string
@@ -25,59 +24,60 @@
 	Key    string
 	Host   string
 	Method string
-	// Path is the request's path, Target the path with its query as sent.
+	// Path is the request's path; Target is the path with its query, as sent.
 	Path, Target string
 	Header       http.Header
 	Body         []byte
-	// Timeout is how long the caller waits; 0 if it does not say.
+	// Timeout is how long the caller waits; 0 if the caller does not state it.
 	Timeout time.Duration
-	// Model is the model asked for; empty for plain services.
+	// Model is the requested model; empty for plain services.
 	Model string
-	// PromptTokens and AnswerTokens are the caller's counts of the prompt and of
-	// the longest answer; 0 if it does not say.
+	// PromptTokens and AnswerTokens are the caller's counts of the prompt and of the longest
+	// answer, in tokens; 0 if the caller does not state them.
 	PromptTokens, AnswerTokens int
-	// Resume asks for the events after ResumeAfter.
+	// Resume asks for the events after the event with id ResumeAfter.
 	Resume      bool
 	ResumeAfter uint64
 }
 
-// forwarding is the part of a job that only forwarded requests have.
+// forwarding is the state that only jobs of forwarded requests have.
 type forwarding struct {
 	request Forwarded
 	route   blackboard.Route
 	w       http.ResponseWriter
 	tokens  int
-	// service is the one of the route that takes the request.
+	// service is the route's service that receives the request.
 	service string
-	// priority is the workspace's.
+	// priority is the workspace's priority.
 	priority int
-	// begun says that a part of the answer has been written.
+	// begun is set once a part of the answer has been written.
 	begun bool
-	// out writes a stream to the caller; nil until it has begun.
+	// out writes a stream to the caller; nil until the stream has begun.
 	out *streamWriter
-	// held is how much of whole answers counts towards the entry's memory, in bytes.
+	// reservedBytes is the part of the entry's memory budget that buffered answers of this
+	// request use.
 	reservedBytes int
-	// resume and last name the last event that the caller has.
+	// resume and last identify the last event that the caller has received.
 	resume bool
 	last   uint64
-	// failed is the backend server's own failure. It is passed on when no
-	// further attempt is made.
+	// backendFailure is the backend server's own error answer. It is passed on if no further
+	// attempt is made.
 	backendFailure *bufferedAnswer
 }
 
-// heldAnswer is a whole answer that is not written yet.
+// bufferedAnswer is a complete answer that is not written yet.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// forwardSequence makes jobs' ids unique where callers' ids are not.
+// forwardSequence makes the ids of jobs unique where callers' ids are not.
 var forwardSequence atomic.Uint64
 
-// Forward answers a request of a route. It returns a failure when nothing has
-// been written to w, and panics with http.ErrAbortHandler when the answer that
-// has begun can't be completed, so that no caller takes it for a whole one.
+// Forward answers a request of a route. It returns a failure if nothing has been written to w.
+// It panics with http.ErrAbortHandler if an answer that has begun can't be completed, so that
+// no caller takes it for a complete one.
 func (s *Server) Forward(ctx context.Context, w http.ResponseWriter, f Forwarded) *failure.Error {
 	s.awaitConfiguration(ctx)
 	j, e := s.resolveForward(f)
@@ -97,7 +97,7 @@
 	return e
 }
 
-// takeForward finds the route and the workspace of a request.
+// resolveForward finds the route and the workspace of a request and returns its job.
 func (s *Server) resolveForward(f Forwarded) (*job, *failure.Error) {
 	if e := s.mayAdmit(); e != nil {
 		return nil, e
@@ -122,8 +122,8 @@
 	return j, nil
 }
 
-// noConfigurationRetryAfter is about the time until a process that has just
-// started has its first configuration.
+// noConfigurationRetryAfter is about the time that a restarted process takes to receive its
+// first configuration.
 const noConfigurationRetryAfter = 500 * time.Millisecond
 
 func (s *Server) forwardWorkspace(table *routingTable, route blackboard.Route, key string) (string, *failure.Error) {
@@ -171,7 +171,7 @@
 	return j
 }
 
-// engineTokens estimates the work of a request for an engine.
+// engineTokens estimates the work of a request for an engine, in tokens.
 func engineTokens(e *blackboard.EngineSpec, f Forwarded) int {
 	prompt, answer := f.PromptTokens, f.AnswerTokens
 	if prompt == 0 {
@@ -183,8 +183,8 @@
 	return max(1, prompt+answer)
 }
 
-// draw maps a request's id to [0, 1), so that its part of a split route does
-// not depend on the entry.
+// hashFraction maps an id to [0, 1). A request of a split route gets the same service on every
+// entry.
 func hashFraction(id string) float64 {
 	const bits = 53
 	return float64(xxhash.Sum64String(id)>>(64-bits)) / (1 << bits)
@@ -219,13 +219,13 @@
 	return p.failed
 }
 
-// end waits until the caller has been written all that it gets of a stream.
+// end waits until the caller has been sent its complete part of a stream.
 func (f *forwarding) end() *failure.Error {
 	if f.out == nil {
 		return nil
 	}
 	if err := f.out.close(); err != nil {
-		return failure.New(failure.TypeOutcomeUnknown, "the caller is gone: "+err.Error()).WithRan(failure.RanUnknown)
+		return failure.New(failure.TypeOutcomeUnknown, "the caller disconnected: "+err.Error()).WithRan(failure.RanUnknown)
 	}
 	return nil
 }
@@ -235,12 +235,12 @@
 	f.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	f.w.WriteHeader(a.status)
 	f.begun = true
-	// A write fails only when the caller is gone.
+	// A write fails only when the caller has disconnected.
 	_, _ = f.w.Write(a.body)
 }
 
-// copyHeader sets the header of an answer that is passed on. Without a type of
-// its own, net/http would guess one.
+// copyHeader sets the header of a forwarded answer. Without a Content-Type, net/http would
+// guess one.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		to[name] = values
@@ -250,7 +250,7 @@
 	}
 }
 
-// attemptForward makes one attempt at a forwarded request.
+// attemptForward makes one attempt of a forwarded request.
 func (s *Server) attemptForward(j *job, g grant) (outcome, *failure.Error) {
 	began := time.Now()
 	result := placement.Result{Tokens: 1}
@@ -294,12 +294,12 @@
 	return s.relayAnswer(j, answer)
 }
 
-// streamGap ends a stream that brings nothing while others of its group do: its
-// connection has gone silent, or it alone was dropped. Requests that are put
-// back for want of memory may wait about a second.
+// streamGap is the longest pause of one stream while other streams of its group make progress.
+// Past it, the connection has gone silent or this stream alone was dropped. A request that an
+// engine puts back for lack of memory may pause for about a second.
 const streamGap = 1200 * time.Millisecond
 
-// passFailed sorts a failed attempt by what is certain of it.
+// classifyRelayError returns the outcome of a failed attempt by what is certain about it.
 func (s *Server) classifyRelayError(j *job, g grant, w *watchdog, err error) (outcome, *failure.Error) {
 	switch {
 	case j.ctx.Err() != nil:
@@ -323,8 +323,8 @@
 	}
 }
 
-// loadOf turns what a backend server says of itself into placement's terms: it
-// counts requests, placement counts their work.
+// placementLoad converts the load that a backend server reports: the server counts requests,
+// placement counts tokens of work.
 func (s *Server) placementLoad(j *job, l *backend.ServerLoad) placement.Load {
 	tokensPerRequest := 1
 	if table := s.routing.Load(); table != nil {
@@ -336,12 +336,11 @@
 	return placement.Load{Running: l.Running, Queued: l.Queued, TokensInFlight: (l.Running + l.Queued) * tokensPerRequest, At: time.Now()}
 }
 
-// judge finds an answer that may not be passed on.
+// checkAnswer finds an answer that must not be passed on; it returns true for one.
 //
-// Failure: a backend server sends a second answer to an earlier request where
-// the answer to this one is due, or bytes that prove nothing; the caller would
-// get another caller's answer. The id that the backend server echoes and its
-// proof tell them.
+// A backend server may send a late answer to an earlier request, or bytes without a valid
+// proof. Passed on, the caller would get another caller's answer. The request id that the
+// backend server echoes and its proof tell such answers apart.
 func (j *job) checkAnswer(m *memoryBudget, a *backend.ForwardAnswer) (outcome, *failure.Error, bool) {
 	switch {
 	case a.Foreign:
@@ -350,15 +349,15 @@
 		e := failure.New(failure.TypeOverloaded, "the backend server did not take the request, status "+strconv.Itoa(a.Status))
 		return outcomeRejected, e.WithRetryAfter(time.Second), true
 	case a.Status < http.StatusMultipleChoices && !a.Proven:
-		return outcomeBroken, failure.New(failure.TypeBackendFailed, "the answer lacks the backend server's proof"), true
+		return outcomeBroken, failure.New(failure.TypeBackendFailed, "the answer carries no valid proof of the backend server"), true
 	case a.Status >= http.StatusInternalServerError:
 		return j.bufferFailure(m, a)
 	}
 	return outcomeComplete, nil, false
 }
 
-// hold keeps a failure of the backend server's own for when no further attempt
-// is made.
+// bufferFailure keeps the backend server's own error answer for when no further attempt is
+// made.
 func (j *job) bufferFailure(m *memoryBudget, a *backend.ForwardAnswer) (outcome, *failure.Error, bool) {
 	e := failure.New(failure.TypeBackendFailed, "the backend server answered "+strconv.Itoa(a.Status))
 	body, err := j.readComplete(m, a)
--- a/internal/entry/forward_bench_test.go
+++ b/internal/entry/forward_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// discard is a caller that takes everything, as far as the relay can see.
+// discard is a caller whose connection accepts every write at once.
 type discard struct{ header http.Header }
 
 func (d discard) Header() http.Header         { return d.header }
@@ -18,8 +18,8 @@
 func (d discard) WriteHeader(int)             {}
 func (d discard) Flush()                      {}
 
-// BenchmarkRelayEvent measures what one event of a stream costs an entry apart
-// from its request, without the system calls on both sides.
+// BenchmarkRelayEvent measures the cost of relaying one event of a stream, without its share of
+// the request's cost and without the system calls on both sides.
 func BenchmarkRelayEvent(b *testing.B) {
 	ids := make([]string, b.N)
 	for i := range ids {
--- a/internal/entry/forward_relay.go
+++ b/internal/entry/forward_relay.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// eventBuffer is the read buffer of one open stream, some twenty ordinary
-	// events.
+	// eventBuffer is the read buffer of one open stream in bytes, about twenty ordinary events.
 	eventBuffer = 4 << 10
-	// answerChunk is how much of a whole answer is read at once, in bytes.
+	// answerChunk is how much of an answer that is not streamed is read at once, in bytes.
 	answerChunk = 32 << 10
-	// maxEvent bounds one event in bytes.
+	// maxEvent is the largest event, in bytes.
 	maxEvent = 1 << 20
 )
 
 // errAnswerTooLong is returned for an answer over maxServiceAnswer.
 const errAnswerTooLong = errors.ConstError("the answer is over the limit")
 
-// readWhole reads an answer to its end. One that ends early is an error. What is held
-// counts until the caller has it; while there is no room, the answer is not read.
+// readComplete reads an answer to its end; one that ends early is an error. Its bytes count
+// towards the memory budget until the caller has received them. While the budget is used up,
+// the answer is not read.
 func (j *job) readComplete(m *memoryBudget, a *backend.ForwardAnswer) ([]byte, error) {
 	var body bytes.Buffer
 	for {
@@ -50,7 +50,7 @@
 	}
 }
 
-// relayAnswer passes on an answer that is not a stream, once it is whole.
+// relayAnswer passes on an answer that is not a stream once it is complete.
 func (s *Server) relayAnswer(j *job, a *backend.ForwardAnswer) (outcome, *failure.Error) {
 	body, err := j.readComplete(s.memory, a)
 	if err != nil {
@@ -61,9 +61,8 @@
 	return outcomeComplete, nil
 }
 
-// relayEvents passes on a stream event by event. Only whole events are passed
-// on, in increasing order of their ids, so that another run can go on after the
-// last one.
+// relayEvents passes on a stream event by event. Only complete events are passed on, in
+// increasing order of their ids, so that another run can resume after the last one.
 func (s *Server) relayEvents(j *job, g grant, w *watchdog, a *backend.ForwardAnswer, result *placement.Result, began time.Time) (outcome, *failure.Error) {
 	events := newEventReader(a.Body)
 	progress := g.route.progress
@@ -96,7 +95,7 @@
 	}
 }
 
-// start writes the head of the stream's first run.
+// writeHead writes the status and header of the stream's first run.
 func (f *forwarding) writeHead(m *memoryBudget, a *backend.ForwardAnswer) {
 	if f.begun {
 		return
@@ -107,7 +106,7 @@
 	f.out = newStreamWriter(f.w, m)
 }
 
-// pass passes one event on, unless the caller has it already.
+// relayEvent passes one event on, unless the caller has received it already.
 func (j *job) relayEvent(m *memoryBudget, a *backend.ForwardAnswer, e event, flush bool) error {
 	f := j.forward
 	if e.numbered {
@@ -120,15 +119,15 @@
 	return errors.Trace(f.out.enqueue(j.ctx, e.bytes, flush))
 }
 
-// event is one server-sent event as it came.
+// event is one server-sent event as received.
 type event struct {
 	bytes    []byte
 	id       uint64
 	numbered bool
 }
 
-// eventReader cuts a stream into events. An event's bytes are valid until the
-// next one is read.
+// eventReader splits a stream into events. An event's bytes are valid until the next event is
+// read.
 type eventReader struct {
 	r   *bufio.Reader
 	buf []byte
@@ -140,8 +139,8 @@
 
 var idField = []byte("id:")
 
-// next returns the next whole event, io.EOF at the end of a stream that ends
-// after a whole event, and backend.ErrCut when it ends within one.
+// next returns the next complete event. It returns io.EOF at the end of a stream that ends
+// after a complete event, and backend.ErrCut if the stream ends within one.
 func (r *eventReader) next() (event, error) {
 	r.buf = r.buf[:0]
 	e := event{}
@@ -168,7 +167,7 @@
 	}
 }
 
-// line appends one line, with its end, to the buffer.
+// line appends one line, with its line end, to the buffer.
 func (r *eventReader) line() error {
 	for {
 		part, err := r.r.ReadSlice('\n')
@@ -184,6 +183,6 @@
 	}
 }
 
-// drained tells whether nothing more has arrived, so that what was written
-// should leave now.
+// isDrained reports whether nothing more has arrived, so that the bytes written so far should
+// be flushed now.
 func (r *eventReader) isDrained() bool { return r.r.Buffered() == 0 }
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -32,7 +32,7 @@
 func (f fixedBoard) Lease() time.Duration     { return f.lease }
 func (f fixedBoard) Granted() time.Duration   { return f.lease }
 
-// scripted is a Forwarder that answers each call in turn.
+// scriptedForwarder is a Forwarder that gives its answers in order.
 type scriptedForwarder struct {
 	mu      sync.Mutex
 	answers []func(backend.ForwardCall) (*backend.ForwardAnswer, error)
@@ -80,8 +80,8 @@
 	return b.String()
 }
 
-// unconfigured is an entry before a plain service of three instances and a route
-// of each kind to it, which has not taken its configuration in.
+// unconfiguredServer returns an entry with a plain service of three instances and a route of
+// each kind to the service. The entry has not applied its configuration yet.
 func unconfiguredServer(t *testing.T, f *scriptedForwarder) *Server {
 	t.Helper()
 	key := auth.KeyHash("good")
@@ -123,7 +123,7 @@
 	return s
 }
 
-// routed returns a server that has taken its configuration in.
+// configuredServer returns an entry that has applied its configuration.
 func configuredServer(t *testing.T, f *scriptedForwarder) *Server {
 	s := unconfiguredServer(t, f)
 	s.BoardChanged(s.o.Follower.Board())
@@ -131,8 +131,8 @@
 	return s
 }
 
-// send sends one request and returns what the caller sees. aborted says
-// that its connection was broken off.
+// send sends one request and returns what the caller receives. aborted reports whether its
+// connection was aborted.
 func send(s *Server, f Forwarded) (w *httptest.ResponseRecorder, e *failure.Error, aborted bool) {
 	w = httptest.NewRecorder()
 	defer func() { aborted = recover() == http.ErrAbortHandler }()
@@ -143,9 +143,8 @@
 	return w, s.Forward(context.Background(), w, f), false
 }
 
-// A stream is cut after its second event and in the middle of the third. Its
-// caller must get each event once and in order, the rest from another run that
-// was asked to go on after the second.
+// A stream is cut within its third event. The caller must receive each event once and in order,
+// the rest from another run that was asked to resume after the second event.
 func TestCutStreamResumesInAnotherRun(t *testing.T) {
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
 		answerWith(200, events("1", "2")+"id: 3\ndata: tok", true),
@@ -160,7 +159,7 @@
 	assert.Equal(t, w.Header().Get("Served-By"), f.calls[0].Incarnation)
 }
 
-// The second run sends events again that the caller has. They must not reach it
+// The second run repeats events that the caller has received. They must not reach the caller
 // twice.
 func TestResumedStreamSkipsRepeatedEvents(t *testing.T) {
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
@@ -172,8 +171,8 @@
 	assert.Equal(t, w.Body.String(), events("1", "2", "3"))
 }
 
-// A stream that may not be resumed is cut. Its caller must see a broken
-// connection, not an end, and no second run may begin.
+// A stream that may not be resumed is cut. Its caller must see an aborted connection, not a
+// regular end, and no second run may begin.
 func TestCutStreamThatIsNotResumableAborts(t *testing.T) {
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
 		answerWith(200, events("1"), true), answerWith(200, events("1"), false),
@@ -183,9 +182,8 @@
 	assert.Equal(t, len(f.calls), 1)
 }
 
-// A backend server takes a non-idempotent request and its answer is lost. The
-// request must not be sent again, and its caller must not be told that it did
-// not run.
+// A backend server accepts a non-idempotent request and its answer is lost. The request must
+// not be sent again, and its caller must not be told that it did not run.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	lost := func(c backend.ForwardCall) (*backend.ForwardAnswer, error) {
 		return nil, &backend.CallError{Address: c.Address, Sent: backend.SentUnknown}
@@ -197,8 +195,8 @@
 	assert.Assert(t, f.calls[0].Fresh)
 }
 
-// A backend server says that it did not run a non-idempotent request. Another
-// may be asked then, and when that refuses too, "not run" is true.
+// A backend server states that it did not run a non-idempotent request. Another may be asked
+// then. If that one refuses too, the caller may be told that the request did not run.
 func TestNonIdempotentRequestThatDidNotRunIsRetried(t *testing.T) {
 	refusing := func(backend.ForwardCall) (*backend.ForwardAnswer, error) {
 		return &backend.ForwardAnswer{Status: 503, NotRun: true, Body: io.NopCloser(strings.NewReader(""))}, nil
@@ -214,7 +212,7 @@
 	assert.Equal(t, e.Ran, failure.RanNo)
 }
 
-// The answer to another request arrives where this one's is due, or one without
+// The answer to another request arrives in place of this one's, or an answer without a valid
 // proof. Neither may reach the caller.
 func TestForeignOrUnprovenAnswerIsNotPassedOn(t *testing.T) {
 	for name, spoil := range map[string]func(*backend.ForwardAnswer){
@@ -237,8 +235,8 @@
 	}
 }
 
-// A backend server fails an idempotent request. It is tried again; when that
-// fails as well, the caller gets the backend server's own answer.
+// A backend server fails an idempotent request, which is tried again. If that fails as well,
+// the caller gets the backend server's own answer.
 func TestBackendServersOwnFailureIsPassedOnAfterRetries(t *testing.T) {
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
 		answerWith(500, "first", false), answerWith(500, "second", false),
@@ -259,9 +257,8 @@
 	assert.Equal(t, e.Type, failure.TypeUnauthenticated)
 }
 
-// An entry starts while the control processes can't be reached. It knows no
-// route and no key; it must say that the request did not run, never that there
-// is no such route.
+// An entry starts while the control processes can't be reached. It knows no route and no key.
+// It must state that the request did not run, and never that there is no such route.
 func TestEntryWithoutConfigurationRefusesAsStale(t *testing.T) {
 	follower := fixedBoard{board: blackboard.New()}
 	s := NewServer(Options{
@@ -273,9 +270,10 @@
 	assert.Assert(t, s.Ready() != nil)
 }
 
-// Backend servers lose the answers of some requests, which may run again. What
-// the requests of their service have earned must pay for it, whichever workspaces
-// they are of; refused for want of a budget, callers would spend their own retries.
+// Backend servers lose the answers of some requests that may run again. The retries must be
+// paid from the budget that the requests of their service have earned, whichever workspaces
+// they belong to. If they were refused for lack of budget, callers would spend their own
+// retries.
 func TestRetryBudgetIsPerService(t *testing.T) {
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
 		answerWith(200, "1", false), answerWith(200, "2", false), answerWith(200, "cut", true), answerWith(200, "whole", false),
@@ -294,9 +292,9 @@
 	assert.Equal(t, e.Detail, "no further attempt: the retry budget of service files is spent")
 }
 
-// A backend server that is full says that it has not run the request. Sending it
-// elsewhere adds load too, so it is paid from the same budget; past it the
-// caller is told that the request did not run.
+// A full backend server states that it has not run the request. Sending the request elsewhere
+// adds load too, so it is paid from the same budget. With the budget spent, the caller is told
+// that the request did not run.
 func TestRejectedAttemptsUseRetryBudget(t *testing.T) {
 	rejected := func(backend.ForwardCall) (*backend.ForwardAnswer, error) {
 		return &backend.ForwardAnswer{Status: 503, NotRun: true, Body: io.NopCloser(strings.NewReader(""))}, nil
@@ -309,10 +307,10 @@
 	assert.Equal(t, len(f.calls), 1)
 }
 
-// All processes restart after a loss of power, and callers connect before this
-// entry has heard from the control processes. A caller that is refused spends its
-// only retry, and all come back in the same moment. Its request must wait for the
-// configuration, which is about to come, and be served.
+// All processes restart after a power failure, and callers connect before this entry has
+// received a configuration from the control processes. A refused caller spends its only retry,
+// and all callers come back at the same moment. The request must wait for the configuration,
+// which is about to arrive, and be served.
 func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	s := unconfiguredServer(t, &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, "own", false)}})
 	answered := make(chan string)
@@ -326,9 +324,9 @@
 	assert.Equal(t, <-answered, "own")
 }
 
-// The control processes are lost for good while an entry restarts. Nobody knows
-// when there will be a configuration, so callers must be told at once once the
-// first moment is over, and not each be held for it.
+// The control processes are lost for good while an entry restarts. Nobody knows when there will
+// be a configuration. Once the entry's first second is over, it must refuse callers at once and
+// not hold each of them for the wait.
 func TestOnlyRecentlyStartedEntryLetsRequestsWait(t *testing.T) {
 	s := unconfiguredServer(t, &scriptedForwarder{})
 	s.startedAt = time.Now().Add(-firstConfigurationWait)
@@ -337,8 +335,8 @@
 	assert.Equal(t, e.Ran, failure.RanNo)
 }
 
-// The control processes are lost. An entry that is set to serve on does so
-// under the configuration that it has; any other refuses.
+// The control processes are lost. An entry that is set to serve without a lease does so under
+// its last configuration; any other refuses.
 func TestServingWithoutLease(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		s := configuredServer(t, &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, "x", false)}})
