--- a/internal/entry/memory_budget.go
+++ b/internal/entry/memory_budget.go
@@ -8,26 +8,26 @@
 	"github.com/juju/errors"
 )
 
-// memory bounds the bytes that an entry holds for callers and backend servers that read or
-// write slowly: request bodies, and answers that their callers have not read yet. It is safe
+// memoryBudget limits the bytes that an entry holds for callers and backend servers that read
+// or write slowly: request bodies, and answers that their callers have not read yet. It is safe
 // for concurrent use.
 type memoryBudget struct {
 	limit int64
 
 	mu   sync.Mutex
 	used int64
-	// freed closes when bytes are given back.
+	// freed is closed when bytes are released.
 	freed chan struct{}
 }
 
-// errMemory is returned for a body that the bound leaves no room for.
-const errMemoryLimit = errors.ConstError("this entry holds as much for its callers as it may")
+// errMemoryLimit is returned for a body that the budget has no capacity for.
+const errMemoryLimit = errors.ConstError("the memory limit of this entry for bodies and answers is reached")
 
 func newMemoryBudget(limit int64) *memoryBudget {
 	return &memoryBudget{limit: limit, freed: make(chan struct{})}
 }
 
-// take counts n bytes in, and tells whether there is room for them.
+// tryReserve reserves n bytes and reports whether there was capacity for them.
 func (m *memoryBudget) tryReserve(n int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,14 +38,14 @@
 	return true
 }
 
-// force counts n bytes in, whether there is room or not.
+// forceReserve reserves n bytes, whether or not there is capacity.
 func (m *memoryBudget) forceReserve(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.used += int64(n)
 }
 
-// give counts n bytes out.
+// release releases n bytes.
 func (m *memoryBudget) release(n int) {
 	if n == 0 {
 		return
@@ -57,14 +57,14 @@
 	m.freed = make(chan struct{})
 }
 
-// held returns the bytes that are counted in.
+// reserved returns the number of reserved bytes.
 func (m *memoryBudget) reserved() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.used
 }
 
-// await counts n bytes in once there is room for them.
+// reserve waits until there is capacity for n bytes and reserves them.
 func (m *memoryBudget) reserve(ctx context.Context, n int) error {
 	for {
 		m.mu.Lock()
@@ -81,18 +81,18 @@
 	}
 }
 
-// Body is a request's body that counts towards what the entry holds.
+// Body is a request's body whose bytes count towards the entry's memory budget.
 type Body struct {
 	from     io.Reader
 	memory   *memoryBudget
 	reserved int
 }
 
-// HoldBody returns the body of a request, whose bytes are counted from when they are read
-// until Release.
+// HoldBody returns the body of a request. Its bytes count towards the memory budget from when
+// they are read until Release.
 func (s *Server) HoldBody(from io.Reader) *Body { return &Body{from: from, memory: s.memory} }
 
-// Read reads the body, and fails where there is no room for more.
+// Read reads the body. It fails if the memory budget has no capacity for more.
 func (b *Body) Read(p []byte) (int, error) {
 	n, err := b.from.Read(p)
 	if !b.memory.tryReserve(n) {
@@ -102,11 +102,11 @@
 	return n, err
 }
 
-// Release counts the body out.
+// Release releases the bytes of the body.
 func (b *Body) Release() {
 	b.memory.release(b.reserved)
 	b.reserved = 0
 }
 
-// IsMemory tells whether a body could not be read for want of room.
+// IsMemory reports whether a body could not be read because the memory budget was used up.
 func IsMemory(err error) bool { return errors.Is(err, errMemoryLimit) }
--- a/internal/entry/stream_writer.go
+++ b/internal/entry/stream_writer.go
@@ -8,40 +8,41 @@
 	"github.com/juju/errors"
 )
 
-// outboxLimit bounds what is held of one stream for a caller that reads slowly, in bytes:
-// more than the whole answer of most requests.
+// streamBufferBytes is the most that is buffered of one stream for a caller that reads slowly.
+// It exceeds the complete answer of most requests.
 const streamBufferBytes = 64 << 10
 
-// outbox writes a stream to its caller and holds what the caller has not read yet.
+// streamWriter writes a stream to its caller and buffers what the caller has not read yet.
 //
-// Failure: a caller reads nothing for some seconds. Were its stream not read here meanwhile,
-// the backend server would hold the rest, and cut it off in the end.
+// It keeps reading the backend server's answer while a caller reads nothing for some seconds.
+// Otherwise the backend server would have to buffer the rest, and would cut the stream off in
+// the end.
 type streamWriter struct {
 	w      http.ResponseWriter
 	memory *memoryBudget
-	// waiting wakes the writer, room whoever waits to put more in; done closes when the
-	// writer has ended.
+	// dataReady wakes the writer, spaceFree wakes a goroutine that waits to add more. done is
+	// closed when the writer has ended.
 	dataReady, spaceFree chan struct{}
 	done                 chan struct{}
 
 	mu      sync.Mutex
 	pending []byte
-	// writing is how many bytes are being written.
+	// writingBytes is the size of the batch that is being written.
 	writingBytes int
 	flush        bool
 	ended        bool
 	err          error
 }
 
-// newOutbox returns an outbox whose writer runs. The header must have been written.
+// newStreamWriter returns a stream writer that has started. The header must have been written.
 func newStreamWriter(w http.ResponseWriter, m *memoryBudget) *streamWriter {
 	o := &streamWriter{w: w, memory: m, dataReady: make(chan struct{}, 1), spaceFree: make(chan struct{}, 1), done: make(chan struct{})}
 	go o.run()
 	return o
 }
 
-// put adds bytes to what the caller gets, and waits while too many are held. flush says that
-// they should leave now.
+// enqueue adds bytes to the stream and waits while the buffer is full. flush asks for them to
+// be sent without delay.
 func (o *streamWriter) enqueue(ctx context.Context, p []byte, flush bool) error {
 	for {
 		taken, err := o.tryEnqueue(p, flush)
@@ -56,7 +57,7 @@
 	}
 }
 
-// tryPut adds the bytes if there is room: an empty outbox takes any.
+// tryEnqueue adds the bytes if there is capacity. An empty buffer accepts any number of bytes.
 func (o *streamWriter) tryEnqueue(p []byte, flush bool) (bool, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -76,7 +77,7 @@
 	return true, nil
 }
 
-// write writes what is held until the outbox has ended.
+// run writes the buffered bytes until the stream has ended.
 func (o *streamWriter) run() {
 	defer close(o.done)
 	var spare []byte
@@ -91,7 +92,7 @@
 	}
 }
 
-// next takes out what is held, and leaves spare in its place.
+// takePending returns the buffered bytes and makes spare the new buffer.
 func (o *streamWriter) takePending(spare []byte) (batch []byte, flush, ended bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// wrote notes that a batch is no longer held.
+// releaseWritten releases the memory of a batch that has been written.
 func (o *streamWriter) releaseWritten(n int) {
 	o.mu.Lock()
 	o.writingBytes = 0
@@ -130,7 +131,8 @@
 	return o.err != nil
 }
 
-// close waits until all is written, and returns why it could not be.
+// close ends the stream and waits until all bytes are written. It returns the error of a failed
+// write.
 func (o *streamWriter) close() error {
 	o.mu.Lock()
 	o.ended = true
@@ -140,7 +142,7 @@
 	return o.err
 }
 
-// wake signals a channel of one place.
+// wake signals a channel that has a buffer of one.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/entry/stream_writer_test.go
+++ b/internal/entry/stream_writer_test.go
@@ -16,7 +16,7 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// slowCaller is a caller that reads nothing until it is let.
+// slowCaller is a caller that reads nothing until reads is closed.
 type slowCaller struct {
 	reads chan struct{}
 	mu    sync.Mutex
@@ -36,7 +36,7 @@
 	return c.got.Write(p)
 }
 
-// countedBody tells how much of an answer has been read.
+// countedBody counts how much of an answer has been read.
 type countedBody struct {
 	from io.Reader
 	mu   sync.Mutex
@@ -68,7 +68,7 @@
 	return b.read
 }
 
-// streamTo sends a request for a stream whose answer is text, to be read by the caller.
+// streamTo sends a request for a stream and relays body to the caller as its answer.
 func streamTo(s *Server, caller *slowCaller, body *countedBody) (ended chan struct{}) {
 	s.o.Forwarder = &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
 		func(backend.ForwardCall) (*backend.ForwardAnswer, error) {
@@ -91,8 +91,8 @@
 	return b.String()
 }
 
-// Guards against a backend server that holds an answer, and cuts it off, as the caller reads
-// nothing.
+// Guards against a caller that reads nothing and so makes the backend server buffer its answer
+// and cut it off.
 func TestSlowCallerDoesNotBlockBackendServer(t *testing.T) {
 	text := longStream(200)
 	s, caller, body := configuredServer(t, &scriptedForwarder{}), newSlowCaller(), newCountedBody(text)
@@ -105,7 +105,7 @@
 	assert.Equal(t, s.memory.reserved(), int64(0))
 }
 
-// Guards against an entry that runs out of memory by callers that read nothing.
+// Guards against an entry that runs out of memory because callers read nothing.
 func TestStreamBufferIsBounded(t *testing.T) {
 	for _, limit := range []int64{4 << 10, 1 << 30} {
 		text := longStream(2000)
@@ -126,8 +126,8 @@
 	}
 }
 
-// Guards against whole answers that are read without a bound while others wait for their
-// callers, and against one that is not delivered for it.
+// Guards against reading complete answers without a limit while others wait for their callers,
+// and against not delivering an answer because of the limit.
 func TestCompleteAnswerWaitsForMemory(t *testing.T) {
 	s := configuredServer(t, &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, "whole", false)}})
 	s.memory = newMemoryBudget(answerChunk)
@@ -139,7 +139,7 @@
 	}()
 	select {
 	case <-done:
-		t.Fatal("read without room")
+		t.Fatal("the answer was read without free memory")
 	case <-time.After(50 * time.Millisecond):
 	}
 	s.memory.release(1)
@@ -147,8 +147,8 @@
 	assert.Equal(t, s.memory.reserved(), int64(0))
 }
 
-// Guards against request bodies, sent on slowly by their callers or read slowly by backend
-// servers, that fill the memory.
+// Guards against request bodies that use up the memory because callers send them, or backend
+// servers read them, slowly.
 func TestRequestBodiesShareMemoryLimit(t *testing.T) {
 	s := configuredServer(t, &scriptedForwarder{})
 	s.memory = newMemoryBudget(1000)
