--- a/internal/entry/group_progress.go
+++ b/internal/entry/group_progress.go
@@ -13,62 +13,63 @@
 )
 
 const (
-	// stallAfter is how long none of a group's begun streams may bring an event
-	// before this entry takes the group for stalled, if the engines' figures do
-	// not say how long a pass takes.
+	// defaultSilenceLimit is the silence limit of a group whose engines' figures do not state
+	// how long a pass takes. Once none of a group's begun streams has delivered an event for
+	// this long, this entry considers the group stalled.
 	defaultSilenceLimit = 500 * time.Millisecond
-	// stallMargin is added to the longest pass, as a part of it, for the way and
-	// for engines that are a little slow.
+	// stallMargin is added to the longest pass, as a fraction of it, for network delay and for
+	// engines that are a little slow.
 	//
-	// Load: a member dies silently; the head holds all requests and takes new
-	// ones, and nothing moves until it gives up seconds later. Harm of less than
-	// a pass that computes prompts in each of its steps: groups in order are
-	// broken in a burst of long prompts. With 230 ms for all, where such a pass
-	// takes 330, the score of a day fell from 0.9 to 0.4.
+	// The silence limit guards against a member that dies silently: the head holds all requests
+	// and accepts new ones, and nothing progresses until the head gives up seconds later. A
+	// limit shorter than a pass that computes prompts in each of its steps breaks healthy
+	// groups in a burst of long prompts. With 230 ms for all groups, where such a pass takes
+	// 330 ms, the score of a day fell from 0.9 to 0.4.
 	stallMargin = 0.15
-	// stallHold is how long such a group gets nothing new from this entry if the
-	// leader does not break it.
+	// stallSuspension is how long this entry sends nothing new to a stalled group if the leader
+	// does not break the group.
 	stallSuspension = 3 * time.Second
-	// severalStreams is from how many silent streams on the group itself is the
-	// likely cause, and not one connection.
+	// silentStreamsForLoss is the number of silent streams from which on the group itself is
+	// the likely cause, and not one connection.
 	silentStreamsForLoss = 3
-	// lossAllowance is what a lost packet adds to a pause: the least time after
-	// which TCP sends it again, twice.
+	// packetLossAllowance is what a lost packet can add to a pause: twice TCP's least
+	// retransmission time-out.
 	packetLossAllowance = 400 * time.Millisecond
-	// tellAgain and tellLast are when the leader hears of a silence again.
+	// secondReportAfter and lastReportAfter are the lengths of a silence at which it is
+	// reported to the leader again.
 	secondReportAfter = time.Second
 	lastReportAfter   = 2 * time.Second
-	// suspectTimeout bounds the call that tells the leader.
+	// stallReportTimeout is the time limit of a call that reports stalled groups to the leader.
 	stallReportTimeout = time.Second
 )
 
-// errGroupLost is the cause of an attempt that is given up because its group
-// makes no progress or has been taken out of service.
+// errGroupLost is the cause of an attempt that ends because its group makes no progress or has
+// been taken out of service.
 const errGroupLost = errors.ConstError("the group makes no progress or is broken")
 
-// groupEpoch names one epoch of a group.
+// groupEpoch identifies one epoch of a group.
 type groupEpoch struct {
 	group string
 	epoch uint64
 }
 
-// groupProgress follows the streams of this entry on one epoch of a group.
+// groupProgress tracks the streams of this entry on one epoch of a group.
 type groupProgress struct {
-	// patience is how long all begun streams may bring nothing.
+	// silenceLimit is how long all begun streams may go without an event.
 	silenceLimit time.Duration
 
-	// ctx ends when the group is lost; attempts on it then end too.
+	// ctx ends when the group is lost; attempts on the group end with it.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
 	mu sync.Mutex
-	// begun counts the streams that have brought an event and not ended.
+	// begun counts the streams that have delivered an event and have not ended.
 	begun int
-	// last is when any of them last brought one.
+	// last is when any of these streams last delivered an event.
 	last time.Time
-	// told is how many of tellAt this silence has passed.
+	// reportsSent is how many report times the current silence has passed.
 	reportsSent int
-	// heldUntil is set once the group was taken for stalled.
+	// suspendedUntil is set once this entry considered the group stalled.
 	suspendedUntil time.Time
 }
 
@@ -77,7 +78,7 @@
 	return &groupProgress{silenceLimit: silenceLimit, ctx: ctx, cancel: cancel}
 }
 
-// patienceWith returns how long the streams of a model may bring nothing.
+// silenceLimitFor returns how long the streams of a model may go without an event.
 func silenceLimitFor(c *blackboard.Configuration, model string) time.Duration {
 	e := c.Services[c.Groups[model].Pool].Engine
 	if e == nil {
@@ -90,7 +91,7 @@
 	return pass + time.Duration(stallMargin*float64(pass))
 }
 
-// event notes an event of a stream; first is set for the stream's first.
+// event records an event of a stream; first is set for the stream's first event.
 func (p *groupProgress) event(now time.Time, first bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,16 +102,16 @@
 	p.reportsSent = 0
 }
 
-// ended notes the end of a stream that had begun.
+// ended records the end of a stream that had begun.
 func (p *groupProgress) ended() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.begun--
 }
 
-// lost tells whether this entry should give the group up by itself: several of
-// its streams are silent, or one for longer than a lost packet takes to come
-// again. The leader, which hears all entries, is mostly quicker.
+// isLost reports whether this entry should give the group up without the leader. This is so if
+// several of its streams are silent, or one is silent for longer than a lost packet explains.
+// The leader receives the reports of all entries and is usually faster.
 func (p *groupProgress) isLost(silence time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,8 +121,8 @@
 	return silence > p.silenceLimit+packetLossAllowance
 }
 
-// due tells whether the leader should hear of a silence, which is when it
-// begins to count, and again when it has lasted.
+// isReportDue reports whether the leader should receive a report: when a silence exceeds the
+// limit, and again when it lasts.
 func (p *groupProgress) isReportDue(silence time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,8 +139,8 @@
 	return true
 }
 
-// silent returns for how long all begun streams have brought nothing, 0 if
-// there are none.
+// silentFor returns for how long all begun streams have delivered no event; 0 if there are
+// none.
 func (p *groupProgress) silentFor(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,12 +162,12 @@
 	return now.Before(p.suspendedUntil)
 }
 
-// progressOf holds the progress of all groups that this entry sends to. It is
-// used by the routes' loop alone.
+// progressByEpoch holds the progress of all groups that this entry sends to. Only the route
+// loop uses it.
 type progressByEpoch map[groupEpoch]*groupProgress
 
-// of returns the progress of a group's epoch, a new one if there is none or the
-// last was given up and its time is over.
+// getOrAdd returns the progress of a group's epoch. It starts anew if there is none, or if the
+// group was given up and its suspension is over.
 func (all progressByEpoch) getOrAdd(now time.Time, k groupEpoch, silenceLimit time.Duration) *groupProgress {
 	p := all[k]
 	if p == nil || (p.ctx.Err() != nil && !p.isSuspended(now)) {
@@ -176,8 +177,8 @@
 	return p
 }
 
-// follow ends the attempts on groups that are out of service for good. A group
-// that drains finishes what it has.
+// update ends the attempts on groups that are out of service for good. A draining group
+// finishes its attempts.
 func (all progressByEpoch) update(b *blackboard.Board) {
 	for k, p := range all {
 		g, known := b.Groups[k.group]
@@ -189,8 +190,8 @@
 	}
 }
 
-// checkProgress tells the leader of groups whose streams have all ceased, and
-// gives up those that are surely lost.
+// checkProgress reports groups to the leader whose streams have all gone silent, and suspends
+// those that are certainly lost.
 func (s *Server) checkProgress(now time.Time) {
 	var silent []*noderpc.SuspectGroup
 	for k, p := range s.progress {
@@ -210,8 +211,8 @@
 	}
 }
 
-// giveUpGroup ends this entry's attempts on a group and sends it nothing more for
-// a while.
+// suspendGroup ends this entry's attempts on a group and sends it nothing new for
+// stallSuspension.
 func (s *Server) suspendGroup(now time.Time, k groupEpoch, p *groupProgress, silence time.Duration) {
 	p.suspendUntil(now.Add(stallSuspension))
 	p.cancel(errGroupLost)
@@ -219,8 +220,8 @@
 	s.updateRoutes()
 }
 
-// suspectGroups tells the leader once; if the call is lost, the leader finds
-// the member's silence, only later.
+// reportStalls reports stalled groups to the leader once. If the call is lost, the leader
+// notices the member's silence itself, only later.
 func (s *Server) reportStalls(groups []*noderpc.SuspectGroup) {
 	ctx, cancel := context.WithTimeout(context.Background(), stallReportTimeout)
 	defer cancel()
@@ -228,6 +229,6 @@
 		ClusterId: s.o.Follower.Board().ClusterID, EntryId: s.o.ID, Groups: groups,
 	})
 	if err != nil {
-		_ = level.Warn(s.o.Logger).Log("event", "suspicion_not_told", "err", err)
+		_ = level.Warn(s.o.Logger).Log("event", "stall_report_failed", "err", err)
 	}
 }
--- a/internal/entry/group_progress_test.go
+++ b/internal/entry/group_progress_test.go
@@ -9,9 +9,9 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// A member of a group dies silently and all its streams stop. The group counts
-// as silent from the last event of any of them, and only while one is open: a
-// group that nobody uses is not stalled.
+// A member of a group dies silently and all its streams stop. The group counts as silent from
+// the last event of any of its streams, and only while a stream is open: an unused group is not
+// stalled.
 func TestGroupIsSilentWhenAllItsStreamsAre(t *testing.T) {
 	at := time.Unix(0, 0)
 	p := newGroupProgress(defaultSilenceLimit)
@@ -26,8 +26,8 @@
 	assert.Equal(t, p.silentFor(at.Add(time.Hour)), time.Duration(0))
 }
 
-// The leader breaks a group. Attempts on it must end at once, so that their
-// streams go on elsewhere; those of a group that drains must not.
+// The leader breaks a group. Attempts on it must end at once, so that their streams resume
+// elsewhere. Attempts on a draining group must not end.
 func TestAttemptsEndWithTheirGroup(t *testing.T) {
 	at := time.Unix(0, 0)
 	all := make(progressByEpoch)
@@ -45,7 +45,7 @@
 	assert.ErrorContains(t, replaced.ctx.Err(), "canceled")
 }
 
-// A group that was given up wrongly gets new work again after a while.
+// A group that was given up wrongly gets new work again when its suspension is over.
 func TestSuspendedGroupReturns(t *testing.T) {
 	at := time.Unix(0, 0)
 	all := make(progressByEpoch)
@@ -59,8 +59,8 @@
 	assert.NilError(t, second.ctx.Err())
 }
 
-// Engines publish what a pass takes. A group is given the longest pass and a
-// margin, whatever its model's pace is; without figures, the default.
+// Engines publish how long a pass takes. The silence limit of a group is its model's longest
+// pass and a margin; without figures, it is the default.
 func TestSilenceLimitFollowsEngineFigures(t *testing.T) {
 	c := &blackboard.Configuration{
 		Groups: map[string]blackboard.GroupSpec{"slow": {Pool: "p"}, "fast": {Pool: "p"}, "other": {Pool: "q"}},
@@ -75,18 +75,18 @@
 	assert.Equal(t, silenceLimitFor(c, "none"), defaultSilenceLimit)
 }
 
-// A link loses packets: an entry's one stream pauses for longer than a pass. The
-// entry tells the leader once and goes on waiting; with several streams silent,
-// or one for long, it gives the group up.
+// A link loses packets, and an entry's one stream pauses for longer than a pass. The entry
+// reports the pause to the leader once and keeps waiting. With several streams silent, or one
+// for long, it gives the group up.
 func TestOneSilentStreamIsNotALostGroup(t *testing.T) {
 	at := time.Unix(0, 0)
 	p := newGroupProgress(250 * time.Millisecond)
 	p.event(at, true)
 	assert.Assert(t, p.isReportDue(300*time.Millisecond))
-	assert.Assert(t, !p.isReportDue(400*time.Millisecond), "told once")
+	assert.Assert(t, !p.isReportDue(400*time.Millisecond), "reported once")
 	assert.Assert(t, !p.isLost(400*time.Millisecond))
 	assert.Assert(t, p.isLost(700*time.Millisecond))
-	assert.Assert(t, p.isReportDue(1100*time.Millisecond), "told again")
+	assert.Assert(t, p.isReportDue(1100*time.Millisecond), "reported again")
 	p.event(at, true)
 	p.event(at, true)
 	assert.Assert(t, p.isLost(300*time.Millisecond))
--- a/internal/entry/watchdog.go
+++ b/internal/entry/watchdog.go
@@ -8,7 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// patience are the deadlines of progress on one attempt.
+// progressTimeouts are the time limits of progress on one attempt: until the response header,
+// from there to the first token, and between tokens.
 type progressTimeouts struct {
 	header, firstToken, gap time.Duration
 }
@@ -18,11 +19,10 @@
 
 // watchdog cancels an attempt that makes no progress.
 //
-// It guards against connections that have gone silent for good, because
-// something between the two ends has lost track of them: no error ever comes,
-// and the caller would wait until its deadline. An engine that is only slow
-// sends keep-alives, so silence past the gap means that the connection or the
-// engine is stuck.
+// It guards against connections that have gone silent for good because a device between the two
+// ends has lost its connection state. No error ever arrives, and the caller would wait until
+// its deadline. An engine that is only slow sends keep-alives, so silence past the gap means
+// that the connection or the engine is stuck.
 type watchdog struct {
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
@@ -44,12 +44,12 @@
 	w.cancel(errStalled)
 }
 
-// headerSeen starts the wait for the first token.
+// headerReceived starts the wait for the first token.
 func (w *watchdog) headerReceived() { w.timer.Reset(w.timeouts.firstToken) }
 
-// progress notes an event; token tells a token from a keep-alive. Keep-alives
-// before the first token extend the wait by the first token's deadline, since
-// the engine's own queue may be long.
+// progress records an event; token is set for a token and not for a keep-alive. Keep-alives
+// before the first token extend the wait by the first token's time limit, since the engine's
+// own queue may be long.
 func (w *watchdog) progress(token bool) {
 	w.sawToken = w.sawToken || token
 	if w.sawToken {
@@ -59,7 +59,7 @@
 	w.timer.Reset(w.timeouts.firstToken)
 }
 
-// stalled tells whether the watchdog ended the attempt.
+// stalled reports whether the watchdog ended the attempt.
 func (w *watchdog) stalled() bool { return w.fired.Load() }
 
 func (w *watchdog) stop() {
