--- a/internal/entry/cold_limits.go
+++ b/internal/entry/cold_limits.go
@@ -9,8 +9,8 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// followCold limits the requests to the backend servers that a board marks as cold, and ends
-// the limits of those that it no longer does.
+// updateColdLimits limits the requests to the backend servers that the board marks as cold,
+// that is within their slow-start period. It ends the limits of those that are no longer cold.
 func (s *Server) updateColdLimits(b *blackboard.Board) {
 	limits := s.coldLimits(b)
 	for incarnation := range s.cold {
@@ -26,7 +26,8 @@
 	s.cold = limits
 }
 
-// coldLimits returns the limits of the backend servers that a board marks as cold.
+// coldLimits returns the limits of the backend servers that the board marks as cold, by
+// incarnation.
 func (s *Server) coldLimits(b *blackboard.Board) map[string]placement.RateLimit {
 	if len(b.ColdServers) == 0 {
 		return nil
@@ -43,7 +44,7 @@
 	return limits
 }
 
-// limitCold puts the limit of a cold backend server in force on this entry; nil ends it.
+// setColdLimit applies the limit of a cold backend server on this entry; nil ends it.
 func (s *Server) setColdLimit(incarnation string, limit *placement.RateLimit) {
 	share := s.dispatcher.setRateLimit(time.Now(), incarnation, placement.Cold, limit)
 	if limit == nil {
--- a/internal/entry/evacuation.go
+++ b/internal/entry/evacuation.go
@@ -9,16 +9,17 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// evacuations holds since when this entry has known of each evacuated data centre, by its
-// own clock.
+// evacuations maps each evacuated data centre to the time at which this entry learned of its
+// evacuation, by the entry's own clock.
 type evacuations map[string]time.Time
 
-// evacuationGrace is the part of the time that an evacuation may take in which this entry
-// still sends to the data centre what no other serves: the rest is for entries that
-// learn of it late.
+// evacuationGrace is the fraction of an evacuation's time limit during which this entry still
+// sends requests to the data centre if no other one serves them. The rest is left for entries
+// that learn of the evacuation late.
 const evacuationGrace = 0.4
 
-// follow takes in the evacuations of a board.
+// update applies the evacuations of a board and returns the data centres whose evacuation has
+// begun or ended.
 func (e evacuations) update(now time.Time, b *blackboard.Board) (began, ended []string) {
 	for dataCentre := range e {
 		if !b.Evacuated(dataCentre) {
@@ -35,7 +36,7 @@
 	return began, ended
 }
 
-// latest is when this entry learned of the last evacuation.
+// latest returns when this entry learned of the most recent evacuation.
 func (e evacuations) latest() time.Time {
 	var latest time.Time
 	for _, since := range e {
@@ -46,7 +47,7 @@
 	return latest
 }
 
-// followEvacuations takes in the evacuations of a board and logs what changes.
+// updateEvacuations applies the evacuations of a board and logs the changes.
 func (s *Server) updateEvacuations(now time.Time, b *blackboard.Board) {
 	began, ended := s.evacuations.update(now, b)
 	for _, dataCentre := range began {
@@ -57,11 +58,12 @@
 	}
 }
 
-// evacuate closes the targets in data centres that are evacuated.
+// evacuate closes the targets in evacuated data centres and returns the pools that have no
+// target left.
 //
-// A model or a service that has targets there alone keeps them for a moment, in which the
-// leader forms groups elsewhere: its callers would be refused until then. The pools that have
-// no target left are returned.
+// A model or service whose targets are all in evacuated data centres keeps them for a grace
+// period, in which the leader forms groups elsewhere. Without it, callers would be refused
+// until then.
 func (r *routeUpdate) evacuate(now time.Time, e evacuations, limit time.Duration) (emptied map[string]bool) {
 	if len(r.evacuated) == 0 {
 		return nil
@@ -83,7 +85,7 @@
 		default:
 			delete(r.routes, t.ID)
 			emptied[t.Model] = !served[t.Model]
-			r.closed[t.ID] = "its data centre is evacuated"
+			r.closed[t.ID] = "data centre is evacuated"
 			continue
 		}
 		kept = append(kept, t)
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -11,7 +11,8 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// spread puts the instances a, b and c in data centres of their own names.
+// withDataCentres returns the server's board with the instances a, b and c in the data centres
+// dc-a, dc-b and dc-c.
 func withDataCentres(s *Server) *blackboard.Board {
 	board := *s.o.Follower.Board()
 	board.Services = make(map[string]blackboard.ServiceInstance)
@@ -22,7 +23,8 @@
 	return &board
 }
 
-// evacuate lets a server follow a board on which data centres are evacuated.
+// evacuate sets the server's board to one on which the given data centres are evacuated, and
+// updates the routes.
 func evacuate(s *Server, board *blackboard.Board, dataCentres ...string) {
 	next := *board
 	next.Revision++
@@ -34,7 +36,7 @@
 	s.updateRoutes()
 }
 
-// Guards against requests and retries that go to a data centre which is evacuated.
+// Guards against requests and retries that are sent to an evacuated data centre.
 func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	failing := answerWith(500, "failed", false)
 	f := &scriptedForwarder{}
@@ -55,14 +57,14 @@
 	assert.Equal(t, len(s.loggedRoutes), 3)
 }
 
-// Guards against callers that are refused before another data centre can serve, and against
-// requests that go on to one that is evacuated.
+// Guards against refusing callers before another data centre can serve them, and against
+// sending requests to an evacuated data centre for longer than the grace period.
 func TestEvacuatedTargetsStayOpenForGracePeriodWithoutAlternative(t *testing.T) {
 	s := configuredServer(t, &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, "x", false)}})
 	s.o.Settings.EvacuateMillis = 500
 	evacuate(s, withDataCentres(s), "dc-a", "dc-b", "dc-c")
 	assert.Equal(t, len(s.loggedRoutes), 3)
-	assert.Assert(t, !s.areRoutesCurrent(), "they close with time alone")
+	assert.Assert(t, !s.areRoutesCurrent(), "the targets close with time alone")
 	_, e, _ := send(s, Forwarded{Path: "/many/x"})
 	assert.Assert(t, e == nil)
 
@@ -78,8 +80,8 @@
 	assert.Assert(t, e.RetryAfter > 0 && time.Since(began) < failoverWait, "refused at once")
 }
 
-// Guards against an entry that sends a cold backend server its whole part, and one that
-// spares it for good.
+// Guards against an entry that sends a cold backend server its full share of requests, and
+// against one that limits the server for good.
 func TestColdBackendServerIsLimited(t *testing.T) {
 	s := configuredServer(t, &scriptedForwarder{})
 	s.o.Settings.ColdFactor = 1
--- a/internal/entry/rate_limits.go
+++ b/internal/entry/rate_limits.go
@@ -13,30 +13,32 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// rateLimits holds the rate limits of backend servers: what they name in their answers to
-// this entry, and what other entries have written to the board. It is safe for concurrent use.
+// rateLimits holds the rate limits of backend servers: those that the backend servers state in
+// their answers to this entry, and those that other entries have written to the board. It is
+// safe for concurrent use.
 type rateLimits struct {
 	mu sync.Mutex
-	// known is by incarnation.
+	// known holds the limits by incarnation.
 	known map[string]rateLimit
-	// board are the limits on the board that was last followed.
+	// board holds the limits of the board that was last applied.
 	board map[string]blackboard.RateLimit
-	// toldAt is when this entry last wrote of a backend server to the board.
+	// reportedAt is when this entry last reported a backend server's limit to the board.
 	reportedAt map[string]time.Time
 }
 
-// rateLimit is what this entry goes by for one backend server.
+// rateLimit is the limit that this entry applies to one backend server.
 type rateLimit struct {
-	// perSecond is how many requests a second it takes from all entries together; nil for
-	// one that has ceased to name a limit, until the board says so too.
+	// perSecond is how many requests a second the backend server accepts from all entries
+	// together. It is nil for a server that no longer states a limit, until the board shows
+	// none either.
 	perSecond *float64
-	// at is when the entry learned it.
+	// learnedAt is when the entry learned of the limit.
 	learnedAt time.Time
-	// heard says that an answer to this entry told it, and not the board.
+	// fromAnswer is set if the limit came with an answer to this entry and not from the board.
 	fromAnswer bool
 }
 
-// value is the limit for the log; 0 for none.
+// value returns the limit for the log; 0 for none.
 func (l rateLimit) value() float64 {
 	if l.perSecond == nil {
 		return 0
@@ -44,13 +46,13 @@
 	return *l.perSecond
 }
 
-// limitChange is a limit that has changed; a nil perSecond ends it.
+// limitChange is a changed limit; a nil perSecond ends the limit.
 type limitChange struct {
 	incarnation       string
 	perSecond, before *float64
 }
 
-// limit returns the limit to be kept; nil for none.
+// limit returns the limit for placement; nil for none.
 func (c limitChange) limit() *placement.RateLimit {
 	if c.perSecond == nil {
 		return nil
@@ -60,10 +62,10 @@
 }
 
 const (
-	// confirmEvery is how often the board hears of a limit that stays. The leader ends
-	// those that nobody confirms.
+	// limitConfirmInterval is how often an unchanged limit is reported to the board. The leader
+	// removes limits that no entry confirms.
 	limitConfirmInterval = 10 * time.Second
-	// tellLimitAgain is the time between two words to the board about one backend server.
+	// limitReportInterval is the least time between two reports of one backend server's limit.
 	limitReportInterval = time.Second
 )
 
@@ -71,11 +73,11 @@
 	return &rateLimits{known: make(map[string]rateLimit), reportedAt: make(map[string]time.Time)}
 }
 
-// hear takes in what the answer to a request says, which was sent at a time; nil is no
-// limit. It tells whether that changes anything.
+// observe records the limit in an answer to a request that was sent at the time sent; nil is no
+// limit. It reports whether the limit changed.
 //
-// Answers overtake each other, so one without a limit ends only a limit that was learned
-// before its request was sent.
+// Answers can overtake each other, so an answer without a limit ends only a limit that was
+// learned before its request was sent.
 func (l *rateLimits) observe(now, sent time.Time, incarnation string, limit *float64) (limitChange, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,8 +94,8 @@
 	return change, false
 }
 
-// follow takes in the limits of a board and returns what they change. A row that has not
-// changed says nothing: what this entry has heard since is newer.
+// applyBoard applies the limits of a board and returns the changes. An unchanged row is
+// ignored: the limits that this entry has received since are newer.
 func (l *rateLimits) applyBoard(now time.Time, board map[string]blackboard.RateLimit) []limitChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +127,7 @@
 	return changes
 }
 
-// due returns the limits that the board should hold and does not.
+// dueReports returns the limits that the board should show and does not.
 func (l *rateLimits) dueReports(now time.Time) []blackboard.NoteRateLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,7 +156,7 @@
 	return notes
 }
 
-// limits tells whether a backend server limits its rate.
+// isLimited reports whether a backend server limits its rate.
 func (l *rateLimits) isLimited(incarnation string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -174,8 +176,8 @@
 	return n
 }
 
-// hearForwarded takes in what the answer to a forwarded request says of its backend
-// server's rate limit. One that proves nothing may lack the limit for any reason.
+// observeForwarded records the rate limit in the answer to a forwarded request. An answer
+// without a valid proof may lack the limit for any reason.
 func (s *Server) observeForwarded(r route, a *backend.ForwardAnswer, sent time.Time) {
 	genuine := !a.Foreign && (a.Proven || a.NotRun)
 	if a.OtherServer || (!genuine && a.RateLimit == nil) {
@@ -184,7 +186,7 @@
 	s.observeRateLimit(r, a.RateLimit, sent)
 }
 
-// hearRefused takes in what a failed call says of its backend server's rate limit.
+// observeRefusal records the rate limit in the answer to a failed call.
 func (s *Server) observeRefusal(r route, err error, sent time.Time) {
 	var call *backend.CallError
 	if errors.As(err, &call) && (call.RateLimit != nil || call.Sent == backend.SentRefused) {
@@ -192,22 +194,22 @@
 	}
 }
 
-// hearRateLimit takes in the rate limit in the answer to a request, which was sent at a
-// time; nil is none.
+// observeRateLimit records and applies the rate limit in an answer to a request that was sent
+// at the time sent; nil is no limit.
 func (s *Server) observeRateLimit(r route, limit *float64, sent time.Time) {
 	if change, ok := s.rateLimits.observe(time.Now(), sent, r.incarnation, limit); ok {
 		s.applyRateLimit(change, "answer")
 	}
 }
 
-// followRateLimits takes in the limits of a board.
+// updateRateLimits applies the limits of a board.
 func (s *Server) updateRateLimits(b *blackboard.Board) {
 	for _, change := range s.rateLimits.applyBoard(time.Now(), b.RateLimits) {
 		s.applyRateLimit(change, "board")
 	}
 }
 
-// limitRate puts a changed limit in force on this entry.
+// applyRateLimit puts a changed limit into effect on this entry.
 func (s *Server) applyRateLimit(c limitChange, source string) {
 	share := s.dispatcher.setRateLimit(time.Now(), c.incarnation, placement.Named, c.limit())
 	event := "rate_limit_ended"
@@ -218,7 +220,8 @@
 		"per_second", rateLimit{perSecond: c.perSecond}.value(), "before", rateLimit{perSecond: c.before}.value(), "share", share)
 }
 
-// tellRateLimits writes to the board what this entry has heard and the board lacks.
+// reportRateLimits writes the limits to the board that this entry has received and the board
+// lacks.
 func (s *Server) reportRateLimits(ctx context.Context, now time.Time) {
 	if s.o.Control == nil {
 		return
@@ -228,7 +231,7 @@
 			ctx, cancel := context.WithTimeout(ctx, boardTimeout)
 			defer cancel()
 			err := s.commitBoard(ctx, &note, nil)
-			_ = level.Info(s.o.Logger).Log("event", "rate_limit_told", "incarnation", note.Incarnation,
+			_ = level.Info(s.o.Logger).Log("event", "rate_limit_reported", "incarnation", note.Incarnation,
 				"ended", note.Limit == nil, "err", errText(err))
 		}()
 	}
--- a/internal/entry/rate_limits_test.go
+++ b/internal/entry/rate_limits_test.go
@@ -14,7 +14,7 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// limitTimes are whole seconds after a start.
+// secondsAfterStart returns a function that maps a number of seconds to a time after the start.
 func secondsAfterStart() func(int) time.Time {
 	start := time.Now()
 	return func(n int) time.Time { return start.Add(time.Duration(n) * time.Second) }
@@ -24,7 +24,8 @@
 	return map[string]blackboard.RateLimit{"i": {PerSecond: perSecond, HeardMillis: heard.UnixMilli()}}
 }
 
-// Guards against a rate limit that ends with an answer to a request sent before it was named.
+// Guards against a rate limit that ends because of an answer to a request sent before the limit
+// was stated.
 func TestAnswerToEarlierRequestDoesNotEndRateLimit(t *testing.T) {
 	l, named, second := newRateLimits(), 1.8, secondsAfterStart()
 
@@ -41,7 +42,8 @@
 	assert.Assert(t, !l.isLimited("i"))
 }
 
-// Guards against entries that do not know what a backend server has told another one.
+// Guards against entries that do not know of a limit that a backend server has stated to
+// another entry.
 func TestRateLimitIsTakenFromBoard(t *testing.T) {
 	l, second := newRateLimits(), secondsAfterStart()
 
@@ -50,7 +52,7 @@
 	assert.Equal(t, *changes[0].perSecond, 2.0)
 	assert.Assert(t, l.isLimited("i"))
 	assert.Equal(t, len(l.applyBoard(second(2), boardLimits(2, second(1)))), 0)
-	assert.Equal(t, len(l.dueReports(second(30))), 0, "only what was heard here is told")
+	assert.Equal(t, len(l.dueReports(second(30))), 0, "only limits received by this entry are reported")
 
 	changes = l.applyBoard(second(31), nil)
 	assert.Equal(t, len(changes), 1)
@@ -58,8 +60,8 @@
 	assert.Assert(t, !l.isLimited("i"))
 }
 
-// Guards against a limit that the board lacks because one word to it was lost, and against a
-// word for each answer.
+// Guards against a limit that the board lacks because one report was lost, and against a report
+// for each answer.
 func TestRateLimitIsReportedUntilBoardShowsIt(t *testing.T) {
 	l, named, second := newRateLimits(), 2.0, secondsAfterStart()
 
@@ -68,7 +70,7 @@
 	assert.Equal(t, len(notes), 1)
 	assert.Equal(t, notes[0].Limit.PerSecond, 2.0)
 	assert.Equal(t, len(l.dueReports(second(1))), 0)
-	assert.Equal(t, len(l.dueReports(second(3))), 1, "the first word was lost")
+	assert.Equal(t, len(l.dueReports(second(3))), 1, "the first report was lost")
 
 	l.applyBoard(second(3), boardLimits(2, second(1)))
 	assert.Equal(t, len(l.dueReports(second(5))), 0)
@@ -86,7 +88,7 @@
 	assert.Equal(t, len(l.dueReports(second(17))), 0)
 }
 
-// limitingClient answers calls and refuses generations, and names a rate limit in both.
+// limitingClient answers calls and refuses generations, and states a rate limit in both.
 type limitingClient struct {
 	backend.Client
 	perSecond float64
@@ -100,7 +102,7 @@
 	return nil, &backend.CallError{Sent: backend.SentRefused, RateLimit: &c.perSecond, RetryAfter: time.Second}
 }
 
-// Guards against limits that are heard in the answers to forwarded requests alone.
+// Guards against observing limits only in the answers to forwarded requests.
 func TestRateLimitIsObservedInEachKindOfAnswer(t *testing.T) {
 	s := configuredServer(t, &scriptedForwarder{})
 	s.o.Client = limitingClient{perSecond: 2}
@@ -120,7 +122,8 @@
 	assert.Assert(t, s.rateLimits.isLimited("i-b"))
 }
 
-// Guards against a request that waits for a place which opens right before its deadline.
+// Guards against a request that waits for a slot which becomes free only right before its
+// deadline.
 func TestRequestIsRefusedAtOnceIfSlotComesTooLate(t *testing.T) {
 	s, limit := configuredServer(t, &scriptedForwarder{}), placement.NamedLimit(0.5)
 	now := time.Now()
