--- a/internal/entry/homes.go
+++ b/internal/entry/homes.go
@@ -8,8 +8,8 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// homesOf returns the regions that all lists allow, in order; nil if none binds. An empty
-// result allows no region.
+// homesOf returns the regions that all lists allow, sorted. An empty list allows any region;
+// the result is nil if all lists are empty. An empty result that is not nil allows no region.
 func homesOf(lists ...[]string) []string {
 	var homes []string
 	for _, list := range lists {
@@ -24,12 +24,12 @@
 	return homes
 }
 
-// within tells whether a region is among the homes; nil allows any.
+// allowsRegion reports whether a region is among the homes; nil allows any.
 func allowsRegion(homes []string, region string) bool {
 	return homes == nil || slices.Contains(homes, region)
 }
 
-// checkHomes refuses a request at once whose homes are no region of this system.
+// checkHomes refuses a request at once if none of its homes is a region of this system.
 func (s *Server) checkHomes(homes []string) *failure.Error {
 	if homes == nil {
 		return nil
@@ -43,7 +43,7 @@
 		WithDetail(strings.Join(homes, ", ")).WithRan(failure.RanNo).WithRetryAfter(noGroupRetryAfter)
 }
 
-// homesName names the job's homes for admission; empty if it has none.
+// homesName returns the job's homes as one name for admission; empty if it has none.
 func (j *job) homesName() string {
 	if j.homes == nil {
 		return ""
@@ -51,8 +51,8 @@
 	return "[" + strings.Join(j.homes, " ") + "]"
 }
 
-// placed is the job as placement sees it. reserve is the part of each target to be left free
-// for greater worth.
+// placementRequest returns the job as a request to placement. reserve is the fraction of each
+// target that stays free for requests of greater worth.
 func (j *job) placementRequest(reserve float64) placement.Request {
 	return placement.Request{
 		ID: j.id, Model: j.model, Prefix: j.prefix, Tokens: j.tokens(), Reserve: reserve, Homes: j.homes, Exclude: j.tried,
--- a/internal/entry/homes_test.go
+++ b/internal/entry/homes_test.go
@@ -20,8 +20,8 @@
 	assert.Assert(t, allowsRegion(nil, "a") && !allowsRegion(none, "a") && !allowsRegion([]string{"a"}, ""))
 }
 
-// homed is a server before three instances in two of three regions, whose route "many" has
-// homes.
+// serverWithHomes returns a server with three instances in two of three regions. Its route
+// "many" has the given homes.
 func serverWithHomes(t *testing.T, f *scriptedForwarder, homes ...string) *Server {
 	t.Helper()
 	s := unconfiguredServer(t, f)
@@ -58,7 +58,7 @@
 	}
 }
 
-// Guards against a request without a backend server in its homes that holds up the others.
+// Guards against a request that has no backend server in its homes and blocks other requests.
 func TestRequestWithoutBackendServerInItsHomesBlocksNoOther(t *testing.T) {
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, events("1"), false)}}
 	s := serverWithHomes(t, f, "west")
@@ -75,7 +75,7 @@
 	assert.Equal(t, len(f.calls), 1)
 }
 
-// Guards against a request that is held although no region can ever serve it.
+// Guards against holding a request although no region can ever serve it.
 func TestRequestWithUnknownHomesIsRefusedAtOnce(t *testing.T) {
 	s := serverWithHomes(t, &scriptedForwarder{}, "elsewhere")
 	began := time.Now()
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -11,8 +11,8 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// routeInterval is how often evidence is looked at anew. Evidence gets too old
-// with time alone, so a change of the board is not enough.
+// routeInterval is how often the routes are checked against the evidence. Evidence expires with
+// time alone, so updating on changes of the board is not enough.
 const routeInterval = 100 * time.Millisecond
 
 func servesModel(groups map[string]blackboard.GroupSpec, model string) bool {
@@ -33,7 +33,7 @@
 	return false
 }
 
-// keepRoutes recomputes the routes until the context ends.
+// keepRoutes updates the routes until the context ends.
 func (s *Server) keepRoutes(ctx context.Context) {
 	ticker := time.NewTicker(routeInterval)
 	defer ticker.Stop()
@@ -60,7 +60,7 @@
 	}
 }
 
-// routing collects the routable targets of one look at board and evidence.
+// routeUpdate collects the routable targets of one evaluation of the board and the evidence.
 type routeUpdate struct {
 	now     time.Time
 	board   *blackboard.Board
@@ -68,23 +68,23 @@
 	targets []placement.Target
 	loads   map[string]placement.Load
 	closed  map[string]string
-	// awaited are the pools with a target in quarantine.
+	// quarantinedPools holds the pools with a target in quarantine.
 	quarantinedPools map[string]bool
-	// byBoard says that this process hears no announcements and goes by what
-	// the leader has concluded.
+	// usesBoardLiveness is set if this process receives no announcements and relies on the
+	// leader's conclusions on the board.
 	usesBoardLiveness bool
 	// progress is this entry's own view of the groups.
 	progress progressByEpoch
-	// held says that a group gets nothing for a while by this entry's own view, or that one
-	// is open for a moment more.
+	// changesWithTime is set if the routes will change without an event: a group is suspended
+	// by this entry's own view, or an evacuated target is still open for its grace period.
 	changesWithTime bool
-	// evacuated are the targets that lie in a data centre that is evacuated.
+	// evacuated holds the targets in evacuated data centres.
 	evacuated map[string]bool
-	// regions are those of data centres.
+	// regions holds the region of each data centre.
 	regions map[string]string
 }
 
-// routable tells whether a group may get new work.
+// routable reports whether a group may receive new work, and if not, why.
 func (r *routeUpdate) routable(t *evidence.Table, id string) (bool, string) {
 	if !r.usesBoardLiveness {
 		return t.Routable(r.now, r.board, id)
@@ -101,12 +101,12 @@
 	return true, ""
 }
 
-// routesStand tells whether a new look at the routes would find what the last one
-// found: this process hears no announcements, the board is the same, and nothing on it
-// or here ends with time alone.
+// areRoutesCurrent reports whether an update of the routes would change nothing: this process
+// receives no announcements, the board is the same, and nothing on the board or here expires
+// with time alone.
 //
-// Load: a pool of a hundred groups and an entry with a few requests a second, where a look
-// at all routes ten times a second is half of all that it does (BenchmarkUpdateRoutes).
+// In a pool of a hundred groups and an entry with a few requests a second, updating all routes
+// ten times a second is half of the entry's work (BenchmarkUpdateRoutes).
 func (s *Server) areRoutesCurrent() bool {
 	board := s.o.Follower.Board()
 	return s.o.Settings.Deaf && board == s.routesBoard && !s.routesChangeWithTime && len(board.Quarantines) == 0
@@ -154,7 +154,7 @@
 	progress := r.progress.getOrAdd(r.now, groupEpoch{g.ID, g.Epoch}, silenceLimitFor(&r.board.Config, g.Model))
 	if progress.isSuspended(r.now) {
 		r.changesWithTime = true
-		r.closed[id] = "its streams make no progress"
+		r.closed[id] = "the group's streams make no progress"
 		return
 	}
 	head := g.Members[0]
@@ -189,8 +189,8 @@
 	})
 }
 
-// capacity is the work in tokens that a group of the model holds well, by the
-// published figures of its engines; 0 if there are none.
+// capacity returns the work that a group of the model sustains by the published figures of its
+// engines, in tokens; 0 if there are none.
 func (r *routeUpdate) capacity(model string) int {
 	e := r.board.Config.Services[r.board.Config.Groups[model].Pool].Engine
 	if e == nil {
@@ -199,16 +199,17 @@
 	return e.Slots * e.UsualTokens()
 }
 
-// busy is how many requests a target reports, running and waiting.
+// requestCount returns how many requests a target reports, running and queued.
 func (r *routeUpdate) requestCount(id string) int { return r.loads[id].Running + r.loads[id].Queued }
 
-// quarantined tells whether a target is kept for a suspect request.
+// closeIfQuarantined closes a target that is in quarantine for a suspect request, and reports
+// whether it is.
 func (r *routeUpdate) closeIfQuarantined(pool, target string) bool {
 	q, ok := r.board.Quarantines[pool]
 	if !ok || q.Target != target || !q.Holds(r.now.UnixMilli()) {
 		return false
 	}
-	r.closed[target] = "kept for a suspect request by " + q.Entry
+	r.closed[target] = "in quarantine for a suspect request of entry " + q.Entry
 	r.quarantinedPools[pool] = true
 	return true
 }
@@ -260,8 +261,7 @@
 	}
 }
 
-// logRouteChanges writes a line for each target that became routable or
-// ceased to be.
+// logRouteChanges logs each target that became routable or ceased to be.
 func (s *Server) logRouteChanges(r *routeUpdate) {
 	for id := range r.routes {
 		if _, open := s.loggedRoutes[id]; !open {
@@ -276,9 +276,9 @@
 	s.loggedRoutes = r.routes
 }
 
-// cacheEvents passes an engine's hints to placement. Only this entry's own
-// announcers are heard, so hints are partial by design; they change which
-// group is preferred and never which may be used.
+// cacheEvents passes an engine's cache hints to placement. This entry receives only the
+// announcements sent to it, so the hints are partial by design. They change which group is
+// preferred and never which may be used.
 func (s *Server) cacheEvents(a backend.Announcement) {
 	if a.Group == "" || len(a.Cache) == 0 {
 		return
--- a/internal/entry/routes_bench_test.go
+++ b/internal/entry/routes_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
-// BenchmarkUpdateRoutes is one look at the routes of an entry that hears no
-// announcements, at 79 groups of a pool of 1,095 VMs, where nothing has changed:
+// BenchmarkUpdateRoutes measures one update of the routes without any change, in an entry that
+// receives no announcements, with 79 groups of a pool of 1,095 VMs:
 //
 //	go test -run '^$' -bench BenchmarkUpdateRoutes -benchmem ./internal/entry
 func BenchmarkUpdateRoutes(b *testing.B) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// deafServer returns an entry that goes by a board.
+// deafServer returns an entry that receives no announcements and relies on its board.
 func deafServer(board *blackboard.Board) *Server {
 	follower := fixedBoard{board: board, lease: time.Minute}
 	receiver := hearing.New(hearing.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
@@ -35,7 +35,7 @@
 	})
 }
 
-// servingPool returns a board with so many groups of each of two sizes.
+// servingPool returns a board with the given numbers of serving groups in two sizes.
 func servingPool(wide, wideSize, narrow, narrowSize int) *blackboard.Board {
 	board := blackboard.New()
 	board.Config.Revision = 1
--- a/internal/entry/routes_test.go
+++ b/internal/entry/routes_test.go
@@ -9,13 +9,12 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// An entry looks at its routes ten times a second, and most times finds what it found
-// before. A group whose streams stood still gets nothing for a while: no change of
-// the board says when that ends, so the entry must go on looking, and route to the
-// group again.
+// An entry checks its routes ten times a second and skips the update if it would change
+// nothing. A group whose streams stalled is suspended for a time, and no change of the board
+// marks the end of that. So the entry must keep updating, and route to the group again.
 func TestRoutesAreUpdatedWhileTheyChangeWithTime(t *testing.T) {
 	s := deafServer(servingPool(1, 4, 1, 2))
-	assert.Assert(t, !s.areRoutesCurrent(), "never looked")
+	assert.Assert(t, !s.areRoutesCurrent(), "no update yet")
 	s.updateRoutes()
 	assert.Assert(t, s.areRoutesCurrent())
 	assert.Equal(t, len(s.loggedRoutes), 2)
@@ -25,14 +24,14 @@
 	s.updateRoutes()
 	assert.Equal(t, len(s.loggedRoutes), 1)
 	for len(s.loggedRoutes) == 1 {
-		assert.Assert(t, !s.areRoutesCurrent(), "held, and not looked at any more")
+		assert.Assert(t, !s.areRoutesCurrent(), "a group is suspended and updates have stopped")
 		s.updateRoutes()
 	}
 	assert.Assert(t, s.areRoutesCurrent())
 }
 
-// A group is kept for a suspect request until a time that only the quarantine's row
-// tells; a group that breaks is on a new board.
+// A quarantine for a suspect request ends at a time that only its row on the board shows. A
+// group that breaks comes with a new board.
 func TestRoutesFollowBoardAndQuarantines(t *testing.T) {
 	s := deafServer(servingPool(1, 4, 1, 2))
 	s.updateRoutes()
--- a/internal/entry/routing_table.go
+++ b/internal/entry/routing_table.go
@@ -7,14 +7,14 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// routingTable is the configuration that requests of routes are judged by. A
-// request keeps the one that it began with.
+// routingTable is the configuration that applies to requests of routes. A request keeps the
+// table that it began with.
 type routingTable struct {
 	config *blackboard.Configuration
 	index  *blackboard.RouteIndex
 }
 
-// takeConfiguration puts the board's configuration in force on this entry.
+// applyConfiguration puts the board's configuration into effect on this entry.
 func (s *Server) applyConfiguration(b *blackboard.Board) {
 	p := policyOf(b.Config)
 	if b.Config.Version > 0 {
@@ -25,8 +25,8 @@
 	s.dispatcher.setPolicy(p)
 }
 
-// CallerLimits returns what the configuration in force allows callers, each limit
-// as in most if it does not say or says more.
+// CallerLimits returns the limits for callers in the configuration in force. A limit that the
+// configuration does not set, or sets higher, is that of most.
 func (s *Server) CallerLimits(most blackboard.CallerLimits) blackboard.CallerLimits {
 	table := s.routing.Load()
 	if table == nil {
@@ -41,8 +41,8 @@
 	return most
 }
 
-// callersEntries returns the entries that take callers' requests, and so share the limit
-// on retries and the rate limits of backend servers; one without a name if there are none.
+// callerFacingEntries returns the entries that serve callers' requests. They share the limit on
+// retries and the rate limits of backend servers. Without any, it returns one empty id.
 func callerFacingEntries(b *blackboard.Board) []string {
 	var ids []string
 	for id, e := range b.Entries {
@@ -57,17 +57,17 @@
 }
 
 const (
-	// lowestRank is the rank of the last priority that is told apart.
+	// lowestRank is the rank of all priorities from 9 on.
 	lowestRank = 9
-	// workspaceStep is the factor in worth between two priorities of workspaces.
-	// It is over the whole range of routeWorth, so that the workspace's priority
-	// comes first.
+	// workspaceStep is the factor in worth between two priorities of workspaces. It exceeds the
+	// whole range of the routes' worth (see routeStep), so that the workspace's priority comes
+	// first.
 	workspaceStep = 4
 	// routeStep is what one priority of routes adds to the worth.
 	routeStep = 0.2
 )
 
-// rankRoutes gives workspaces and routes the worth of their priorities.
+// applyPriorities sets the worth of workspaces and routes by their priorities.
 func applyPriorities(c blackboard.Configuration, p *admission.Policy) {
 	if c.Version == 0 {
 		return
