--- a/internal/entry/isolation.go
+++ b/internal/entry/isolation.go
@@ -9,40 +9,40 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// Times of running alone.
+// Times of running requests in isolation.
 const (
-	// aloneWait bounds the wait for a turn alone, and alonePart is the part of
-	// the time left that it may take. Past it the suspect runs beside others
-	// after all: an innocent one must not miss its deadline for a crash that
-	// it only shared.
+	// isolationWait is the longest wait for a turn in isolation. The wait also takes at most
+	// half of the time to the deadline (isolationTimeDivisor). Past it the suspect runs beside
+	// other requests: an innocent request must not miss its deadline because it was in flight
+	// during a crash.
 	isolationWait        = 30 * time.Second
 	isolationTimeDivisor = 2
 	isolationPoll        = 50 * time.Millisecond
-	// quarantineFor bounds a quarantine whose entry died.
+	// quarantineFor ends a quarantine whose entry has died.
 	quarantineFor = 60 * time.Second
-	// quarantineMargin is added to the configuration lease: past both, each
-	// entry that may still send has seen the quarantine or lost its lease.
+	// quarantineMargin is added to the configuration lease. Past both, each entry that may
+	// still send has seen the quarantine or lost its lease.
 	quarantineMargin = 500 * time.Millisecond
-	// heldFor is how long a target is kept for one suspect after the other.
-	// It leaves the last of them half of quarantineFor.
+	// targetReuseFor is how long one target is kept for one suspect after another. It leaves
+	// the last of them half of quarantineFor.
 	targetReuseFor = quarantineFor / 2
 )
 
-// isolation lets this entry's suspects of a pool run alone, one after the
-// other, on one target. The quarantine is kept while suspects wait, since
-// emptying a target is what costs the others most.
+// isolation runs this entry's suspects of a pool one after another, each alone on one target.
+// The quarantine lasts while suspects wait, since emptying a target costs other requests the
+// most.
 type isolation struct {
 	mu    sync.Mutex
 	pools map[string]*suspectQueue
 }
 
-// turns are the suspects of one pool on this entry.
+// suspectQueue is the queue of one pool's suspects on this entry.
 type suspectQueue struct {
-	// turn holds one token, which the suspect that runs has taken.
+	// turn holds one token. The suspect that runs has taken it.
 	turn chan struct{}
-	// waiting counts the suspects that want a turn or have it.
+	// waiting counts the suspects that wait for a turn or have it.
 	waiting int
-	// held is the target that is kept empty, until heldUntil.
+	// target is the quarantined target, which may be used again until reuseUntil.
 	target     *route
 	reuseUntil time.Time
 }
@@ -62,7 +62,7 @@
 	return t
 }
 
-// leave counts a suspect out and tells whether it was the last.
+// leave removes a suspect and reports whether it was the last.
 func (i *isolation) leave(t *suspectQueue) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -70,9 +70,8 @@
 	return t.waiting == 0
 }
 
-// isolate waits for the suspect's turn and for a target where it is alone. It
-// returns the grant and a function that ends the turn, or false when neither
-// could be had in time.
+// isolate waits for the suspect's turn and for a target on which it runs alone. It returns the
+// grant and a function that ends the turn, or false if neither became available in time.
 func (s *Server) isolate(j *job) (grant, func(), bool) {
 	until := earlier(time.Now().Add(time.Until(j.deadline)/isolationTimeDivisor), time.Now().Add(isolationWait))
 	t := s.isolation.enter(j.model)
@@ -96,7 +95,7 @@
 	return grant{attempt: j.nextAttempt(), route: r}, endTurn, true
 }
 
-// endTurn passes the turn on, and gives the target back after the last.
+// endTurn passes the turn to the next suspect, and ends the quarantine after the last.
 func (s *Server) endTurn(pool string, t *suspectQueue) {
 	if s.isolation.leave(t) && t.target != nil {
 		t.target = nil
@@ -105,8 +104,8 @@
 	t.turn <- struct{}{}
 }
 
-// emptyTarget returns a target that this entry keeps in quarantine and that
-// runs nothing. The caller has the turn.
+// acquireEmptyTarget returns a target that this entry has in quarantine and that runs nothing.
+// The caller has the turn.
 func (s *Server) acquireEmptyTarget(j *job, t *suspectQueue, until time.Time) (route, bool) {
 	if t.target != nil && allowsRegion(j.homes, t.target.region) && s.canReuseTarget(t) {
 		return *t.target, true
@@ -125,19 +124,19 @@
 		}
 		s.endQuarantine(j.model)
 	}
-	// A target that an earlier turn held and that crashed may still be kept.
+	// A target that an earlier turn used and that crashed may still be in quarantine.
 	s.endQuarantine(j.model)
 	return route{}, false
 }
 
-// stillHeld tells whether the held target can take another suspect: it has not
-// crashed, and the quarantine outlives the next attempt.
+// canReuseTarget reports whether the quarantined target can take another suspect: it has not
+// crashed, and the quarantine lasts longer than the next attempt.
 func (s *Server) canReuseTarget(t *suspectQueue) bool {
 	return time.Now().Before(t.reuseUntil) && s.inService(*t.target)
 }
 
-// inService tells whether a target would be routable but for the quarantine,
-// in the same epoch and incarnation.
+// inService reports whether a target would be routable without the quarantine, in the same
+// epoch and incarnation.
 func (s *Server) inService(r route) bool {
 	if changed, _ := s.checkMembers(r, time.Now()); changed {
 		return false
@@ -174,13 +173,13 @@
 func (s *Server) endQuarantine(pool string) {
 	ctx, cancel := context.WithTimeout(context.Background(), boardTimeout)
 	defer cancel()
-	// If this fails the quarantine ends by its time.
+	// If this fails, the quarantine ends when its time is over.
 	_ = s.commitBoard(ctx, &blackboard.EndQuarantine{Pool: pool, Entry: s.o.ID}, nil)
 }
 
-// awaitEmpty waits until the target reports, of a moment when all entries know
-// of the quarantine, that it runs nothing. It gives up on a target that goes
-// out of service meanwhile, such as one that has just crashed.
+// awaitEmpty waits until the target reports that it runs nothing, at a time when all entries
+// know of the quarantine. It gives up on a target that goes out of service meanwhile, such as
+// one that has just crashed.
 func (s *Server) awaitEmpty(j *job, r route, taken, until time.Time) bool {
 	for time.Now().Before(until) && j.ctx.Err() == nil && s.inService(r) {
 		if s.isEmptyAfter(r, taken.Add(s.o.Follower.Granted()+quarantineMargin)) {
--- a/internal/entry/isolation_test.go
+++ b/internal/entry/isolation_test.go
@@ -22,17 +22,18 @@
 func (f *changingBoard) Lease() time.Duration     { return time.Minute }
 func (f *changingBoard) Granted() time.Duration   { return time.Second }
 
-// cutOff is a committer that reaches no control process.
+// unreachableControl is a committer that reaches no control process.
 type unreachableControl struct{}
 
 func (unreachableControl) Commit(context.Context, *noderpc.CommitRequest) ([]byte, error) {
 	return nil, failure.New(failure.TypeUnavailable, "no control process answers")
 }
 
-// A request has crashed its second backend server at another entry, which refuses it, and
-// the caller sends it here before this entry's board tells. Here it is a suspect that waits
-// for a turn alone; by the time it has one, or gives up waiting, the board tells. It must
-// be refused then: sent on, it crashed a third backend server.
+// A request has crashed its second backend server at another entry, which refuses it. The
+// caller sends it here before this entry's board shows the crash, so here it is a suspect that
+// waits for a turn in isolation. By the time it gets a turn, or gives up waiting, the board
+// shows the crash. The request must be refused then; sent on, it crashed a third backend
+// server.
 func TestRequestWithCrashesAttributedWhileItWaitsIsNotSent(t *testing.T) {
 	follower := &changingBoard{}
 	before := blackboard.New()
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -15,29 +15,27 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// A request that crashes each backend server that runs it, sent again by its
-// caller without end, would take down one group after another. Each request
-// that was in flight when a backend server crashed is a suspect: its next
-// attempt runs alone on a target that all entries keep free, so a second crash
-// convicts it and hurts nobody else, and an innocent one is cleared by its
-// answer. The counts are on the blackboard, by the fingerprint of what was
-// asked, so that they hold across entries and resends.
+// A request that crashes each backend server that runs it, resent by its caller without end,
+// would take down one group after another. Each request in flight when a backend server crashes
+// becomes a suspect. Its next attempt runs in isolation, on a target that all entries keep
+// free. A second crash there is attributed to the request and harms no other request, and a
+// complete answer clears it. The blackboard holds the crash counts by the request's
+// fingerprint, so that they apply across entries and resends.
 
 // Times of telling a crash from a cut connection.
 const (
-	// crashWait is how long evidence is awaited: longer than two missed
-	// announcements.
+	// crashWait is how long an attempt's end waits for evidence of a crash: longer than two
+	// missed announcements.
 	crashWait = 2500 * time.Millisecond
 	crashPoll = 50 * time.Millisecond
-	// sureAlive is how long after the cut a server must have announced itself
-	// to count as alive: an announcement may have been under way at the crash.
+	// aliveAfterCut is how long after the cut a server must have announced itself to count as
+	// alive. An earlier announcement may have been in flight at the crash.
 	aliveAfterCut = 300 * time.Millisecond
 )
 
-// crashed tells whether a backend server of the attempt's target crashed about
-// when the attempt was cut. A server that is silent after it closed the
-// connection has crashed too; one that died with its VM closes nothing, and its
-// attempts stall instead.
+// hasCrashed reports whether a backend server of the attempt's target crashed about when the
+// attempt was cut. A server that closes the connection and then stays silent counts as crashed.
+// A server that dies with its VM closes no connection; its attempts stall instead.
 func (s *Server) hasCrashed(ctx context.Context, r route, cut time.Time) bool {
 	for time.Since(cut) < crashWait && ctx.Err() == nil {
 		changed, alive := s.checkMembers(r, cut.Add(aliveAfterCut))
@@ -52,8 +50,8 @@
 	return ctx.Err() == nil
 }
 
-// lookAt tells whether any member has another incarnation than the attempt was
-// sent to, and whether all were heard after a time.
+// checkMembers reports whether any member has an incarnation other than the one that the
+// attempt was sent to, and whether all members have announced themselves after a time.
 func (s *Server) checkMembers(r route, after time.Time) (changed, alive bool) {
 	alive = true
 	s.o.Hearing.With(func(t *evidence.Table) {
@@ -69,8 +67,8 @@
 	return changed, alive
 }
 
-// unit names what crashed, once for all entries that saw it: a group's epoch
-// or an instance's incarnation.
+// crashID identifies the crash for all entries that saw it, by a group's epoch or an instance's
+// incarnation.
 func (r route) crashID() string {
 	if r.group != "" {
 		return r.group + "@" + formatEpoch(r.epoch)
@@ -78,8 +76,8 @@
 	return r.head + "@" + r.incarnation
 }
 
-// blameIfCrashed counts a crash against the job if there was one, and tells
-// whether that convicts it.
+// reportIfCrashed counts a crash against the job if there was one. It reports whether the crash
+// is thereby attributed to the request.
 func (s *Server) reportIfCrashed(j *job, r route, alone bool, cut time.Time) bool {
 	ctx := j.ctx
 	if j.nonIdempotent {
@@ -88,7 +86,7 @@
 	return s.hasCrashed(ctx, r, cut) && s.reportCrash(j, r, alone).Convicted()
 }
 
-// blame counts a crash against the job and returns what is known of it then.
+// reportCrash counts a crash against the job and returns the request's crash counts.
 func (s *Server) reportCrash(j *job, r route, alone bool) blackboard.Suspect {
 	ctx, cancel := context.WithTimeout(context.Background(), boardTimeout)
 	defer cancel()
@@ -102,7 +100,7 @@
 	}
 	j.suspect = true
 	j.crashes++
-	// This entry's copy may be behind what it has seen itself.
+	// This entry's board may not show yet what the entry has seen itself.
 	known.Crashes = max(known.Crashes, j.crashes)
 	if alone {
 		known.Alone = max(known.Alone, 1)
@@ -110,23 +108,24 @@
 	return known
 }
 
-// clear forgets a suspect that was answered whole while it ran alone.
+// clearSuspect removes a suspect that was answered completely while it ran in isolation.
 func (s *Server) clearSuspect(j *job) {
 	ctx, cancel := context.WithTimeout(context.Background(), boardTimeout)
 	defer cancel()
-	// If this fails the request runs alone once more, and is cleared then.
+	// If this fails, the request runs in isolation once more and is cleared then.
 	_ = s.commitBoard(ctx, &blackboard.ForgetSuspect{Fingerprint: j.fingerprint}, nil)
 }
 
-// convicted is the final answer to a request that crashes backend servers.
+// crashRefusal returns the final failure of a request that crashes backend servers.
 func crashRefusal() *failure.Error {
 	return failure.New(failure.TypePoisoned,
-		"this request crashed the backend servers that ran it; it is not run again").WithRan(failure.RanUnknown)
+		"this request crashed the backend servers that ran it and will not be run again").WithRan(failure.RanUnknown)
 }
 
 const boardTimeout = 2 * time.Second
 
-// commitBoard writes a command of the board through the leader.
+// commitBoard writes a board command through the leader. If verdict is not nil, it receives the
+// command's result.
 func (s *Server) commitBoard(ctx context.Context, c blackboard.Command, verdict *blackboard.Verdict) error {
 	encoded, err := blackboard.Encode(c)
 	if err != nil {
