--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -23,88 +23,88 @@
 	HeaderClass          = "Citronstep-Class"
 	HeaderNonIdempotent  = "Citronstep-Non-Idempotent"
 	HeaderTimeout        = "Citronstep-Timeout-Ms"
-	// HeaderRequestID is on each answer; a caller may not choose it.
+	// HeaderRequestID is on each answer; a caller may not choose its value.
 	HeaderRequestID = "Citronstep-Request-Id"
 )
 
-// Limits of what a caller may ask.
+// Limits and defaults of a caller's request.
 const (
 	maxKeyLength = 256
 	maxTimeout   = time.Hour
 	maxTokens    = 1 << 20
-	// bytesPerToken estimates the work in a prompt before an engine counts it.
+	// bytesPerToken estimates the work of a prompt before an engine has counted its tokens.
 	bytesPerToken = 4
-	// defaultMaxTokens is the length of an answer whose request names none.
+	// defaultMaxTokens is the longest answer to a request that does not state max_tokens.
 	defaultMaxTokens = 16
 )
 
-// job is one request on its way through the entry.
+// job is one request while the entry processes it.
 type job struct {
 	id        string
 	workspace string
 	class     string
-	// key is the workspace and the idempotency key, or empty.
+	// key is the workspace and the idempotency key; empty without an idempotency key.
 	key string
-	// body is the hash of what was asked: the fingerprint of the request.
+	// fingerprint is a hash of the request's contents.
 	fingerprint   string
 	nonIdempotent bool
 	arrived       time.Time
-	// asked is when the caller surely had sent the request for the first time: its
-	// arrival, or earlier for a later try.
+	// firstSent is the latest time at which the caller can have sent the request first: its
+	// arrival, or earlier for a resend.
 	firstSent time.Time
 	deadline  time.Time
 
-	// model is the model asked for, or the pool name of a plain service.
+	// model is the requested model, or the pool name of a plain service.
 	model     string
 	prompt    string
 	maxTokens int
 	extra     map[string]json.RawMessage
 	prefix    []uint64
 
-	// forward holds the request when it is passed on as it came.
+	// forward holds the request if it is forwarded unchanged; nil otherwise.
 	forward *forwarding
-	// maxAttempts bounds the attempts; 0 is the entry's own limit.
+	// maxAttempts limits the attempts; 0 stands for the entry's own limit.
 	maxAttempts int
 
-	// service holds the call when the request is for a plain service.
+	// service holds the call if the request is for a plain service; nil otherwise.
 	service *serviceCall
 
 	answer *answer
-	// mayHaveRun says that an attempt of this job may have run, or did.
+	// mayHaveRun is set once an attempt of this job has run or may have run.
 	mayHaveRun bool
-	// lines are what is logged of the request.
+	// lines logs the request.
 	lines *requestlog.Lines
-	// finish is the finish reason of a whole answer.
+	// finish is the finish reason of a complete answer.
 	finish string
-	// isHolder says that this entry is the holder of the job's key; begun that
-	// an earlier run of the key may have begun.
+	// isHolder is set if this entry holds the job's key. begun is set if an earlier run of the
+	// key may have begun.
 	isHolder, begun bool
-	// replayed says that the answer was given from the at-most-once record.
+	// replayed is set if the answer came from the at-most-once record.
 	replayed bool
-	// claimed says that this job holds its key's at-most-once record.
+	// claimed is set if this job holds the at-most-once record of its key.
 	claimed bool
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
 
-	// homes are the regions whose backend servers may take the request; nil is any.
+	// homes are the regions whose backend servers may serve the request; nil allows any.
 	homes []string
-	// reserve is the part of each target that this request leaves free for
-	// requests of greater worth.
+	// reserve is the fraction of each target that this request leaves free for requests of
+	// greater worth.
 	reserve float64
 	// tried lists the targets that failed this request.
 	tried []string
 	// attempts counts the attempts begun.
 	attempts int
-	// queued is the time until the first attempt; firstToken until the first
-	// token, both from the arrival.
+	// queued is the time from the arrival to the first attempt, firstToken the time from the
+	// arrival to the first token.
 	queued, firstToken time.Duration
-	// suspect says that a backend server crashed while it ran the request;
-	// crashes counts those that this job saw.
+	// suspect is set if a backend server crashed while it ran the request. crashes counts the
+	// crashes that this job has seen.
 	suspect bool
 	crashes int
 }
 
-// tokens estimates the work of the request.
+// tokens estimates the work of the request, in tokens.
 func (j *job) tokens() int {
 	if j.forward != nil {
 		return j.forward.tokens
@@ -112,32 +112,33 @@
 	return len(j.prompt)/bytesPerToken + j.maxTokens
 }
 
-// answerPart is the part of a request's time that is left for its answer when it is placed.
+// answerTimeDivisor reserves a fifth of a request's remaining time for its answer when the
+// request is placed.
 const answerTimeDivisor = 5
 
-// placeBy returns until when the job must be placed for its answer to be of use.
+// placeBy returns until when the job must be placed so that its answer still arrives in time.
 func (j *job) placeBy(now time.Time) time.Time {
 	return j.deadline.Add(-j.deadline.Sub(now) / answerTimeDivisor)
 }
 
-// gated tells whether a model's gate counts the job: its answer is a stream that
-// should begin within an objective.
+// isGated reports whether a model's gate counts the job: its answer is a stream that should
+// begin within an objective.
 func (j *job) isGated() bool {
 	return j.forward != nil && j.forward.route.Kind == blackboard.RouteStreaming && j.forward.route.ObjectiveMillis > 0
 }
 
-// nextAttempt returns a new attempt's id. Engines echo it on each token, so
-// that a late answer of an earlier attempt is told from this one's.
+// nextAttempt returns the id of a new attempt. Engines echo it on each token, which tells a
+// late answer of an earlier attempt from the answer of this one.
 func (j *job) nextAttempt() string {
 	j.attempts++
 	return j.id + "." + strconv.Itoa(j.attempts)
 }
 
-// head holds what all kinds of request have in common.
+// newJob checks the parts that all kinds of requests have in common and returns their job.
 func (s *Server) newJob(r *http.Request, board *blackboard.Board) (*job, *failure.Error) {
 	if e := s.mayAdmit(); e != nil {
-		// An entry that has just started holds no configuration yet: it knows
-		// no key, and must not call a good one unknown.
+		// An entry that has just started holds no configuration yet. It knows no key and must
+		// not reject a valid one as unknown.
 		return nil, e
 	}
 	workspace, ok := s.workspaceOf(r.Header, board)
@@ -164,7 +165,7 @@
 	}
 	if key := r.Header.Get(HeaderIdempotencyKey); key != "" {
 		if len(key) > maxKeyLength {
-			return nil, badRequest("an idempotency key has 256 bytes at most", HeaderIdempotencyKey)
+			return nil, badRequest("an idempotency key must be at most 256 bytes", HeaderIdempotencyKey)
 		}
 		j.key = workspace + "/" + key
 	}
@@ -184,7 +185,7 @@
 	if text := h.Get(HeaderTimeout); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || n < 1 || n > maxTimeout.Milliseconds() {
-			return 0, badRequest("a timeout is 1 to 3600000 milliseconds", HeaderTimeout)
+			return 0, badRequest("the timeout must be 1 to 3600000 milliseconds", HeaderTimeout)
 		}
 		millis = n
 	}
@@ -204,7 +205,8 @@
 	return failure.New(failure.TypeBadRequest, message).WithDetail(detail).WithRan(failure.RanNo)
 }
 
-// fingerprint hashes the parts of a request that make it what it is.
+// fingerprint hashes the parts that identify a request. The length before each part keeps
+// different divisions into parts apart.
 func fingerprint(parts ...string) string {
 	h := sha256.New()
 	for _, p := range parts {
--- a/internal/entry/job_table.go
+++ b/internal/entry/job_table.go
@@ -11,21 +11,22 @@
 
 // Limits of the answers that an entry keeps for resends.
 const (
-	// keptAnswers and keptBytes bound the answers of idempotent requests that
-	// carry a key.
+	// keptAnswers and keptBytes limit the number and the total size of kept answers, which are
+	// those of idempotent requests with a key.
 	keptAnswers = 4096
 	keptBytes   = 64 << 20
 	// keptFor is how long such an answer is kept.
 	keptFor = 2 * time.Minute
 )
 
-// running are the keyed jobs of this entry, and those that ended a while ago.
+// jobTable holds the keyed jobs of this entry, running or ended recently, and counts the open
+// jobs.
 type jobTable struct {
 	mu    sync.Mutex
 	jobs  map[string]*job
 	kept  []keptJob
 	bytes int
-	// open counts the open jobs by workspace, and total all of them.
+	// open counts the open jobs by workspace, total counts all of them.
 	open  map[string]int
 	total int
 }
@@ -41,7 +42,7 @@
 	return &jobTable{jobs: make(map[string]*job), open: make(map[string]int)}
 }
 
-// start begins the job, or returns the one that the same key began.
+// start begins the job, or returns the job that the same key began earlier.
 func (s *Server) start(j *job, run func(*job)) (*job, *failure.Error) {
 	if e := s.mayAdmit(); e != nil {
 		return nil, e
@@ -72,8 +73,8 @@
 	return j, nil
 }
 
-// beginJob counts the job in under the gate, so that a drain that has begun
-// to wait sees no job begin.
+// beginJob counts the job under drainMu, so that no job begins after a drain has started to
+// wait for the running ones.
 func (s *Server) beginJob(j *job) (*job, *failure.Error) {
 	s.drainMu.RLock()
 	defer s.drainMu.RUnlock()
@@ -88,7 +89,7 @@
 	return first, e
 }
 
-// limits of open requests.
+// openLimits are the limits of open requests.
 type openLimits struct {
 	entry, workspace int
 }
@@ -125,7 +126,7 @@
 	return j, nil
 }
 
-// join returns the keyed job that runs or ran here, counted in as a reader.
+// join returns the keyed job that runs or ran here, with the caller added as a reader.
 func (r *jobTable) join(key string) (*job, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,8 +137,8 @@
 	return j, ok
 }
 
-// end counts the job out. Its answer is kept for resends when it is whole;
-// a failure is not, so that a resend runs anew.
+// end removes the job from the open ones. A complete answer is kept for resends. A failure is
+// not kept, so that a resend runs again.
 func (r *jobTable) end(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,7 +162,7 @@
 	r.evictOld(time.Now())
 }
 
-// strip drops what only a running job needs.
+// releaseInputs drops the data that only a running job needs.
 func (j *job) releaseInputs() {
 	j.prompt, j.extra, j.prefix = "", nil, nil
 	if j.service != nil {
@@ -169,8 +170,7 @@
 	}
 }
 
-// keptBytes is what a kept answer takes: its text, or a plain service's body
-// and header.
+// keptBytes returns the size of a kept answer: its text, or a plain service's body and header.
 func (j *job) keptBytes() int {
 	n := j.answer.size()
 	if j.service == nil {
@@ -185,7 +185,7 @@
 	return n + len(j.service.body)
 }
 
-// counts returns the open jobs and the bytes of kept answers.
+// counts returns the number of open jobs and the total size of kept answers, in bytes.
 func (r *jobTable) counts() (open, kept int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -206,8 +206,8 @@
 	}
 }
 
-// detach ends a caller's wait. When nobody waits any more the job is
-// cancelled, unless its outcome has to be recorded for a resend.
+// detach ends a caller's wait. If no caller is left, the job is cancelled, unless its outcome
+// has to be recorded for a resend.
 func (s *Server) detach(j *job) {
 	if j.answer.detach() > 0 || j.nonIdempotent {
 		return
--- a/internal/entry/job_table_test.go
+++ b/internal/entry/job_table_test.go
@@ -13,8 +13,8 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// A caller makes hundreds of keyed calls whose answers are megabytes. Each is
-// kept for a resend; counted as nothing, they take all the entry's memory.
+// A caller makes hundreds of keyed calls whose answers are megabytes. Each answer is kept for a
+// resend. If their size did not count, they would use up the entry's memory.
 func TestKeptAnswersOfServicesAreBounded(t *testing.T) {
 	const size = 8 << 20
 	r := newJobTable()
@@ -33,9 +33,9 @@
 	assert.Equal(t, len(r.jobs), keptBytes/size)
 }
 
-// A suspect waits for its turn alone, and when the turn comes the entry has
-// lost its lease. The request is refused; if the turn is not passed on, every
-// later suspect of the model waits in vain.
+// A suspect waits for its turn in isolation, and when the turn comes the entry has lost its
+// lease. The request is refused. If the turn is not passed on, every later suspect of the model
+// waits in vain.
 func TestIsolationTurnIsPassedOnWhenNothingIsDispatched(t *testing.T) {
 	turns := 0
 	g := grant{endTurn: func() { turns++ }}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,6 +1,5 @@
-// Package entry takes callers' requests: it authenticates them, finds
-// duplicates, lets admission and placement decide, makes attempts on backend
-// servers, and relays one whole answer.
+// Package entry serves callers' requests. It authenticates them, finds duplicates, applies
+// admission and placement, makes attempts on backend servers, and relays one complete answer.
 package entry
 
 import (
@@ -31,7 +30,7 @@
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
-// Follower gives the newest board and the lease to serve under it.
+// Follower provides the newest board and the lease to serve under it.
 type Follower interface {
 	Board() *blackboard.Board
 	Lease() time.Duration
@@ -44,11 +43,11 @@
 	Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error)
 }
 
-// Options are what a Server is made of.
+// Options configure a Server.
 type Options struct {
 	ID         string
 	DataCentre string
-	// Regions names the region of each data centre.
+	// Regions holds the region of each data centre.
 	Regions  map[string]string
 	Settings settings.Entry
 	Follower Follower
@@ -56,19 +55,18 @@
 	Client   backend.Client
 	Control  Committer
 	Logger   log.Logger
-	// RequestLinesPerSecond bounds the lines about requests; 0 is no bound.
+	// RequestLinesPerSecond limits the log lines about requests; 0 is no limit.
 	RequestLinesPerSecond int
 	Metrics               *metrics.Entry
-	// Peers calls the other entries, with the secret between our processes.
+	// Peers calls the other entries with the secret that the processes of the system share.
 	Peers *http.Client
-	// Forwarder passes on the requests of routes; nil if none are taken.
+	// Forwarder forwards the requests of routes; nil if the entry serves none.
 	Forwarder backend.Forwarder
-	// Suspects tells the leader of groups without progress; nil if nobody is to
-	// be told.
+	// Suspects reports groups without progress to the leader; nil if there are no reports.
 	Suspects Suspecter
 }
 
-// Suspecter tells the leader of groups without progress.
+// Suspecter reports groups without progress to the leader.
 type Suspecter interface {
 	Suspect(ctx context.Context, r *noderpc.SuspectRequest) error
 }
@@ -80,58 +78,59 @@
 	dispatcher *dispatcher
 	jobs       *jobTable
 	isolation  *isolation
-	// holders is what this entry knows as the home of keys.
+	// holders is this entry's table as the home of keys.
 	holdersMu sync.Mutex
 	holders   *holders
 	keys      keyIndex
-	// boardChanged wakes the routes' loop.
+	// boardChanged wakes the route loop.
 	boardChanged chan struct{}
-	// open are the routes of the last look, for the log alone.
+	// loggedRoutes are the routes of the last update, kept for the log alone.
 	loggedRoutes map[string]route
-	// progress is used by the routes' loop alone.
+	// progress is used by the route loop alone.
 	progress progressByEpoch
-	// work counts the running jobs, for a graceful stop. It grows only under
-	// the gate, and not once draining is set.
+	// work counts the running jobs for a graceful stop. It grows only under drainMu, and not
+	// once draining is set.
 	work    sync.WaitGroup
 	drainMu sync.RWMutex
-	// draining says that no new work is admitted.
+	// draining is set once no new work is admitted.
 	draining atomic.Bool
-	// handlers counts the open requests of callers, attached resends too.
+	// openCallers counts the open requests of callers, including resends that are attached.
 	openCallers atomic.Int64
-	// leaving says that the entry asked its balancer to stop sending.
+	// leaving is set once the entry has asked its load balancer to stop sending.
 	leaving atomic.Bool
-	// entryIDs are the registered entries of the last board.
+	// entryIDs holds the registered entries of the last board.
 	entryIDs []string
-	// routedBy is the board that the routes were last taken from, and routesHeld says
-	// that a group on it was then held; the routes' loop alone uses them.
+	// routesBoard is the board that the routes were last taken from. routesChangeWithTime is
+	// set if these routes change without an event. Only the route loop uses them.
 	routesBoard          *blackboard.Board
 	routesChangeWithTime bool
-	// policyRevision is the configuration that admission's policy is from.
+	// policyRevision is the configuration revision that admission's policy was built from.
 	policyRevision uint64
-	// waits is what this entry has learned of how long callers wait.
+	// waitEstimates estimates how long callers wait.
 	waitEstimates *waitEstimates
-	// rateLimits are those that backend servers have named.
+	// rateLimits holds the rate limits that backend servers state.
 	rateLimits *rateLimits
-	// borrowing holds the retries that this entry borrows and lends.
+	// retryLoans holds the retries that this entry borrows and lends.
 	retryLoans *retryLoans
-	// memory bounds what is held for slow readers and writers.
+	// memory limits the bytes held for slow readers and writers.
 	memory *memoryBudget
-	// cold holds the limits of backend servers that are cold, and evacuations the data
-	// centres that are evacuated; the routes' loop alone uses them.
+	// cold holds the limits of cold backend servers, and evacuations the evacuated data
+	// centres. Only the route loop uses them.
 	cold        map[string]placement.RateLimit
 	evacuations evacuations
-	// callers tells the controllers when the first request comes.
+	// callerReport reports to the controllers that callers have begun to send requests.
 	callerReport firstCallerReport
-	// routing is what requests of routes are judged by.
+	// routing is the configuration that applies to requests of routes; nil before the first
+	// one.
 	routing atomic.Pointer[routingTable]
-	// configured closes with the first configuration.
+	// configured is closed with the first configuration.
 	configured     chan struct{}
 	configuredOnce sync.Once
-	// started is when this process began.
+	// startedAt is when this process started.
 	startedAt time.Time
 }
 
-// NewServer returns a server; Run keeps its routes.
+// NewServer returns a server. Run keeps its routes up to date.
 func NewServer(o Options) *Server {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(o.ID))
@@ -159,10 +158,10 @@
 	return s
 }
 
-// Run keeps the routes until the context ends.
+// Run keeps the routes up to date until the context ends.
 func (s *Server) Run(ctx context.Context) { s.keepRoutes(ctx) }
 
-// BoardChanged takes a new board into the policy and the routes.
+// BoardChanged applies a new board to the policy and the routes.
 func (s *Server) BoardChanged(b *blackboard.Board) {
 	s.updateEntries(b)
 	s.waitEstimates.loadBoard(b)
@@ -183,7 +182,8 @@
 	}
 }
 
-// entriesChanged notes that keys may have come to this home from another.
+// updateEntries records the set of entries. If it changed, keys may have moved to this home
+// from another.
 func (s *Server) updateEntries(b *blackboard.Board) {
 	ids := slices.Sorted(maps.Keys(b.Entries))
 	if slices.Equal(ids, s.entryIDs) {
@@ -196,7 +196,7 @@
 	s.holders.assumeBegun(time.Now())
 }
 
-// Announced takes what an announcement says beyond liveness.
+// Announced processes the parts of an announcement other than liveness.
 func (s *Server) Announced(a backend.Announcement) { s.cacheEvents(a) }
 
 // Handler returns the callers' API.
@@ -215,15 +215,16 @@
 	return e
 }
 
-// handlersPerOpen is how many callers' requests may be open for each open job
-// that the settings allow: resends that attach, and bodies still on their way.
+// requestsPerOpenJob is how many callers' requests may be open for each open job that the
+// settings allow: it leaves capacity for resends that attach and for bodies that are still
+// being sent.
 const requestsPerOpenJob = 2
 
-// boundHandlers bounds what callers hold open before and beside their jobs.
+// limitOpenRequests limits the requests that callers hold open, with or without a job.
 //
-// Failure: callers send bodies slowly, or resend one key thousands of times;
-// no job is open, so the limit on jobs sees nothing, and the entry's memory
-// goes. Each open request of any kind counts here.
+// Failure: callers send bodies slowly, or resend one key thousands of times. No job is open, so
+// the limit on jobs does not apply, and the entry runs out of memory. Each open request of any
+// kind counts here.
 func (s *Server) limitOpenRequests(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		defer s.openCallers.Add(-1)
@@ -250,7 +251,7 @@
 	failure.Write(c.Response(), err)
 }
 
-// serveReady tells the platform's balancer whether to send callers here.
+// serveReady answers the load balancer's readiness probe.
 func (s *Server) serveReady(c echo.Context) error {
 	if e := s.Ready(); e != nil {
 		return e
@@ -258,10 +259,10 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// Leaving tells whether the entry has asked its balancer to stop sending.
+// Leaving reports whether the entry has asked its load balancer to stop sending.
 func (s *Server) Leaving() bool { return s.leaving.Load() }
 
-// Ready tells why the balancer should not send callers here, or nil.
+// Ready returns why the load balancer should not send callers here, or nil.
 func (s *Server) Ready() *failure.Error {
 	if s.leaving.Load() {
 		return failure.New(failure.TypeDraining, "this entry is stopping")
@@ -269,19 +270,17 @@
 	return s.mayDispatch()
 }
 
-// firstConfigurationWait is how long after its start an entry lets requests wait
-// for its first configuration.
+// firstConfigurationWait is how long after its start an entry lets requests wait for its first
+// configuration.
 //
-// Load: an entry restarts, or all do, and callers connect before it has heard
-// from the control processes. Harm of refusing them: a caller has few retries and
-// spends one, and all come back in the same moment. Reason for the limit: with
-// control processes that answer, the configuration is there 0.3 s after the start;
-// where it is not after this, nobody knows when it will be, and callers are told
-// so at once.
+// After an entry or all entries restart, callers connect before the entry has received a
+// configuration. A refused caller spends one of its few retries, and all callers come back at
+// the same moment. If the control processes answer, the configuration arrives 0.3 s after the
+// start. If it has not arrived within this time, nobody knows when it will, and callers are
+// refused at once.
 const firstConfigurationWait = time.Second
 
-// awaitConfiguration waits for the first configuration, if this process has only
-// just started.
+// awaitConfiguration waits for the first configuration if this process has just started.
 func (s *Server) awaitConfiguration(ctx context.Context) {
 	select {
 	case <-s.configured:
@@ -304,7 +303,7 @@
 // drainingRetryAfter is short, as any other entry serves the caller at once.
 const drainingRetryAfter = 50 * time.Millisecond
 
-// mayAdmit refuses new work while stopping or without a lease.
+// mayAdmit refuses new work while the entry is stopping or has no lease.
 func (s *Server) mayAdmit() *failure.Error {
 	if s.draining.Load() {
 		return failure.New(failure.TypeDraining, "this entry is stopping; send to another").
@@ -313,9 +312,9 @@
 	return s.mayDispatch()
 }
 
-// Drain stops gracefully: readiness goes off, the balancer gets its time, new
-// work is refused, and running work finishes. refusing is called when new work
-// begins to be refused. It returns false when the context ended first.
+// Drain stops gracefully. It turns readiness off, gives the load balancer time to react,
+// refuses new work, and waits for running work to finish. It calls refusing when new work
+// begins to be refused. It returns false if the context ended first.
 func (s *Server) Drain(ctx context.Context, refusing func()) bool {
 	s.leaving.Store(true)
 	wait := time.NewTimer(time.Duration(s.o.Settings.BalancerMillis) * time.Millisecond)
@@ -360,8 +359,8 @@
 	}
 }
 
-// priority is what engines order their own queues by: the worth that admission
-// goes by, in whole numbers.
+// priority returns the worth by which engines order their own queues: the worth in admission's
+// policy, rounded.
 func (s *Server) priority(j *job) int {
 	return s.dispatcher.worth(j.workspace, j.class)
 }
@@ -372,7 +371,7 @@
 	return int(math.Round(d.policy.Worth(workspace, class)))
 }
 
-// policyOf turns the configuration in force into admission's policy.
+// policyOf converts the configuration in force into admission's policy.
 func policyOf(c blackboard.Configuration) admission.Policy {
 	p := admission.Policy{
 		Workspaces: make(map[string]admission.WorkspacePolicy),
