--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -3,121 +3,130 @@
 import "time"
 
 const (
-	// gateHigh and gateLow are parts of the objective: above the one, on average,
-	// fewer requests are let through, below the other more. A sample counts for
-	// gateSample at most. So the gate closes while most first events are late by far: it
-	// does not for one group in four that is slow or lost, nor for groups that are
-	// well loaded. With 0.9 for gateHigh the models of long prompts, whose first events
-	// are late one time in two, were held back all day: a class of theirs earned 0.48 in
-	// place of 0.55, and of 0.60 without a gate.
-	gateHigh   = 1.2
-	gateLow    = 0.9
-	gateSample = 2
-	// gateStale is how long the last first event may lie back before a gate opens: what
-	// an entry that gets a request in some seconds has seen says nothing of now.
-	gateStale = 1500 * time.Millisecond
-	// gateWeight is the weight of a new sample: an entry has a few a second.
-	gateWeight = 0.3
-	// gateCut is the factor of a cut, and gateSettle how long it must at least show
-	// before the next, which also waits until twice the time of a request has
-	// passed.
-	gateCut    = 0.7
-	gateSettle = 150 * time.Millisecond
-	// gateLeast is the smallest window: a request goes out and a pause of the
-	// same length follows.
-	gateLeast = 0.5
-	// gateOpenFrom is a window that no entry fills while its requests are on time;
-	// a window that has grown past it becomes gateOpen, which holds nothing back.
-	gateOpenFrom = 64
-	gateOpen     = 1 << 16
+	// The window shrinks while the mean time to the first event is above gateShrinkAbove of the
+	// objective, and grows while the mean is below gateGrowBelow. A sample counts for at most
+	// gateMaxSample of the objective.
+	//
+	// With these values, the gate limits requests only while most first events are far too late.
+	// One slow or lost group in four does not make it limit them, and neither do well loaded
+	// groups. With gateShrinkAbove at 0.9, the models with long prompts, of whose first events
+	// one in two is late, were limited all day: one of their classes earned 0.48 in place of
+	// 0.55, and of 0.60 without a gate.
+	gateShrinkAbove = 1.2
+	gateGrowBelow   = 0.9
+	gateMaxSample   = 2
+	// gateStaleAfter is the age of the last first event after which a limiting gate opens. At an
+	// entry that gets one request in several seconds, old samples say nothing about the present
+	// load.
+	gateStaleAfter = 1500 * time.Millisecond
+	// gateSmoothing is the weight of a new sample. An entry gets a few samples a second.
+	gateSmoothing = 0.3
+	// gateCutFactor is the factor by which a cut shrinks the window. gateMinCutInterval is the
+	// least time between two cuts, so that the first one can take effect. The next cut also waits
+	// for twice the time that the request took to its first event.
+	gateCutFactor      = 0.7
+	gateMinCutInterval = 150 * time.Millisecond
+	// gateMinWindow is the smallest window. At this window, each request is followed by a pause
+	// as long as its time to the first event.
+	gateMinWindow = 0.5
+	// gateOpenAbove is a window that no entry fills while its requests are on time. A window that
+	// grows past it becomes gateUnlimited, which limits nothing.
+	gateOpenAbove = 64
+	gateUnlimited = 1 << 16
 )
 
-// Gate bounds the requests of one model that an entry has sent and that have not
-// begun to be answered.
+// Gate limits the requests of one model that an entry has sent and that have not had their first
+// event. It is an adaptive concurrency limit.
 //
-// Load: more arrives for seconds than the groups begin in the same time. Harm of
-// sending all on: they wait in the engines' own queues, first come, first served, and
-// each is answered, each too late. With the surplus waiting here, newest first, most are on time, and
-// those passed over still follow before their deadline once there is room. The
-// window follows what it is for, the time to the first event as a part of the objective,
-// since no entry sees what the others have sent.
+// Gate is made for an overload in which, for seconds, more requests arrive than the groups can
+// begin. If an entry sent all of them at once, they would wait in the engines' own queues, first
+// come, first served, and each would be answered too late. With the surplus waiting in the entry
+// and served newest first, most requests are on time. The requests passed over still follow
+// before their deadline once there is capacity.
+//
+// The window follows the time to the first event as a fraction of the objective, because no entry
+// sees what the other entries have sent.
 type Gate struct {
 	window float64
-	// pressure is the mean time to the first event, as a part of the objective.
-	pressure float64
-	unbegun  int
-	settle   time.Time
-	// beganAt is when a request last began.
-	beganAt time.Time
-	// pauseUntil is when the next request may be sent while the window is below
-	// one: many entries share few groups, and one request of each is too much.
+	// firstEventRatio is the smoothed time to the first event as a fraction of the objective.
+	firstEventRatio float64
+	// pending is the number of requests sent that have not had their first event.
+	pending int
+	// nextCut is the earliest time of the next cut of the window.
+	nextCut time.Time
+	// lastFirstEvent is the time of the latest first event.
+	lastFirstEvent time.Time
+	// pauseUntil is the earliest time of the next request while the window is below one. Many
+	// entries may share few groups, and then one request from each entry at a time is too much.
 	pauseUntil time.Time
 }
 
-// NewGate returns a gate that holds nothing back.
-func NewGate() *Gate { return &Gate{window: gateOpen} }
+// NewGate returns a gate that limits nothing.
+func NewGate() *Gate { return &Gate{window: gateUnlimited} }
 
-// Room tells whether a further request may be sent.
+// Room reports whether another request may be sent. It opens a limiting gate whose last sample is
+// older than gateStaleAfter.
 func (g *Gate) Room(now time.Time) bool {
-	if g.Limiting() && now.Sub(g.beganAt) > gateStale {
-		*g = Gate{window: gateOpen, unbegun: g.unbegun}
+	if g.Limiting() && now.Sub(g.lastFirstEvent) > gateStaleAfter {
+		*g = Gate{window: gateUnlimited, pending: g.pending}
 	}
 	if g.window < 1 {
-		return g.unbegun == 0 && !now.Before(g.pauseUntil)
+		return g.pending == 0 && !now.Before(g.pauseUntil)
 	}
-	return float64(g.unbegun) < g.window
+	return float64(g.pending) < g.window
 }
 
-// Limiting tells whether the gate holds requests back at present loads.
-func (g *Gate) Limiting() bool { return g.window < gateOpen }
+// Limiting reports whether the gate has a limited window.
+func (g *Gate) Limiting() bool { return g.window < gateUnlimited }
 
 const (
-	// firstLeast and firstMost bound Expected: with too little, requests count as on
-	// time that have no chance, with too much none does.
-	firstLeast = 0.3
-	firstMost  = 0.9
+	// minExpected and maxExpected bound Expected. With a lower value, requests that have no
+	// chance would count as on time; with a higher value, no request would.
+	minExpected = 0.3
+	maxExpected = 0.9
 )
 
-// Expected is the part of the objective that a request spends at a group until its
-// first event, as seen of late.
-func (g *Gate) Expected() float64 { return min(max(g.pressure, firstLeast), firstMost) }
+// Expected returns the fraction of the objective that a request spends at a group until its first
+// event, estimated from recent requests.
+func (g *Gate) Expected() float64 { return min(max(g.firstEventRatio, minExpected), maxExpected) }
 
-// Idle tells whether no request is between its sending and its first event.
-func (g *Gate) Idle() bool { return g.unbegun == 0 }
+// Idle reports whether no request is between its sending and its first event.
+func (g *Gate) Idle() bool { return g.pending == 0 }
 
-// Sent notes a request that was sent.
-func (g *Gate) Sent() { g.unbegun++ }
+// Sent records that a request was sent.
+func (g *Gate) Sent() { g.pending++ }
 
-// Ended notes one that ended before it began.
-func (g *Gate) Ended() { g.unbegun-- }
+// Ended records that a request ended before its first event.
+func (g *Gate) Ended() { g.pending-- }
 
-// Began notes the first event of a request, after took against its objective.
-func (g *Gate) Began(now time.Time, took, objective time.Duration) {
-	full := float64(g.unbegun) >= g.window-1
-	g.beganAt = now
-	g.unbegun--
-	g.pressure += gateWeight * (min(took.Seconds()/objective.Seconds(), gateSample) - g.pressure)
+// Began records the first event of a request. elapsed is the time since the request was sent.
+func (g *Gate) Began(now time.Time, elapsed, objective time.Duration) {
+	inUse := float64(g.pending) >= g.window-1
+	g.lastFirstEvent = now
+	g.pending--
+	g.firstEventRatio += gateSmoothing * (min(elapsed.Seconds()/objective.Seconds(), gateMaxSample) - g.firstEventRatio)
 	switch {
-	case g.pressure > gateHigh && now.After(g.settle):
-		g.settle = now.Add(max(gateSettle, 2*took))
-		g.window = max(gateLeast, gateCut*min(g.window, float64(g.unbegun+1)))
-	case g.pressure < gateLow && g.window < gateOpen:
-		g.grow(full)
+	case g.firstEventRatio > gateShrinkAbove && now.After(g.nextCut):
+		g.nextCut = now.Add(max(gateMinCutInterval, 2*elapsed))
+		g.window = max(gateMinWindow, gateCutFactor*min(g.window, float64(g.pending+1)))
+	case g.firstEventRatio < gateGrowBelow && g.window < gateUnlimited:
+		g.grow(inUse)
 	}
 	if g.window < 1 {
-		g.pauseUntil = now.Add(time.Duration(float64(took) * (1/g.window - 1)))
+		g.pauseUntil = now.Add(time.Duration(float64(elapsed) * (1/g.window - 1)))
 	}
 }
 
-// grow widens the window by one for each window of requests, as long as it is
-// used, and opens it once it is not.
-func (g *Gate) grow(full bool) {
-	if full && g.window >= 1 {
+// grow widens the window by one for each window of requests while the window is in use. A window
+// that is not in use, or is below one, grows by a factor and becomes unlimited above
+// gateOpenAbove.
+func (g *Gate) grow(inUse bool) {
+	if inUse && g.window >= 1 {
 		g.window += 1 / g.window
 		return
 	}
-	g.window *= 1 + gateWeight
-	if g.window > gateOpenFrom {
-		g.window = gateOpen
+	g.window *= 1 + gateSmoothing
+	if g.window > gateOpenAbove {
+		g.window = gateUnlimited
 	}
 }
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -9,70 +9,70 @@
 	"gotest.tools/v3/assert"
 )
 
-// gateWorld is several entries before engines that begin requests first come,
-// first served, on a virtual clock.
-type gateWorld struct {
-	now     time.Time
-	entries []*gateEntry
-	line    []gateSent
-	onTime  int
-	served  int
-	arrived int
+// gateSimulation runs several entries against engines that begin requests first come, first
+// served, on a virtual clock.
+type gateSimulation struct {
+	now         time.Time
+	entries     []*gateEntry
+	engineQueue []sentRequest
+	onTime      int
+	served      int
+	arrived     int
 }
 
 type gateEntry struct {
-	queue *Queue
-	gate  *Gate
-	at    map[string]time.Time
+	queue     *Queue
+	gate      *Gate
+	arrivedAt map[string]time.Time
 }
 
-type gateSent struct {
-	entry *gateEntry
-	id    string
-	at    time.Time
+type sentRequest struct {
+	entry  *gateEntry
+	id     string
+	sentAt time.Time
 }
 
-// The engines begin a hundred requests a second after 40 ms each.
+// The engines begin a hundred requests a second, each at least 40 ms after it was sent.
 const (
-	gateStep      = time.Millisecond
-	gateService   = 10 * time.Millisecond
-	gateFloor     = 40 * time.Millisecond
-	gateObjective = 200 * time.Millisecond
-	gateDeadline  = 5 * time.Second
+	gateStep          = time.Millisecond
+	gateBeginInterval = 10 * time.Millisecond
+	gateMinDelay      = 40 * time.Millisecond
+	gateObjective     = 200 * time.Millisecond
+	gateDeadline      = 5 * time.Second
 )
 
-func newGateWorld(entries int) *gateWorld {
-	w := &gateWorld{now: start}
+func newGateWorld(entries int) *gateSimulation {
+	w := &gateSimulation{now: start}
 	for range entries {
-		w.entries = append(w.entries, &gateEntry{queue: New(Policy{}), gate: NewGate(), at: make(map[string]time.Time)})
+		w.entries = append(w.entries, &gateEntry{queue: New(Policy{}), gate: NewGate(), arrivedAt: make(map[string]time.Time)})
 	}
 	return w
 }
 
-// run lets perSecond requests a second arrive at entries drawn at random, with or
-// without the gates.
-func (w *gateWorld) run(r *rand.Rand, d time.Duration, perSecond float64, gated bool) {
+// run simulates perSecond requests a second that arrive at randomly drawn entries, with or
+// without gates.
+func (w *gateSimulation) run(r *rand.Rand, d time.Duration, perSecond float64, gated bool) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(gateStep) {
 		if r.Float64() < perSecond*gateStep.Seconds() {
 			w.arrive(w.entries[r.IntN(len(w.entries))])
 		}
 		for _, e := range w.entries {
-			w.pump(e, gated)
+			w.sendQueued(e, gated)
 		}
-		if w.now.Sub(start)%gateService == 0 {
-			w.begin()
+		if w.now.Sub(start)%gateBeginInterval == 0 {
+			w.beginOldest()
 		}
 	}
 }
 
-func (w *gateWorld) arrive(e *gateEntry) {
+func (w *gateSimulation) arrive(e *gateEntry) {
 	w.arrived++
 	id := fmt.Sprint(w.arrived)
-	e.at[id] = w.now
+	e.arrivedAt[id] = w.now
 	e.queue.Offer(w.now, Request{ID: id, Workspace: "w", Class: "c", Model: "m", Tokens: 900, Arrived: w.now, Deadline: w.now.Add(gateDeadline)})
 }
 
-func (w *gateWorld) pump(e *gateEntry, gated bool) {
+func (w *gateSimulation) sendQueued(e *gateEntry, gated bool) {
 	e.queue.NewestFirst("m", gated && e.gate.Limiting())
 	for {
 		r, _, ok := e.queue.Next(w.now, func(Request) bool { return !gated || e.gate.Room(w.now) })
@@ -80,40 +80,40 @@
 			return
 		}
 		e.gate.Sent()
-		w.line = append(w.line, gateSent{e, r.ID, w.now})
+		w.engineQueue = append(w.engineQueue, sentRequest{e, r.ID, w.now})
 	}
 }
 
-func (w *gateWorld) begin() {
-	if len(w.line) == 0 || w.now.Sub(w.line[0].at) < gateFloor {
+func (w *gateSimulation) beginOldest() {
+	if len(w.engineQueue) == 0 || w.now.Sub(w.engineQueue[0].sentAt) < gateMinDelay {
 		return
 	}
-	s := w.line[0]
-	w.line = w.line[1:]
-	s.entry.gate.Began(w.now, w.now.Sub(s.at), gateObjective)
-	s.entry.queue.Done(w.now, Outcome{ID: s.id, Answered: true, Tokens: 900, Took: w.now.Sub(s.at)})
-	took := w.now.Sub(s.entry.at[s.id])
-	if took <= gateDeadline {
+	s := w.engineQueue[0]
+	w.engineQueue = w.engineQueue[1:]
+	s.entry.gate.Began(w.now, w.now.Sub(s.sentAt), gateObjective)
+	s.entry.queue.Done(w.now, Outcome{ID: s.id, Answered: true, Tokens: 900, Took: w.now.Sub(s.sentAt)})
+	elapsed := w.now.Sub(s.entry.arrivedAt[s.id])
+	if elapsed <= gateDeadline {
 		w.served++
 	}
-	if took <= gateObjective {
+	if elapsed <= gateObjective {
 		w.onTime++
 	}
 }
 
-// For fourteen seconds a tenth more requests arrive than the engines begin, after a
-// burst of twice as many for two. Sent on as they come they wait in the engines' line
-// and all are late. With the gate more than twice as many must be on time, and hardly
-// fewer be served; half as many again where each entry has less than two requests a
-// second, too few to tell an overload from a slow one.
-func TestUnderOverloadMoreAreOnTimeBehindAGate(t *testing.T) {
-	underOverload(t, 8, 2)
-	underOverload(t, 20, 2)
-	underOverload(t, 60, 1.5)
+// For two seconds twice as many requests arrive as the engines can begin, then a tenth more for
+// twelve seconds. Sent on as they arrive, the requests wait in the engines' queue and all are
+// late. With the gate, more than twice as many requests must be on time, and hardly fewer may be
+// served. Where each entry has less than two requests a second, too few to tell an overload from
+// a slow request, half as many again must be on time.
+func TestGateKeepsMoreRequestsOnTimeUnderOverload(t *testing.T) {
+	compareUnderOverload(t, 8, 2)
+	compareUnderOverload(t, 20, 2)
+	compareUnderOverload(t, 60, 1.5)
 }
 
-func underOverload(t *testing.T, entries int, gain float64) {
-	results := make(map[bool]*gateWorld)
+func compareUnderOverload(t *testing.T, entries int, gain float64) {
+	results := make(map[bool]*gateSimulation)
 	for _, gated := range []bool{false, true} {
 		w := newGateWorld(entries)
 		r := rand.New(rand.NewPCG(1, 2))
@@ -129,9 +129,9 @@
 	assert.Check(t, with.served*100 >= without.served*85, "%d against %d served", with.served, without.served)
 }
 
-// Groups are loaded well, and each first event takes a little over half of the
-// objective. The gate must hold nothing back: waiting here would only add to it.
-func TestAGateIsOpenWhileRequestsAreOnTime(t *testing.T) {
+// Groups are loaded well, and each first event takes a little over half of the objective. The
+// gate must limit nothing: waiting in the entry would only add delay.
+func TestGateIsOpenWhileRequestsAreOnTime(t *testing.T) {
 	g := NewGate()
 	now := start
 	for i := range 500 {
@@ -143,9 +143,9 @@
 	assert.Assert(t, !g.Limiting())
 }
 
-// An overload is over. The gate must open again, or it would hold back what the
-// groups have room for.
-func TestAGateOpensAgain(t *testing.T) {
+// An overload has ended. The gate must open again, or it would hold requests back while the
+// groups have free capacity.
+func TestGateOpensAfterOverload(t *testing.T) {
 	g := NewGate()
 	now := start
 	for range 50 {
@@ -164,10 +164,10 @@
 	assert.Assert(t, !g.Limiting())
 }
 
-// A model of long prompts is asked for twice in two seconds at each entry, and its
-// groups are busy all day: each first event is late. No entry can tell more from so
-// few; held back, requests would wait while groups run dry.
-func TestAGateHoldsNothingBackOnOldSamples(t *testing.T) {
+// An entry gets two requests of a model with long prompts every two seconds. The model's groups
+// are busy all day and each first event is late. So few samples don't show an overload. If the
+// gate limited them, requests would wait while groups run dry.
+func TestGateIgnoresStaleSamples(t *testing.T) {
 	g := NewGate()
 	now := start
 	for range 100 {
