--- a/internal/admission/loans.go
+++ b/internal/admission/loans.go
@@ -29,7 +29,7 @@
 // OwnRetries returns what one of some entries may repeat in a second without a loan, where
 // all together may repeat slack in a window.
 func OwnRetries(slack float64, entries int) float64 {
-	return max(least, ownPart*slack/retryWindow/float64(max(1, entries)))
+	return max(least, ownPart*slack/retryWindowSeconds/float64(max(1, entries)))
 }
 
 // Pool names what an entry borrows from, for a budget: the entries are divided among as many
@@ -62,10 +62,10 @@
 // One that has just started lends nothing for a window: it may have lent before and
 // forgotten.
 func (l *Loans) Lend(now time.Time, pool string, slack float64, entries int) bool {
-	if now.Sub(l.started) < retryWindow*time.Second {
+	if now.Sub(l.started) < retryWindowSeconds*time.Second {
 		return false
 	}
-	b := l.lent.of(now, pool)
+	b := l.lent.get(now, pool)
 	_, lent := b.sums(now)
 	if float64(lent+1) > lentPart*slack/float64(pools(entries)) {
 		return false
--- a/internal/admission/loans_test.go
+++ b/internal/admission/loans_test.go
@@ -149,5 +149,5 @@
 func TestALenderThatStartsAgainLendsNothingAtFirst(t *testing.T) {
 	l := NewLoans(start)
 	assert.Assert(t, !l.Lend(at(time.Second), "s/0", 1000, 1))
-	assert.Assert(t, l.Lend(at((retryWindow+1)*time.Second), "s/0", 1000, 1))
+	assert.Assert(t, l.Lend(at((retryWindowSeconds+1)*time.Second), "s/0", 1000, 1))
 }
--- a/internal/admission/model.go
+++ b/internal/admission/model.go
@@ -35,10 +35,10 @@
 
 // forgetAfter is how long a model's rates are kept without a request: they say
 // nothing after so long, and models come and go.
-const forgetAfter = time.Hour
+const idleExpiry = time.Hour
 
 func (m *modelQueue) idle(now time.Time) bool {
-	return m.waiting == 0 && now.Sub(m.used) > forgetAfter
+	return m.waiting == 0 && now.Sub(m.used) > idleExpiry
 }
 
 func newModelQueue(name string) *modelQueue {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -14,19 +14,19 @@
 
 // Queue holds the requests of one entry that wait for a backend server.
 type Queue struct {
-	policy     Policy
-	models     map[string]*modelQueue
-	order      []*modelQueue
-	turn       int
-	items      map[string]*item
-	keys       map[scopedKey]string
-	running    map[string]runningRequest
-	deadlines  deadlineHeap
-	workspaces map[string]int
-	refused    refusedKeys
-	retries    retryBudgets
-	waiting    int
-	counters   Counters
+	policy       Policy
+	models       map[string]*modelQueue
+	order        []*modelQueue
+	turn         int
+	items        map[string]*item
+	keys         map[scopedKey]string
+	running      map[string]runningRequest
+	deadlines    deadlineHeap
+	workspaces   map[string]int
+	refused      refusedKeys
+	retryBudgets retryBudgets
+	waiting      int
+	counters     Counters
 }
 
 // scopedKey is an idempotency key within its workspace.
@@ -46,14 +46,14 @@
 func New(policy Policy) *Queue {
 	policy = policy.withDefaults()
 	return &Queue{
-		policy:     policy,
-		models:     make(map[string]*modelQueue),
-		items:      make(map[string]*item),
-		keys:       make(map[scopedKey]string),
-		running:    make(map[string]runningRequest),
-		workspaces: make(map[string]int),
-		refused:    newRefusedKeys(),
-		retries:    make(retryBudgets),
+		policy:       policy,
+		models:       make(map[string]*modelQueue),
+		items:        make(map[string]*item),
+		keys:         make(map[scopedKey]string),
+		running:      make(map[string]runningRequest),
+		workspaces:   make(map[string]int),
+		refused:      newRefusedKeys(),
+		retryBudgets: make(retryBudgets),
 	}
 }
 
@@ -93,7 +93,7 @@
 		return Decision{Refusal: refusal}
 	}
 	q.insert(now, m, it)
-	q.retries.of(now, r.budgetName()).second(now).admitted++
+	q.retryBudgets.get(now, r.budgetName()).second(now).admitted++
 	q.counters.Queued++
 	return Decision{Queued: true, Evicted: evicted}
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -272,14 +272,14 @@
 		takeNext(t, q, now)
 		q.Done(now, Outcome{ID: r.ID, Answered: true, Took: time.Millisecond})
 	}
-	q.Next(at(2*forgetAfter), always)
+	q.Next(at(2*idleExpiry), always)
 	assert.Assert(t, len(q.models) <= 2, "%d models", len(q.models))
 	for _, m := range q.models {
 		for _, b := range m.bands {
 			assert.Assert(t, len(b.flows) <= 2, "%d flows", len(b.flows))
 		}
 	}
-	assert.Assert(t, len(q.retries) <= retryBudgetLimit+int(forgetAfter/time.Second))
+	assert.Assert(t, len(q.retryBudgets) <= budgetPruneThreshold+int(idleExpiry/time.Second))
 	assert.Equal(t, len(q.workspaces)+len(q.running)+len(q.keys)+len(q.items), 0)
 }
 
