--- a/internal/admission/door_test.go
+++ b/internal/admission/door_test.go
@@ -135,7 +135,7 @@
 			r.Deadline = now.Add(time.Second)
 			assert.Assert(t, q.Offer(now, r).Refusal != nil)
 		}
-		next := q.models["m"].band(1).returns.next
+		next := q.models["m"].band(1).retrySchedule.next
 		assert.Assert(t, second == 0 || next.Sub(last) >= 19*time.Second, "second %d: %v after the last", second, next.Sub(last))
 		last = next
 	}
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -73,8 +73,8 @@
 	// largest is the greatest work of a request since the band was empty.
 	largest int
 	// arrivals is the rate of tokens admitted to this band.
-	arrivals rate
-	returns  returnSchedule
+	arrivals      rate
+	retrySchedule retrySchedule
 }
 
 func newBand(worth float64) *band {
--- a/internal/admission/loans_test.go
+++ b/internal/admission/loans_test.go
@@ -81,7 +81,7 @@
 // lender is the entry that lends from a pool.
 func (f *retryFleet) lender(pool string) *retryEntry {
 	return slices.MaxFunc(f.entries, func(a, b *retryEntry) int {
-		return int(int64(unit(1, pool+a.name)*1e15) - int64(unit(1, pool+b.name)*1e15))
+		return int(int64(hashUnit(1, pool+a.name)*1e15) - int64(hashUnit(1, pool+b.name)*1e15))
 	})
 }
 
--- a/internal/admission/model.go
+++ b/internal/admission/model.go
@@ -98,7 +98,7 @@
 	kept := m.bands[:0]
 	for _, b := range m.bands {
 		b.prune()
-		if len(b.flows) > 0 || b.arrivals.perSecond > leastArrivals || b.returns.next.After(now) {
+		if len(b.flows) > 0 || b.arrivals.perSecond > leastArrivals || b.retrySchedule.next.After(now) {
 			kept = append(kept, b)
 		}
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -160,7 +160,7 @@
 		}
 		it.latestStart, wait = it.lastChance, 0
 	}
-	if left, early := q.refused.early(now, it.request); early && wait > 0 {
+	if left, isEarly := q.refused.remaining(now, it.request); isEarly && wait > 0 {
 		q.counters.Refused++
 		return &Refusal{Reason: ReasonTooEarly, RetryAfter: left}
 	}
