--- a/internal/admission/loans_test.go
+++ b/internal/admission/retry_loans_test.go
@@ -10,20 +10,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// What a service bears of retries in any ten seconds: a part of its requests, and a number.
+// The load of retries that a service can sustain in any ten seconds: a fraction of its requests,
+// plus a fixed number.
 const (
-	bornRatio = 0.2
-	// ownRatio is what entries go by: the most of a count that goes up and down is over its mean.
-	ownRatio = 0.13
-	bornSpan = 10 * time.Second
+	sustainedRatio = 0.2
+	// policyRatio is the ratio that entries use. It is below sustainedRatio because the peak of a
+	// fluctuating count is above its mean.
+	policyRatio = 0.13
+	retrySpan   = 10 * time.Second
 )
 
-// retryFleet are entries that send requests to one service and repeat those that fail.
+// retryFleet is a set of entries that send requests to one service and retry the failed ones.
 type retryFleet struct {
 	random  *rand.Rand
 	slack   float64
 	entries []*retryEntry
-	// requests and retries are when each was sent.
+	// requests and retries hold the time at which each was sent.
 	requests, retries []time.Duration
 	denied            int
 }
@@ -43,14 +45,14 @@
 	return f
 }
 
-// restart makes an entry forget everything.
+// restart makes an entry lose all its counts.
 func (f *retryFleet) restart(i int, after time.Duration) {
-	policy := Policy{RetryRatio: ownRatio, RetryPerSecond: OwnRetries(f.slack, len(f.entries))}
+	policy := Policy{RetryRatio: policyRatio, RetryPerSecond: OwnRetries(f.slack, len(f.entries))}
 	f.entries[i].queue, f.entries[i].loans = New(policy), NewLoans(at(after))
 }
 
-// run sends perSecond requests a second from all entries together, of which fails says which
-// part fails.
+// run sends perSecond requests a second from all entries together. fails returns the fraction of
+// the requests that fail at a given time.
 func (f *retryFleet) run(perSecond float64, from, to time.Duration, fails func(time.Duration) float64) {
 	next := from
 	for n := len(f.requests); next < to; n++ {
@@ -62,13 +64,13 @@
 		e.queue.Done(now, Outcome{ID: id})
 		f.requests = append(f.requests, next)
 		if f.random.Float64() < fails(next) {
-			f.repeat(now, next, e)
+			f.retry(now, next, e)
 		}
 		next += time.Duration(f.random.ExpFloat64() / perSecond * float64(time.Second))
 	}
 }
 
-func (f *retryFleet) repeat(now time.Time, after time.Duration, e *retryEntry) {
+func (f *retryFleet) retry(now time.Time, after time.Duration, e *retryEntry) {
 	pool := Pool("s", e.name, len(f.entries))
 	lender := f.lender(pool)
 	if e.queue.AllowRetry(now, "s") || lender.loans.Lend(now, pool, f.slack, len(f.entries)) {
@@ -78,55 +80,55 @@
 	f.denied++
 }
 
-// lender is the entry that lends from a pool.
+// lender returns the entry that lends from a pool.
 func (f *retryFleet) lender(pool string) *retryEntry {
 	return slices.MaxFunc(f.entries, func(a, b *retryEntry) int {
 		return int(int64(hashUnit(1, pool+a.name)*1e15) - int64(hashUnit(1, pool+b.name)*1e15))
 	})
 }
 
-// worst returns by how much the retries of some span are over what the service bears; it is
-// at most 0 where they never are.
-func (f *retryFleet) worst() float64 {
-	worst := -f.slack
-	from, asked := 0, 0
+// maxExcess returns by how many retries the worst span exceeds what the service can sustain; at
+// most 0 if no span exceeds it.
+func (f *retryFleet) maxExcess() float64 {
+	maxExcess := -f.slack
+	firstRetry, firstRequest := 0, 0
 	for i, last := range f.retries {
-		for last-f.retries[from] >= bornSpan {
-			from++
+		for last-f.retries[firstRetry] >= retrySpan {
+			firstRetry++
 		}
-		for f.requests[asked] <= last-bornSpan {
-			asked++
+		for f.requests[firstRequest] <= last-retrySpan {
+			firstRequest++
 		}
 		n := 0
-		for _, at := range f.requests[asked:] {
+		for _, at := range f.requests[firstRequest:] {
 			if at > last {
 				break
 			}
 			n++
 		}
-		worst = max(worst, float64(i-from+1)-bornRatio*float64(n)-f.slack)
+		maxExcess = max(maxExcess, float64(i-firstRetry+1)-sustainedRatio*float64(n)-f.slack)
 	}
-	return worst
+	return maxExcess
 }
 
-func failing(part float64) func(time.Duration) float64 {
+func constantFailure(part float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return part }
 }
 
-// Guards against shares of less than one retry, with which a large fleet repeats nothing.
-func TestRequestsThatFailNowAndThenAreRepeatedInAnyFleet(t *testing.T) {
+// Guards against shares of less than one retry, with which a large fleet would retry nothing.
+func TestOccasionalFailuresAreRetriedInAnyFleet(t *testing.T) {
 	for entries, slack := range map[int]float64{9: 136, 89: 362, 986: 1040, 2000: 1040} {
 		f := newRetryFleet(entries, slack)
-		f.run(72, 0, time.Minute, failing(0.05))
+		f.run(72, 0, time.Minute, constantFailure(0.05))
 		denied := float64(f.denied) / float64(f.denied+len(f.retries))
-		assert.Assert(t, denied < 0.02, "%d entries: %.2f of the failed requests are not repeated", entries, denied)
-		assert.Assert(t, f.worst() <= 0)
+		assert.Assert(t, denied < 0.02, "%d entries: %.2f of the failed requests are not retried", entries, denied)
+		assert.Assert(t, f.maxExcess() <= 0)
 	}
 }
 
-// Guards against entries that together repeat more than a service bears when it fails
-// altogether, also while they restart and forget.
-func TestAServiceThatFailsAltogetherIsSpared(t *testing.T) {
+// Guards against entries that together send more retries than a service can sustain when it fails
+// completely, also while entries restart and lose their counts.
+func TestRetriesAreBoundedWhenAServiceFails(t *testing.T) {
 	outage := func(after time.Duration) float64 {
 		if after > 20*time.Second && after < 35*time.Second {
 			return 1
@@ -140,13 +142,13 @@
 			f.restart(i, 25*time.Second)
 		}
 		f.run(600, 25*time.Second, 50*time.Second, outage)
-		assert.Assert(t, f.worst() <= 0, "%d entries: %.0f retries too many", entries, f.worst())
+		assert.Assert(t, f.maxExcess() <= 0, "%d entries: %.0f retries too many", entries, f.maxExcess())
 		assert.Assert(t, len(f.retries) > 0)
 	}
 }
 
-// Guards against a lender that restarts and lends once more what it had lent.
-func TestALenderThatStartsAgainLendsNothingAtFirst(t *testing.T) {
+// Guards against a lender that restarts and lends again the retries that it had already lent.
+func TestRestartedLenderLendsNothingAtFirst(t *testing.T) {
 	l := NewLoans(start)
 	assert.Assert(t, !l.Lend(at(time.Second), "s/0", 1000, 1))
 	assert.Assert(t, l.Lend(at((retryWindowSeconds+1)*time.Second), "s/0", 1000, 1))
