--- a/internal/admission/door_test.go
+++ b/internal/admission/door_test.go
@@ -13,7 +13,7 @@
 func TestUnreachableDeadlineIsRefusedAtTheDoor(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
-	now := at(2 * window)
+	now := at(2 * rateWindow)
 	backlog(t, q, now, 10000)
 
 	late := request("late", "audit", "memo", 1000)
@@ -39,7 +39,7 @@
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
 	for second := range 20 {
-		now := at(time.Duration(2+second) * window)
+		now := at(time.Duration(2+second) * rateWindow)
 		for i := range 3 {
 			mustQueue(t, q, now, request(fmt.Sprint("memo", second, "-", i), "audit", "memo", 1000))
 		}
@@ -47,7 +47,7 @@
 		q.Next(now, never)
 		q.Done(now, Outcome{ID: r.ID, Answered: true, Took: 500 * time.Millisecond})
 	}
-	now := at(22 * window)
+	now := at(22 * rateWindow)
 	r := request("summary", "audit", "draft", 500)
 	r.Deadline = now.Add(15 * time.Second)
 	mustQueue(t, q, now, r)
@@ -59,7 +59,7 @@
 func TestLesserWorkAheadDoesNotRefuseGreater(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
-	now := at(2 * window)
+	now := at(2 * rateWindow)
 	mustQueue(t, q, now, request("ahead", "audit", "draft", 100000))
 	r := request("memo", "audit", "memo", 1000)
 	r.Deadline = now.Add(2 * time.Second)
@@ -72,9 +72,9 @@
 func TestOutageDoesNotForgetTheServiceRate(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
-	mustQueue(t, q, at(2*window), request("waits", "audit", "memo", 100))
+	mustQueue(t, q, at(2*rateWindow), request("waits", "audit", "memo", 100))
 	for i := range 20 {
-		q.Next(at(time.Duration(3+i)*window), never)
+		q.Next(at(time.Duration(3+i)*rateWindow), never)
 	}
 	assert.Equal(t, q.Stats().Models[0].TokensPerSecond, 1000.0)
 }
@@ -104,7 +104,7 @@
 func TestRefusedCallersComeBackNoFasterThanTheyCanBeServed(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
-	now := at(2 * window)
+	now := at(2 * rateWindow)
 	backlog(t, q, now, 5000)
 	perSecond := make(map[int]int)
 	for i := range 1000 {
@@ -126,10 +126,10 @@
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
 	q.policy.MaxRetryAfter = time.Hour
-	backlog(t, q, at(2*window), 5000)
+	backlog(t, q, at(2*rateWindow), 5000)
 	last := time.Time{}
 	for second := range 3 {
-		now := at(time.Duration(second+2) * window)
+		now := at(time.Duration(second+2) * rateWindow)
 		for i := range 20 {
 			r := request(fmt.Sprint("d", second, "-", i), "audit", "draft", 1000)
 			r.Deadline = now.Add(time.Second)
@@ -146,7 +146,7 @@
 func TestComingBackTooEarlyGainsNothing(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
-	now := at(2 * window)
+	now := at(2 * rateWindow)
 	backlog(t, q, now, 5000)
 	r := request("first", "audit", "memo", 100)
 	r.IdempotencyKey = "k"
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -5,142 +5,142 @@
 	"time"
 )
 
-// window is over how long completions and arrivals are counted. Shorter
-// windows hold too few long requests to tell a rate; longer ones would notice
-// lost backend servers only after the callers' deadlines.
-const window = time.Second
-
-// smoothing is the weight of the newest window: a change of the rate is half
-// followed after two windows.
-const smoothing = 0.3
-
-// leastArrivals is the rate in tokens a second from which a band counts as in
-// use: a band that had one lookup ten seconds ago.
-const leastArrivals = 1
-
-// rate is a smoothed count of tokens a second.
-type rate struct {
-	perSecond float64
-	counted   int
+// rateWindow is the time over which completions and arrivals are counted. A shorter window holds
+// too few long requests to give a rate. With a longer window, the loss of backend servers would
+// be noticed only after the callers' deadlines.
+const rateWindow = time.Second
+
+// rateSmoothing is the weight of the newest window. A smoothed rate follows half of a change
+// after two windows.
+const rateSmoothing = 0.3
+
+// minArrivalRate is the rate, in tokens a second, above which a band counts as in use. A band
+// that had one lookup ten seconds ago is at about this rate.
+const minArrivalRate = 1
+
+// arrivalRate is a smoothed rate of arrivals in tokens a second.
+type arrivalRate struct {
+	perSecond    float64
+	windowTokens int
 }
 
-func (r *rate) add(tokens int) { r.counted += tokens }
+func (r *arrivalRate) add(tokens int) { r.windowTokens += tokens }
 
-func (r *rate) close(elapsed time.Duration) {
-	seen := float64(r.counted) / elapsed.Seconds()
-	r.perSecond += smoothing * (seen - r.perSecond)
-	r.counted = 0
+func (r *arrivalRate) endWindow(elapsed time.Duration) {
+	observed := float64(r.windowTokens) / elapsed.Seconds()
+	r.perSecond += rateSmoothing * (observed - r.perSecond)
+	r.windowTokens = 0
 }
 
-// serviceRate is the tokens a second that the backend servers complete for
+// serviceRate is the smoothed number of tokens a second that the backend servers complete for
 // this entry while requests wait.
 type serviceRate struct {
-	perSecond float64
-	counted   int
+	perSecond    float64
+	windowTokens int
 }
 
-func (r *serviceRate) completed(tokens int) { r.counted += tokens }
+func (r *serviceRate) addCompleted(tokens int) { r.windowTokens += tokens }
 
-// close ends a window. The rate is lowered only by a window in which requests
-// waited all along: with an empty queue few completions show few arrivals, not
-// a lack of capacity. A window without any completion is left out: it shows an
-// outage, and a rate of nothing would refuse everybody once it is over.
-func (r *serviceRate) close(elapsed time.Duration, busy bool) {
-	seen := float64(r.counted) / elapsed.Seconds()
-	r.counted = 0
-	if seen == 0 {
+// endWindow ends a window and updates the rate. The rate decreases only after a window in which
+// requests waited all the time: with an empty queue, few completions mean few arrivals and not a
+// lack of capacity. A window without any completion is skipped because it shows an outage. A rate
+// of zero would make the entry refuse all requests after the outage.
+func (r *serviceRate) endWindow(elapsed time.Duration, busy bool) {
+	observed := float64(r.windowTokens) / elapsed.Seconds()
+	r.windowTokens = 0
+	if observed == 0 {
 		return
 	}
 	switch {
 	case r.perSecond == 0 && busy:
-		r.perSecond = seen
-	case busy, seen > r.perSecond && r.perSecond > 0:
-		r.perSecond += smoothing * (seen - r.perSecond)
+		r.perSecond = observed
+	case busy, observed > r.perSecond && r.perSecond > 0:
+		r.perSecond += rateSmoothing * (observed - r.perSecond)
 	}
 }
 
-// tick closes the window if it is over.
+// tick ends the current rate window once it has lasted for rateWindow.
 func (m *modelQueue) tick(now time.Time) {
-	if m.window.IsZero() {
-		m.window = now
+	if m.windowStart.IsZero() {
+		m.windowStart = now
 		return
 	}
-	elapsed := now.Sub(m.window)
-	if elapsed < window {
+	elapsed := now.Sub(m.windowStart)
+	if elapsed < rateWindow {
 		return
 	}
-	m.window = now
-	m.rate.close(elapsed, m.starved && m.waiting > 0)
-	m.starved = false
+	m.windowStart = now
+	m.serviceRate.endWindow(elapsed, m.sawFullServers && m.waiting > 0)
+	m.sawFullServers = false
 	m.prune(now)
 	m.top = 0
 	for _, b := range m.bands {
-		b.arrivals.close(elapsed)
-		if b.arrivals.perSecond > leastArrivals {
+		b.arrivals.endWindow(elapsed)
+		if b.arrivals.perSecond > minArrivalRate {
 			m.top = max(m.top, b.worth)
 		}
 	}
 }
 
-// sizes is the number of size classes of serviceTime: powers of two tokens.
-const sizes = 24
+// sizeClassCount is the number of size classes of serviceTime. The classes are divided at powers
+// of two tokens.
+const sizeClassCount = 24
 
-// Weights of a new sample, as in the retransmission timers of TCP (RFC 6298):
-// an eighth for the mean and a quarter for the deviation.
+// Weights of a new sample, as in the retransmission timers of TCP (RFC 6298): an eighth for the
+// mean and a quarter for the deviation.
 const (
 	meanWeight      = 1.0 / 8
 	deviationWeight = 1.0 / 4
-	// deviations is how many mean deviations are added to the mean, so that
-	// about 9 in 10 requests end within the estimate.
-	deviations = 1.5
-	// marginDeviations are added for a request that would wait, so that what
-	// waits is seldom late at the end: under steady overload all requests wait
-	// as long as the door lets them.
+	// estimateDeviations is the number of mean deviations added to the mean, so that about 9 in
+	// 10 requests end within the estimate.
+	estimateDeviations = 1.5
+	// marginDeviations is the number of mean deviations added as a margin for a request that has
+	// to wait, so that few waiting requests are late in the end. Under steady overload, all
+	// requests wait for as long as admission allows.
 	marginDeviations = 2
 )
 
-// serviceTime estimates how long a request takes on a backend server by its
-// size.
+// serviceTime estimates how long requests take on a backend server, by their size.
 type serviceTime struct {
-	mean      [sizes]float64
-	deviation [sizes]float64
+	mean      [sizeClassCount]float64
+	deviation [sizeClassCount]float64
 }
 
 func sizeClass(tokens int) int {
-	return min(bits.Len(uint(tokens)), sizes-1)
+	return min(bits.Len(uint(tokens)), sizeClassCount-1)
 }
 
-func (s *serviceTime) observe(tokens int, took time.Duration) {
+func (s *serviceTime) observe(tokens int, elapsed time.Duration) {
 	i := sizeClass(tokens)
-	seconds := took.Seconds()
+	seconds := elapsed.Seconds()
 	if s.mean[i] == 0 {
 		s.mean[i] = seconds
 		return
 	}
-	off := seconds - s.mean[i]
-	s.mean[i] += meanWeight * off
-	if off < 0 {
-		off = -off
+	difference := seconds - s.mean[i]
+	s.mean[i] += meanWeight * difference
+	if difference < 0 {
+		difference = -difference
 	}
-	s.deviation[i] += deviationWeight * (off - s.deviation[i])
+	s.deviation[i] += deviationWeight * (difference - s.deviation[i])
 }
 
-// serviceEstimate is how long a request may take. All are 0 if none of its size or
-// less was seen: an unknown request is admitted, not refused.
+// serviceEstimate is the estimated service time of a request. All fields are 0 if no request of
+// its size or a smaller size has been observed; a request of unknown service time is admitted.
 type serviceEstimate struct {
-	// least is what about 9 in 10 take longer than, likely what 9 in 10 end within.
-	least, likely time.Duration
-	// margin is what to add to likely if the request must wait.
+	// About 9 in 10 requests take longer than lower, and about 9 in 10 end within upper.
+	lower, upper time.Duration
+	// margin is added to upper if the request has to wait.
 	margin time.Duration
 }
 
 func (s *serviceTime) estimate(tokens int) serviceEstimate {
 	for i := sizeClass(tokens); i >= 0; i-- {
 		if s.mean[i] > 0 {
-			spread := deviations * s.deviation[i]
+			halfWidth := estimateDeviations * s.deviation[i]
 			return serviceEstimate{
-				least:  fromSeconds(max(0, s.mean[i]-spread)),
-				likely: fromSeconds(s.mean[i] + spread),
+				lower:  fromSeconds(max(0, s.mean[i]-halfWidth)),
+				upper:  fromSeconds(s.mean[i] + halfWidth),
 				margin: fromSeconds(marginDeviations * s.deviation[i]),
 			}
 		}
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -73,7 +73,7 @@
 	// largest is the greatest work of a request since the band was empty.
 	largest int
 	// arrivals is the rate of tokens admitted to this band.
-	arrivals      rate
+	arrivals      arrivalRate
 	retrySchedule retrySchedule
 }
 
--- a/internal/admission/model.go
+++ b/internal/admission/model.go
@@ -17,14 +17,14 @@
 	// model is that of its requests.
 	model string
 	// bands are sorted by worth, greatest first.
-	bands []*band
-	rate  serviceRate
+	bands       []*band
+	serviceRate serviceRate
 	// service holds how long requests take, by class.
-	service map[string]*serviceTime
-	window  time.Time
-	waiting int
-	seq     uint64
-	starved bool
+	serviceTimes   map[string]*serviceTime
+	windowStart    time.Time
+	waiting        int
+	seq            uint64
+	sawFullServers bool
 	// newestFirst serves the newest request of a flow first.
 	newestFirst bool
 	// used is when a request was last admitted.
@@ -42,26 +42,26 @@
 }
 
 func newModelQueue(name string) *modelQueue {
-	return &modelQueue{name: name, service: make(map[string]*serviceTime)}
+	return &modelQueue{name: name, serviceTimes: make(map[string]*serviceTime)}
 }
 
 // serviceClasses bounds the classes whose times are kept, about 100 KB a model.
 // Past it all are learned anew, and what is unknown is admitted.
-const serviceClasses = 256
+const maxServiceClasses = 256
 
 // serviceOf returns how long requests of a class take.
 //
 // Load: drafts and checks of one length, of which the one writes for four seconds
 // and the other for a third of one. Harm of one estimate for both: a check with
 // 2.5 s left was refused as one that even an idle server could not answer in time.
-func (m *modelQueue) serviceOf(class string) *serviceTime {
-	s := m.service[class]
+func (m *modelQueue) serviceTimeOf(class string) *serviceTime {
+	s := m.serviceTimes[class]
 	if s == nil {
-		if len(m.service) >= serviceClasses {
-			clear(m.service)
+		if len(m.serviceTimes) >= maxServiceClasses {
+			clear(m.serviceTimes)
 		}
 		s = &serviceTime{}
-		m.service[class] = s
+		m.serviceTimes[class] = s
 	}
 	return s
 }
@@ -98,7 +98,7 @@
 	kept := m.bands[:0]
 	for _, b := range m.bands {
 		b.prune()
-		if len(b.flows) > 0 || b.arrivals.perSecond > leastArrivals || b.retrySchedule.next.After(now) {
+		if len(b.flows) > 0 || b.arrivals.perSecond > minArrivalRate || b.retrySchedule.next.After(now) {
 			kept = append(kept, b)
 		}
 	}
@@ -141,7 +141,7 @@
 	for {
 		it := m.candidate(now, full)
 		if it == nil {
-			m.starved = true
+			m.sawFullServers = true
 			return nil
 		}
 		it.request.Reserve = m.reserve(now, it, policy)
@@ -256,7 +256,7 @@
 // taken off the service rate. The floor share is not overtaken: however much
 // waits ahead, the band's own requests move at that rate.
 func (m *modelQueue) waitFor(it *item, policy Policy) time.Duration {
-	perSecond := m.rate.perSecond
+	perSecond := m.serviceRate.perSecond
 	if perSecond <= 0 {
 		return 0
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -132,9 +132,9 @@
 		index:   notInHeap,
 	}
 	if !r.Deadline.IsZero() {
-		e := m.serviceOf(r.Class).estimate(r.Tokens)
-		it.latestStart = r.Deadline.Add(-e.likely)
-		it.lastChance = r.Deadline.Add(-e.least)
+		e := m.serviceTimeOf(r.Class).estimate(r.Tokens)
+		it.latestStart = r.Deadline.Add(-e.upper)
+		it.lastChance = r.Deadline.Add(-e.lower)
 		it.margin = e.margin
 	}
 	return it
@@ -363,6 +363,6 @@
 	}
 	m := q.model(run.model)
 	m.tick(now)
-	m.rate.completed(run.tokens)
-	m.serviceOf(run.class).observe(run.tokens, o.Took)
+	m.serviceRate.addCompleted(run.tokens)
+	m.serviceTimeOf(run.class).observe(run.tokens, o.Took)
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -52,7 +52,7 @@
 	mustQueue(t, q, start, request("learn-wait", "audit", "memo", perSecond))
 	q.Next(start, never)
 	q.Done(start, Outcome{ID: "learn-done", Answered: true, Took: took})
-	q.Next(at(window), never)
+	q.Next(at(rateWindow), never)
 	assert.Assert(t, q.Cancel("learn-wait"))
 	assert.Equal(t, q.Stats().Models[0].TokensPerSecond, float64(perSecond))
 }
--- a/internal/admission/retry_after.go
+++ b/internal/admission/retry_after.go
@@ -31,8 +31,8 @@
 		s.next = now.Add(policy.MaxRetryAfter)
 		return time.Duration((0.5 + 0.5*u) * float64(policy.MaxRetryAfter))
 	}
-	if m.rate.perSecond > 0 {
-		cost := float64(it.request.Tokens) / m.rate.perSecond
+	if m.serviceRate.perSecond > 0 {
+		cost := float64(it.request.Tokens) / m.serviceRate.perSecond
 		s.next = s.next.Add(time.Duration(cost * float64(time.Second)))
 	}
 	return min(policy.MaxRetryAfter, after+time.Duration(retryAfterJitter*u*float64(after)))
--- a/internal/admission/stats.go
+++ b/internal/admission/stats.go
@@ -50,7 +50,7 @@
 }
 
 func (m *modelQueue) stats() ModelStats {
-	s := ModelStats{Model: m.name, TokensPerSecond: m.rate.perSecond}
+	s := ModelStats{Model: m.name, TokensPerSecond: m.serviceRate.perSecond}
 	for _, b := range m.bands {
 		s.Bands = append(s.Bands, b.stats())
 	}
