--- a/internal/admission/heap.go
+++ b/internal/admission/deadline_heap.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// notInHeap is the index of an item without a deadline.
+// notInHeap is the heap index of an item without a deadline.
 const notInHeap = -1
 
-// item is one waiting request.
+// item is a waiting request.
 type item struct {
 	request Request
 	worth   float64
-	long    bool
-	// latestStart is when the request must reach a backend server to be
-	// answered in time, as nine in ten are; zero means no deadline.
+	isLong  bool
+	// latestStart is when the request must reach a backend server to be answered in time if it
+	// takes no longer than nine in ten requests do; zero means no deadline.
 	latestStart time.Time
-	// lastChance is when it must reach one to have any chance.
-	lastChance time.Time
-	// margin is how much earlier it should start for a safe answer in time.
+	// latestPossibleStart is when the request must reach a backend server to have any chance of
+	// an answer in time.
+	latestPossibleStart time.Time
+	// margin is how much earlier than latestStart the request should start if it has to wait.
 	margin     time.Duration
 	flow       *flow
 	prev, next *item
@@ -23,7 +24,7 @@
 	seq        uint64
 }
 
-// deadlineHeap orders items by latestStart.
+// deadlineHeap orders items by latestStart, the earliest first.
 type deadlineHeap []*item
 
 func (h deadlineHeap) Len() int           { return len(h) }
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -73,11 +73,11 @@
 	m.serviceRate.endWindow(elapsed, m.sawFullServers && m.waiting > 0)
 	m.sawFullServers = false
 	m.prune(now)
-	m.top = 0
+	m.topWorth = 0
 	for _, b := range m.bands {
 		b.arrivals.endWindow(elapsed)
 		if b.arrivals.perSecond > minArrivalRate {
-			m.top = max(m.top, b.worth)
+			m.topWorth = max(m.topWorth, b.worth)
 		}
 	}
 }
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// flowKey names the requests that are served in arrival order.
+// flowKey identifies a flow: the requests that are normally served in arrival order.
 type flowKey struct {
 	workspace string
 	class     string
-	long      bool
+	isLong    bool
 }
 
-// flow is a list of waiting requests of one workspace, class and length.
+// flow is the list of the waiting requests of one workspace, class and length category.
 //
-// Long and short requests are in flows of their own: in one list a short
-// request would wait until a long one at the head fits.
+// Long and short requests have separate flows. In one list, a short request would wait until a
+// long request at the head fits.
 type flow struct {
 	key    flowKey
 	band   *band
 	share  float64
 	tokens int
 	count  int
-	// finish is the virtual time up to which this flow was served: tokens
-	// divided by share.
+	// finish is the virtual time up to which the flow has been served: served tokens divided by
+	// share.
 	finish      float64
 	first, last *item
 }
@@ -54,25 +54,25 @@
 	f.count--
 }
 
-// band holds the flows of one model that are of equal worth.
+// band holds the flows of one model that have equal worth.
 //
-// Flows of a band share by start-time fair queueing in tokens, for demand that
-// is skewed towards a few large workspaces: without shares the workspace that
-// sends most is served most.
+// The flows of a band share the capacity by start-time fair queueing in tokens, because demand is
+// skewed towards a few large workspaces. Without shares, the workspace that sends most would be
+// served most.
 type band struct {
 	worth  float64
 	flows  map[flowKey]*flow
 	active []*flow
-	// virtual is the start of the last flow served; a flow that becomes active
-	// starts there, so that it can't save up time while it has no requests.
+	// virtual is the virtual start time of the last flow served. A flow that becomes active
+	// starts at this time, so that it can't accumulate service time while it has no requests.
 	virtual float64
 	tokens  int
 	shares  float64
-	// credit is the floor share not yet used, in tokens.
+	// credit is the unused part of the band's floor share, in tokens.
 	credit float64
-	// largest is the greatest work of a request since the band was empty.
-	largest int
-	// arrivals is the rate of tokens admitted to this band.
+	// largestTokens is the size of the largest request since the band was last empty.
+	largestTokens int
+	// arrivals is the rate of tokens admitted to the band.
 	arrivals      arrivalRate
 	retrySchedule retrySchedule
 }
@@ -82,7 +82,7 @@
 }
 
 func (b *band) push(it *item, share float64) {
-	key := flowKey{it.request.Workspace, it.request.Class, it.long}
+	key := flowKey{it.request.Workspace, it.request.Class, it.isLong}
 	f := b.flows[key]
 	if f == nil {
 		f = &flow{key: key, band: b}
@@ -95,7 +95,7 @@
 		b.active = append(b.active, f)
 	}
 	f.push(it)
-	b.largest = max(b.largest, it.request.Tokens)
+	b.largestTokens = max(b.largestTokens, it.request.Tokens)
 	b.tokens += it.request.Tokens
 }
 
@@ -117,11 +117,11 @@
 	if len(b.active) == 0 {
 		b.shares = 0
 		b.credit = 0
-		b.largest = 0
+		b.largestTokens = 0
 	}
 }
 
-// prune drops flows that hold nothing and have used no more than their share.
+// prune removes the empty flows that have used no more than their share.
 func (b *band) prune() {
 	for key, f := range b.flows {
 		if f.first == nil && (f.finish <= b.virtual || len(b.active) == 0) {
@@ -130,37 +130,38 @@
 	}
 }
 
-// lanes says for which requests there is no room: by length, all those worth no
-// more than one that didn't fit. One of greater worth may still, in the part of
-// each backend server that is kept for it.
-type lanes struct {
+// blockedWorth holds, for long and for short requests, the greatest worth of a request that did
+// not fit. Requests of the same length category and of no greater worth are skipped. A request of
+// greater worth may still fit, in the part of each backend server that is reserved for it.
+type blockedWorth struct {
 	long, short float64
 }
 
-func (l lanes) blocked(long bool, worth float64) bool {
-	if long {
+func (l blockedWorth) includes(isLong bool, worth float64) bool {
+	if isLong {
 		return worth <= l.long
 	}
 	return worth <= l.short
 }
 
-func (l *lanes) block(long bool, worth float64) {
-	if long {
+func (l *blockedWorth) add(isLong bool, worth float64) {
+	if isLong {
 		l.long = max(l.long, worth)
 		return
 	}
 	l.short = max(l.short, worth)
 }
 
-// best returns a request of the flow that is furthest behind its share: of the
-// flows that hold one which can still be on time, if there are any.
-func (b *band) best(now time.Time, full lanes, newestFirst bool) *item {
+// nextItem returns a request of the flow that is furthest behind its share, or nil. Flows that
+// hold a request which can still be on time go before flows that hold none. With newestFirst, the
+// request is the newest one of its flow.
+func (b *band) nextItem(now time.Time, blocked blockedWorth, newestFirst bool) *item {
 	var best *flow
 	for _, f := range b.active {
-		if full.blocked(f.key.long, b.worth) {
+		if blocked.includes(f.key.isLong, b.worth) {
 			continue
 		}
-		if best == nil || f.before(best, now) {
+		if best == nil || f.precedes(best, now) {
 			best = f
 		}
 	}
@@ -170,13 +171,13 @@
 	case newestFirst:
 		return best.last
 	}
-	return best.next(now)
+	return best.nextItem(now)
 }
 
-// before tells whether a flow is served before another.
-func (f *flow) before(o *flow, now time.Time) bool {
-	if mine, other := f.onTime(now), o.onTime(now); mine != other {
-		return mine
+// precedes reports whether the flow is served before o.
+func (f *flow) precedes(o *flow, now time.Time) bool {
+	if onTime, otherOnTime := f.canBeOnTime(now), o.canBeOnTime(now); onTime != otherOnTime {
+		return onTime
 	}
 	if f.finish != o.finish {
 		return f.finish < o.finish
@@ -184,35 +185,38 @@
 	return f.first.seq < o.first.seq
 }
 
-// onTime tells whether the flow holds a request that can still be on time. Those of
-// one flow have one objective, so if any can, the last one can.
-func (f *flow) onTime(now time.Time) bool { return f.last.onTime(now) }
+// canBeOnTime reports whether the flow holds a request that can still be on time. The requests of
+// a flow have the same objective, so if any of them can be on time, the last one can.
+func (f *flow) canBeOnTime(now time.Time) bool { return f.last.canBeOnTime(now) }
 
-func (it *item) onTime(now time.Time) bool {
+// canBeOnTime reports whether the request can still reach a backend server in time for its
+// objective.
+func (it *item) canBeOnTime(now time.Time) bool {
 	return !it.request.OnTimeUntil.IsZero() && !now.After(it.request.OnTimeUntil)
 }
 
-// next returns the oldest request that can still be on time, or else the oldest.
+// nextItem returns the oldest request that can still be on time or, if there is none, the oldest
+// request.
 //
-// Load: all processes come back after a loss of power, and a second of callers'
-// requests with them. Harm of first come, first served: the groups work for two
-// seconds on what is late already, and each that comes meanwhile waits until it is
-// late too. Those that are late follow as soon as there is room, in the order in which they came, and before their deadline or are
-// refused when that is out of reach.
-func (f *flow) next(now time.Time) *item {
-	if !f.onTime(now) {
+// The order matters when all processes restart after a loss of power and a second of callers'
+// requests arrives with them. Served first come, first served, the groups would work for two
+// seconds on requests that are already late, and each request that arrives meanwhile would wait
+// until it is late too. The late requests follow in arrival order as soon as there is capacity.
+// They start before their deadline, or are refused when the deadline is out of reach.
+func (f *flow) nextItem(now time.Time) *item {
+	if !f.canBeOnTime(now) {
 		return f.first
 	}
 	it := f.last
-	for it.prev != nil && it.prev.onTime(now) {
+	for it.prev != nil && it.prev.canBeOnTime(now) {
 		it = it.prev
 	}
 	return it
 }
 
-// newest returns the last request of the flow that holds most for its share,
-// of one workspace if one is named.
-func (b *band) newest(workspace string) *item {
+// newestOfHeaviestFlow returns the newest request of the flow that holds the most tokens for its
+// share. If workspace is not empty, only the flows of that workspace count.
+func (b *band) newestOfHeaviestFlow(workspace string) *item {
 	var heaviest *flow
 	for _, f := range b.active {
 		if workspace != "" && f.key.workspace != workspace {
--- a/internal/admission/model.go
+++ b/internal/admission/model.go
@@ -5,55 +5,58 @@
 	"time"
 )
 
-// creditLimit bounds the floor credit of a band to this many of its largest
-// requests, so that a class can't save up credit and then hold the top class
-// back, and still each of its requests is reached.
-const creditLimit = 2
+// maxCreditRequests limits the floor credit of a band to the size of this many of its largest
+// requests. The limit keeps a class from accumulating credit and then holding back the top class,
+// and still lets each of its requests be served.
+const maxCreditRequests = 2
 
-// modelQueue holds the waiting requests of one model. Models don't compete
-// for the same backend servers, so each is ordered by itself.
+// modelQueue holds the waiting requests of one model. Models don't compete for the same backend
+// servers, so each model has its own queue.
 type modelQueue struct {
 	name string
-	// model is that of its requests.
+	// model is the model of the requests; name also contains their Homes.
 	model string
 	// bands are sorted by worth, greatest first.
 	bands       []*band
 	serviceRate serviceRate
-	// service holds how long requests take, by class.
-	serviceTimes   map[string]*serviceTime
-	windowStart    time.Time
-	waiting        int
-	seq            uint64
+	// serviceTimes holds the estimates of service time by class.
+	serviceTimes map[string]*serviceTime
+	// windowStart is when the current rate window began.
+	windowStart time.Time
+	waiting     int
+	seq         uint64
+	// sawFullServers is true if no waiting request fitted at some time in the rate window.
 	sawFullServers bool
-	// newestFirst serves the newest request of a flow first.
+	// newestFirst means that the newest request of a flow is served first.
 	newestFirst bool
-	// used is when a request was last admitted.
-	used time.Time
-	// top is the greatest worth that arrived of late.
-	top float64
+	// lastUsed is when a request was last admitted.
+	lastUsed time.Time
+	// topWorth is the greatest worth that has arrived recently.
+	topWorth float64
 }
 
-// forgetAfter is how long a model's rates are kept without a request: they say
-// nothing after so long, and models come and go.
+// idleExpiry is how long the rates of a model and the counts of a retry budget are kept without a
+// request. Older rates say nothing about the present, and models come and go.
 const idleExpiry = time.Hour
 
-func (m *modelQueue) idle(now time.Time) bool {
-	return m.waiting == 0 && now.Sub(m.used) > idleExpiry
+func (m *modelQueue) isIdle(now time.Time) bool {
+	return m.waiting == 0 && now.Sub(m.lastUsed) > idleExpiry
 }
 
 func newModelQueue(name string) *modelQueue {
 	return &modelQueue{name: name, serviceTimes: make(map[string]*serviceTime)}
 }
 
-// serviceClasses bounds the classes whose times are kept, about 100 KB a model.
-// Past it all are learned anew, and what is unknown is admitted.
+// maxServiceClasses bounds the classes whose service times are kept, about 100 KB a model. Above
+// it, all estimates are discarded and learned again; requests of unknown service time are
+// admitted.
 const maxServiceClasses = 256
 
-// serviceOf returns how long requests of a class take.
+// serviceTimeOf returns the estimate of service time for a class.
 //
-// Load: drafts and checks of one length, of which the one writes for four seconds
-// and the other for a third of one. Harm of one estimate for both: a check with
-// 2.5 s left was refused as one that even an idle server could not answer in time.
+// Each class has its own estimate because drafts and checks may have prompts of the same length,
+// while a draft takes four seconds and a check a third of a second. With one estimate for both, a
+// check with 2.5 s left was refused as one that even an idle server could not answer in time.
 func (m *modelQueue) serviceTimeOf(class string) *serviceTime {
 	s := m.serviceTimes[class]
 	if s == nil {
@@ -67,7 +70,7 @@
 }
 
 func (m *modelQueue) band(worth float64) *band {
-	i := m.position(worth)
+	i := m.bandIndex(worth)
 	if i < len(m.bands) && m.bands[i].worth == worth {
 		return m.bands[i]
 	}
@@ -78,7 +81,7 @@
 	return b
 }
 
-func (m *modelQueue) position(worth float64) int {
+func (m *modelQueue) bandIndex(worth float64) int {
 	return sort.Search(len(m.bands), func(i int) bool { return m.bands[i].worth <= worth })
 }
 
@@ -89,11 +92,11 @@
 	m.waiting++
 }
 
-// prune drops flows and bands without requests that owe nothing to fairness
-// and promised no caller a time to come back.
+// prune removes flows and bands without requests, except those that have used more than their
+// share or have given a caller a Retry-After that is still to come.
 //
-// It is made for class names and workspaces that come and go: each leaves a
-// flow, and a queue that runs for months would look through all of them.
+// Class names and workspaces come and go, and each leaves a flow. Without pruning, a queue that
+// runs for months would scan all of them.
 func (m *modelQueue) prune(now time.Time) {
 	kept := m.bands[:0]
 	for _, b := range m.bands {
@@ -106,8 +109,8 @@
 	m.bands = kept
 }
 
-func (m *modelQueue) arrived(it *item) {
-	m.top = max(m.top, it.worth)
+func (m *modelQueue) recordArrival(it *item) {
+	m.topWorth = max(m.topWorth, it.worth)
 	it.flow.band.arrivals.add(it.request.Tokens)
 }
 
@@ -132,77 +135,77 @@
 	return all
 }
 
-// next picks the request to place, or nil if none fits.
-func (m *modelQueue) next(now time.Time, policy Policy, fits func(Request) bool) *item {
+// nextItem returns the request to place, or nil if none fits.
+func (m *modelQueue) nextItem(now time.Time, policy Policy, fits func(Request) bool) *item {
 	if m.waiting == 0 {
 		return nil
 	}
-	var full lanes
+	var blocked blockedWorth
 	for {
-		it := m.candidate(now, full)
+		it := m.candidate(now, blocked)
 		if it == nil {
 			m.sawFullServers = true
 			return nil
 		}
-		it.request.Reserve = m.reserve(now, it, policy)
+		it.request.Reserve = m.reserveFor(now, it, policy)
 		if fits(it.request) {
 			return it
 		}
-		full.block(it.long, it.worth)
+		blocked.add(it.isLong, it.worth)
 	}
 }
 
-// reserve is the part of each backend server that it must leave free.
+// reserveFor returns the part of each backend server that a request must leave free.
 //
-// It is made for several entries that share the backend servers without a
-// coordinator: one entry can't see what waits at another. With all servers full
-// of lesser work, a request of the greatest worth would wait there for the next
-// to end; the part left free by all entries takes it at once. A request that its
-// band saved the credit for is let into that part: while the top class fills all
-// servers, it would never find room otherwise.
+// The reserve is made for several entries that share the backend servers without a coordinator,
+// so that an entry can't see the requests that wait at another entry. While all servers are full
+// of lesser work, a request of the greatest worth would wait until the next request ends. The
+// part that all entries leave free takes the request at once. A request whose band has earned the
+// credit for it may use the reserve too: while the top class fills all servers, it would never
+// find capacity otherwise.
 //
-// What is late already leaves more free, see lateReserve.
-func (m *modelQueue) reserve(now time.Time, it *item, policy Policy) float64 {
+// A request that is already late leaves more free, see lateReserve.
+func (m *modelQueue) reserveFor(now time.Time, it *item, policy Policy) float64 {
 	if late := it.lateReserve(now); late > 0 {
 		return late
 	}
-	if it.worth >= m.top || it.flow.band.credit >= float64(it.request.Tokens) {
+	if it.worth >= m.topWorth || it.flow.band.credit >= float64(it.request.Tokens) {
 		return 0
 	}
 	return policy.Reserve
 }
 
-// lateReserve is the part of each backend server that a request leaves free that has just
-// become late: what newcomers take in the time of an answer while a pool is half used. With a
-// fourth, newcomers of a well used pool found no place.
-const lateReserve = 0.5
+// maxLateReserve is the part of each backend server that a request leaves free when it has just
+// become late. It is the part that newcomers take in the time of an answer while a pool is half
+// used. With a fourth, newcomers of a well used pool found no free slot.
+const maxLateReserve = 0.5
 
-// lateReserve returns the part that a request which can't be answered within its
-// objective any more leaves free; 0 if it may still be on time.
+// lateReserve returns the part that a request leaves free if it can no longer be answered within
+// its objective; 0 if it may still be on time.
 //
-// Load: after an outage of a second and a half its requests come at once and fill each
-// group for the time of an answer; newcomers wait behind them, are late as well, and so
-// on for seconds. Late work is worth the same a second later, as long as its caller
-// waits; so it leaves less free the nearer it is to its deadline, and none in the end.
+// The reserve is made for the time after an outage of a second and a half, when the requests of
+// the outage arrive at once and fill each group for the time of an answer. Newcomers wait behind
+// them, are late as well, and so on for seconds. A late request is worth the same a second later,
+// as long as its caller waits. It therefore leaves less free the nearer it is to its deadline,
+// and nothing at the deadline.
 func (it *item) lateReserve(now time.Time) float64 {
-	until, last := it.request.OnTimeUntil, it.request.Deadline
-	if until.IsZero() || !now.After(until) || !last.After(until) {
+	onTimeUntil, deadline := it.request.OnTimeUntil, it.request.Deadline
+	if onTimeUntil.IsZero() || !now.After(onTimeUntil) || !deadline.After(onTimeUntil) {
 		return 0
 	}
-	return lateReserve * max(0, last.Sub(now).Seconds()/last.Sub(until).Seconds())
+	return maxLateReserve * max(0, deadline.Sub(now).Seconds()/deadline.Sub(onTimeUntil).Seconds())
 }
 
-// candidate is the head of the best band, unless a lesser band has saved the
-// credit for its own head.
+// candidate returns the next request of the band of greatest worth, or of a lesser band that has
+// earned the credit for its next request.
 //
-// The floor is made for demand that keeps the top class busy without end. With
-// strict order alone the lesser classes would get nothing and their callers
-// would send again for ever; with it they get FloorShare of the tokens, shared
-// between the bands that wait.
-func (m *modelQueue) candidate(now time.Time, full lanes) *item {
+// The floor share is made for demand that keeps the top class busy without end. In strict order
+// of worth, the lesser classes would get nothing and their callers would resend forever. With the
+// floor share, the lesser bands that wait get FloorShare of the tokens together.
+func (m *modelQueue) candidate(now time.Time, blocked blockedWorth) *item {
 	var best *item
 	for _, b := range m.bands {
-		head := b.best(now, full, m.newestFirst)
+		head := b.nextItem(now, blocked, m.newestFirst)
 		if head == nil {
 			continue
 		}
@@ -217,8 +220,9 @@
 	return best
 }
 
-// served accounts for it: its flow moves on, lesser bands earn credit.
-func (m *modelQueue) served(it *item, policy Policy) {
+// recordServed accounts for a request that is served: the finish time of its flow advances, and
+// lesser bands earn credit.
+func (m *modelQueue) recordServed(it *item, policy Policy) {
 	f := it.flow
 	b := f.band
 	tokens := float64(it.request.Tokens)
@@ -233,29 +237,30 @@
 	}
 	for _, other := range m.bands {
 		if other.worth < b.worth && len(other.active) > 0 {
-			limit := float64(creditLimit * other.largest)
+			limit := float64(maxCreditRequests * other.largestTokens)
 			other.credit = min(limit, other.credit+tokens*policy.FloorShare/float64(lesser))
 		}
 	}
 }
 
-// last returns the newest request of the lowest worth.
-func (m *modelQueue) last(workspace string) *item {
+// newestOfLowestWorth returns the newest request of the lowest worth. If workspace is not empty,
+// only requests of that workspace count.
+func (m *modelQueue) newestOfLowestWorth(workspace string) *item {
 	for i := len(m.bands) - 1; i >= 0; i-- {
-		if it := m.bands[i].newest(workspace); it != nil {
+		if it := m.bands[i].newestOfHeaviestFlow(workspace); it != nil {
 			return it
 		}
 	}
 	return nil
 }
 
-// waitFor estimates how long it waits until it is placed; 0 if the service
-// rate isn't known yet.
+// estimateWait estimates how long an item waits until it is placed. It returns 0 while the
+// service rate is unknown.
 //
-// Work of greater worth that arrives later overtakes, so its arrival rate is
-// taken off the service rate. The floor share is not overtaken: however much
-// waits ahead, the band's own requests move at that rate.
-func (m *modelQueue) waitFor(it *item, policy Policy) time.Duration {
+// Work of greater worth that arrives later overtakes the item, so its arrival rate is subtracted
+// from the service rate. Such work can't overtake the floor share: however much work waits ahead,
+// the band's own requests are served at that rate.
+func (m *modelQueue) estimateWait(it *item, policy Policy) time.Duration {
 	perSecond := m.serviceRate.perSecond
 	if perSecond <= 0 {
 		return 0
@@ -267,7 +272,7 @@
 			ahead += float64(b.tokens)
 			overtaking += b.arrivals.perSecond
 		case b.worth == it.worth:
-			own = b.aheadOf(it, policy.share(it.request.Workspace))
+			own = b.tokensAhead(it, policy.share(it.request.Workspace))
 		}
 		if i > 0 && b.worth != it.worth && len(b.active) > 0 {
 			lesser++
@@ -278,8 +283,8 @@
 	return fromSeconds(min(ordinary, (own+float64(it.request.Tokens))/floor))
 }
 
-// ahead returns how many waiting requests have a worth or more.
-func (m *modelQueue) ahead(worth float64) int {
+// countAhead returns the number of waiting requests of the given worth or more.
+func (m *modelQueue) countAhead(worth float64) int {
 	n := 0
 	for _, b := range m.bands {
 		if b.worth < worth {
@@ -292,11 +297,11 @@
 	return n
 }
 
-// aheadOf estimates the tokens of the band that are served before a newcomer.
-func (b *band) aheadOf(it *item, share float64) float64 {
+// tokensAhead estimates the tokens of the band that are served before a new item.
+func (b *band) tokensAhead(it *item, share float64) float64 {
 	own := 0.0
 	shares := b.shares
-	f := b.flows[flowKey{it.request.Workspace, it.request.Class, it.long}]
+	f := b.flows[flowKey{it.request.Workspace, it.request.Class, it.isLong}]
 	if f != nil && f.first != nil {
 		own = float64(f.tokens)
 	} else {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -128,13 +128,13 @@
 	it := &item{
 		request: r,
 		worth:   q.policy.Worth(r.Workspace, r.Class),
-		long:    r.Tokens >= q.policy.LongTokens,
+		isLong:  r.Tokens >= q.policy.LongTokens,
 		index:   notInHeap,
 	}
 	if !r.Deadline.IsZero() {
 		e := m.serviceTimeOf(r.Class).estimate(r.Tokens)
 		it.latestStart = r.Deadline.Add(-e.upper)
-		it.lastChance = r.Deadline.Add(-e.lower)
+		it.latestPossibleStart = r.Deadline.Add(-e.lower)
 		it.margin = e.margin
 	}
 	return it
@@ -150,15 +150,15 @@
 // ever. Harm of going by what nine in ten end within: callers with time left were told
 // that no server could answer in it, and of their next tries the same was said.
 func (q *Queue) refuseAtDoor(now time.Time, m *modelQueue, it *item) *Refusal {
-	wait := m.waitFor(it, q.policy)
-	if places := it.request.Places; places > 0 && m.ahead(it.worth) >= places {
+	wait := m.estimateWait(it, q.policy)
+	if places := it.request.Places; places > 0 && m.countAhead(it.worth) >= places {
 		return q.refuse(now, m, it, ReasonDeadlineUnreachable, wait)
 	}
 	if !it.latestStart.IsZero() && now.After(it.latestStart) {
-		if m.waiting > 0 || now.After(it.lastChance) {
+		if m.waiting > 0 || now.After(it.latestPossibleStart) {
 			return q.refuse(now, m, it, ReasonDeadlinePassed, 0)
 		}
-		it.latestStart, wait = it.lastChance, 0
+		it.latestStart, wait = it.latestPossibleStart, 0
 	}
 	if left, isEarly := q.refused.remaining(now, it.request); isEarly && wait > 0 {
 		q.counters.Refused++
@@ -189,7 +189,7 @@
 func (q *Queue) replace(now time.Time, m *modelQueue, it *item, reason Reason, workspace string) ([]Eviction, *Refusal) {
 	victim := q.lowest(workspace)
 	if victim == nil || victim.worth >= it.worth {
-		return nil, q.refuse(now, m, it, reason, m.waitFor(it, q.policy))
+		return nil, q.refuse(now, m, it, reason, m.estimateWait(it, q.policy))
 	}
 	return []Eviction{q.evict(now, victim, ReasonOutranked)}, nil
 }
@@ -197,7 +197,7 @@
 func (q *Queue) lowest(workspace string) *item {
 	var lowest *item
 	for _, m := range q.order {
-		last := m.last(workspace)
+		last := m.newestOfLowestWorth(workspace)
 		if last != nil && (lowest == nil || last.worth < lowest.worth) {
 			lowest = last
 		}
@@ -208,7 +208,7 @@
 func (q *Queue) evict(now time.Time, it *item, reason Reason) Eviction {
 	m := q.models[it.request.queue()]
 	q.remove(it)
-	refusal := q.refuse(now, m, it, reason, m.waitFor(it, q.policy))
+	refusal := q.refuse(now, m, it, reason, m.estimateWait(it, q.policy))
 	q.counters.Evicted++
 	return Eviction{Request: it.request, Refusal: *refusal}
 }
@@ -221,9 +221,9 @@
 }
 
 func (q *Queue) insert(now time.Time, m *modelQueue, it *item) {
-	m.used = now
+	m.lastUsed = now
 	m.push(it, q.policy.share(it.request.Workspace))
-	m.arrived(it)
+	m.recordArrival(it)
 	q.items[it.request.ID] = it
 	q.workspaces[it.request.Workspace]++
 	q.waiting++
@@ -268,10 +268,10 @@
 	for i := range q.order {
 		m := q.order[(q.turn+i)%len(q.order)]
 		m.tick(now)
-		if m.idle(now) {
+		if m.isIdle(now) {
 			idle = m
 		}
-		it := m.next(now, q.policy, fits)
+		it := m.nextItem(now, q.policy, fits)
 		if it == nil {
 			continue
 		}
@@ -304,7 +304,7 @@
 }
 
 func (q *Queue) start(m *modelQueue, it *item) {
-	m.served(it, q.policy)
+	m.recordServed(it, q.policy)
 	q.remove(it)
 	run := runningRequest{model: m.name, class: it.request.Class, tokens: it.request.Tokens}
 	if it.request.IdempotencyKey != "" {
