--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -8,16 +8,16 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// maxEvictions bounds the expired requests that one call returns, so that a
-// decision stays short when thousands expire at once; the next call goes on.
-const maxEvictions = 16
+// maxExpiredPerCall bounds the expired requests that one call returns, so that a call stays short
+// when thousands expire at once. The next call returns more of them.
+const maxExpiredPerCall = 16
 
 // Queue holds the requests of one entry that wait for a backend server.
 type Queue struct {
 	policy       Policy
 	models       map[string]*modelQueue
-	order        []*modelQueue
-	turn         int
+	modelList    []*modelQueue
+	nextModel    int
 	items        map[string]*item
 	keys         map[scopedKey]string
 	running      map[string]runningRequest
@@ -34,7 +34,7 @@
 	workspace, key string
 }
 
-// runningRequest is what Done needs of a request that Next returned.
+// runningRequest holds the data that Done needs about a request that Next returned.
 type runningRequest struct {
 	model  string
 	class  string
@@ -42,7 +42,7 @@
 	tokens int
 }
 
-// New returns an empty Queue under policy.
+// New returns an empty Queue with the given policy.
 func New(policy Policy) *Queue {
 	policy = policy.withDefaults()
 	return &Queue{
@@ -57,11 +57,11 @@
 	}
 }
 
-// SetPolicy puts another policy in force. Requests that wait are ranked again
-// under it and keep their arrival order; none is refused by the change.
+// SetPolicy replaces the policy. Waiting requests are ranked again under the new policy and keep
+// their arrival order; the change refuses none of them.
 func (q *Queue) SetPolicy(_ time.Time, policy Policy) {
 	q.policy = policy.withDefaults()
-	for _, m := range q.order {
+	for _, m := range q.modelList {
 		waiting := m.takeAll()
 		for _, it := range waiting {
 			it.worth = q.policy.Worth(it.request.Workspace, it.request.Class)
@@ -78,17 +78,17 @@
 		q.counters.Joined++
 		return Decision{Joined: id}
 	}
-	m := q.model(r.queue())
+	m := q.modelFor(r.queueName())
 	m.model = r.Model
 	m.tick(now)
-	if !q.unused(r.ID) {
+	if !q.checkUnusedID(r.ID) {
 		return Decision{Refusal: &Refusal{Reason: ReasonIDInUse, RetryAfter: q.policy.MinRetryAfter}}
 	}
 	it := q.newItem(m, r)
-	if refusal := q.refuseAtDoor(now, m, it); refusal != nil {
+	if refusal := q.refuseOnArrival(now, m, it); refusal != nil {
 		return Decision{Refusal: refusal}
 	}
-	evicted, refusal := q.makeRoom(now, m, it)
+	evicted, refusal := q.enforceLimits(now, m, it)
 	if refusal != nil {
 		return Decision{Refusal: refusal}
 	}
@@ -106,19 +106,19 @@
 	return id, ok
 }
 
-func (q *Queue) model(name string) *modelQueue {
+func (q *Queue) modelFor(name string) *modelQueue {
 	m := q.models[name]
 	if m == nil {
 		m = newModelQueue(name)
 		q.models[name] = m
-		q.order = append(q.order, m)
+		q.modelList = append(q.modelList, m)
 	}
 	return m
 }
 
-// unused asserts that no other request has the id. Two requests under one id
-// would each end the other's wait, and a caller would get a foreign answer.
-func (q *Queue) unused(id string) bool {
+// checkUnusedID checks the invariant that no other request has the id. Two requests with one id
+// would each end the other's wait, and a caller would get another caller's answer.
+func (q *Queue) checkUnusedID(id string) bool {
 	_, waits := q.items[id]
 	_, runs := q.running[id]
 	return invariant.Check(!waits && !runs, "admission_id_unique", "request id %q offered twice", id)
@@ -140,16 +140,16 @@
 	return it
 }
 
-// refuseAtDoor is made for demand above capacity. It refuses at once what
-// can't be answered in time, because a request that waits and then misses its
-// deadline harms twice: its caller learns late, and the work done for it is
-// taken from requests that could still be in time.
+// refuseOnArrival returns a refusal if a new request can't be answered in time, else nil. When
+// demand exceeds capacity, a request that waits and then misses its deadline does harm twice: its
+// caller learns late, and the work done for it is taken from requests that could still be in
+// time.
 //
-// One that may just be in time is let in while nothing waits. Load: for some seconds
-// one request in ten takes three times as long, and the others are as quick as
-// ever. Harm of going by what nine in ten end within: callers with time left were told
-// that no server could answer in it, and of their next tries the same was said.
-func (q *Queue) refuseAtDoor(now time.Time, m *modelQueue, it *item) *Refusal {
+// A request that may just be in time is admitted while nothing waits. For some seconds, one
+// request in ten may take three times as long while the others are as quick as ever. With the
+// time that nine in ten requests stay within as the only limit, callers with time left were told
+// that no server could answer in time, and their next tries got the same refusal.
+func (q *Queue) refuseOnArrival(now time.Time, m *modelQueue, it *item) *Refusal {
 	wait := m.estimateWait(it, q.policy)
 	if places := it.request.Places; places > 0 && m.countAhead(it.worth) >= places {
 		return q.refuse(now, m, it, ReasonDeadlineUnreachable, wait)
@@ -171,32 +171,33 @@
 	return nil
 }
 
-// makeRoom keeps the queue bounded. The lowest worth goes first; among equal
-// worth the request that came last stays out, since it has waited least.
-func (q *Queue) makeRoom(now time.Time, m *modelQueue, it *item) ([]Eviction, *Refusal) {
+// enforceLimits keeps the queue bounded. A request of the lowest worth is evicted first. Among
+// requests of equal worth, the new one is refused, since it has waited least.
+func (q *Queue) enforceLimits(now time.Time, m *modelQueue, it *item) ([]Eviction, *Refusal) {
 	workspace := it.request.Workspace
 	if q.workspaces[workspace] >= q.policy.workspaceLimit() {
-		return q.replace(now, m, it, ReasonWorkspaceFull, workspace)
+		return q.evictFor(now, m, it, ReasonWorkspaceFull, workspace)
 	}
 	if q.waiting >= q.policy.QueueRequests {
-		return q.replace(now, m, it, ReasonQueueFull, "")
+		return q.evictFor(now, m, it, ReasonQueueFull, "")
 	}
 	return nil, nil
 }
 
-// replace throws out the newest request of the lowest worth (of one workspace
-// if one is named) in favour of it, or refuses it if nothing is worth less.
-func (q *Queue) replace(now time.Time, m *modelQueue, it *item, reason Reason, workspace string) ([]Eviction, *Refusal) {
-	victim := q.lowest(workspace)
+// evictFor evicts the newest request of the lowest worth in favour of a new item, or refuses the
+// new item if no waiting request is worth less. If workspace is not empty, only requests of that
+// workspace are evicted.
+func (q *Queue) evictFor(now time.Time, m *modelQueue, it *item, reason Reason, workspace string) ([]Eviction, *Refusal) {
+	victim := q.evictionCandidate(workspace)
 	if victim == nil || victim.worth >= it.worth {
 		return nil, q.refuse(now, m, it, reason, m.estimateWait(it, q.policy))
 	}
 	return []Eviction{q.evict(now, victim, ReasonOutranked)}, nil
 }
 
-func (q *Queue) lowest(workspace string) *item {
+func (q *Queue) evictionCandidate(workspace string) *item {
 	var lowest *item
-	for _, m := range q.order {
+	for _, m := range q.modelList {
 		last := m.newestOfLowestWorth(workspace)
 		if last != nil && (lowest == nil || last.worth < lowest.worth) {
 			lowest = last
@@ -206,7 +207,7 @@
 }
 
 func (q *Queue) evict(now time.Time, it *item, reason Reason) Eviction {
-	m := q.models[it.request.queue()]
+	m := q.models[it.request.queueName()]
 	q.remove(it)
 	refusal := q.refuse(now, m, it, reason, m.estimateWait(it, q.policy))
 	q.counters.Evicted++
@@ -239,9 +240,9 @@
 	return scopedKey{r.Workspace, r.IdempotencyKey}
 }
 
-// remove takes it out of every index.
+// remove removes an item from every index.
 func (q *Queue) remove(it *item) {
-	q.models[it.request.queue()].remove(it)
+	q.models[it.request.queueName()].remove(it)
 	if it.index != notInHeap {
 		heap.Remove(&q.deadlines, it.index)
 	}
@@ -256,17 +257,17 @@
 	}
 }
 
-// Next returns the request to place now: the one of highest worth, within the
-// weighted shares, among models for which fits finds room. It also returns
-// requests that can't be answered in time any more, which are refused. fits is
-// asked once a model for long and for short requests, and once more for each
-// lesser class whose credit is due and that doesn't fit.
+// Next returns the request to place now: the one of the highest worth, within the weighted
+// shares, among the models for which fits reports capacity. Next also returns the requests that
+// can no longer be answered in time; they are refused. For each model, Next calls fits once for
+// long and once for short requests, and once more for each lesser class that has earned credit
+// and does not fit.
 func (q *Queue) Next(now time.Time, fits func(Request) bool) (Request, []Eviction, bool) {
 	expired := q.Expire(now)
 	var idle *modelQueue
-	defer func() { q.drop(idle) }()
-	for i := range q.order {
-		m := q.order[(q.turn+i)%len(q.order)]
+	defer func() { q.removeModel(idle) }()
+	for i := range q.modelList {
+		m := q.modelList[(q.nextModel+i)%len(q.modelList)]
 		m.tick(now)
 		if m.isIdle(now) {
 			idle = m
@@ -275,32 +276,33 @@
 		if it == nil {
 			continue
 		}
-		q.turn = (q.turn + i + 1) % len(q.order)
+		q.nextModel = (q.nextModel + i + 1) % len(q.modelList)
 		q.start(m, it)
 		return it.request, expired, true
 	}
 	return Request{}, expired, false
 }
 
-// NewestFirst sets whether requests of a model are served newest first within
-// their workspaces' shares: under an overload what has waited is late already, and
-// served first it makes each newcomer late as well.
+// NewestFirst sets whether the requests of a model are served newest first, within the shares of
+// their workspaces. Under an overload, the requests that have waited are already late, and
+// serving them first would make each newcomer late as well.
 func (q *Queue) NewestFirst(model string, on bool) {
-	for _, m := range q.order {
+	for _, m := range q.modelList {
 		if m.model == model {
 			m.newestFirst = on
 		}
 	}
 }
 
-// drop forgets a model that nobody asks for any more.
-func (q *Queue) drop(m *modelQueue) {
+// removeModel removes the queue of an idle model. It does nothing if m is nil or has waiting
+// requests.
+func (q *Queue) removeModel(m *modelQueue) {
 	if m == nil || m.waiting > 0 {
 		return
 	}
 	delete(q.models, m.name)
-	q.order = slices.DeleteFunc(q.order, func(o *modelQueue) bool { return o == m })
-	q.turn = 0
+	q.modelList = slices.DeleteFunc(q.modelList, func(other *modelQueue) bool { return other == m })
+	q.nextModel = 0
 }
 
 func (q *Queue) start(m *modelQueue, it *item) {
@@ -315,12 +317,12 @@
 	q.counters.Started++
 }
 
-// Expire refuses up to maxEvictions waiting requests that can't be answered
-// in time any more. Next calls it; an entry whose backend servers have no room
-// calls it from a timer, so that no caller waits for an answer already lost.
+// Expire refuses up to maxExpiredPerCall waiting requests that can no longer be answered in time.
+// Next calls Expire. An entry whose backend servers have no capacity calls Expire from a timer,
+// so that no caller waits for an answer that can't come in time.
 func (q *Queue) Expire(now time.Time) []Eviction {
 	var expired []Eviction
-	for len(q.deadlines) > 0 && len(expired) < maxEvictions {
+	for len(q.deadlines) > 0 && len(expired) < maxExpiredPerCall {
 		first := q.deadlines[0]
 		if !now.After(first.latestStart) {
 			break
@@ -330,19 +332,19 @@
 	return expired
 }
 
-// Cancel removes a waiting or running request whose caller is gone. It tells
-// whether the request was still waiting.
+// Cancel removes a waiting or running request whose caller has disconnected. It reports whether
+// the request was still waiting.
 func (q *Queue) Cancel(id string) bool {
 	if it, ok := q.items[id]; ok {
 		q.remove(it)
 		q.counters.Cancelled++
 		return true
 	}
-	q.forget(id)
+	q.removeRunning(id)
 	return false
 }
 
-func (q *Queue) forget(id string) (runningRequest, bool) {
+func (q *Queue) removeRunning(id string) (runningRequest, bool) {
 	run, ok := q.running[id]
 	if !ok {
 		return run, false
@@ -354,14 +356,14 @@
 	return run, true
 }
 
-// Done reports the end of a request that Next returned. It must be called once
-// for each, unless Cancel was.
+// Done records the end of a request that Next returned. It must be called once for each such
+// request, unless Cancel was called.
 func (q *Queue) Done(now time.Time, o Outcome) {
-	run, ok := q.forget(o.ID)
+	run, ok := q.removeRunning(o.ID)
 	if !ok || !o.Answered {
 		return
 	}
-	m := q.model(run.model)
+	m := q.modelFor(run.model)
 	m.tick(now)
 	m.serviceRate.addCompleted(run.tokens)
 	m.serviceTimeOf(run.class).observe(run.tokens, o.Took)
--- a/internal/admission/stats.go
+++ b/internal/admission/stats.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Counters count decisions since the Queue was made.
+// Counters counts decisions since the Queue was created.
 type Counters struct {
 	Queued        uint64
 	Joined        uint64
@@ -13,20 +13,19 @@
 	RetriesDenied uint64
 }
 
-// BandStats describes the waiting requests of one model and worth.
+// BandStats describes the waiting requests of one model that have equal worth.
 type BandStats struct {
 	Worth    float64
 	Requests int
 	Tokens   int
-	// Oldest is when the request that waits longest arrived.
+	// Oldest is the arrival time of the request that has waited longest.
 	Oldest time.Time
 }
 
 // ModelStats describes the waiting requests of one model.
 type ModelStats struct {
 	Model string
-	// TokensPerSecond is the service rate that refusals are based on; 0 if it
-	// isn't known.
+	// TokensPerSecond is the service rate on which refusals are based; 0 if unknown.
 	TokensPerSecond float64
 	Bands           []BandStats
 }
@@ -39,11 +38,11 @@
 	Models  []ModelStats
 }
 
-// Stats returns the queue's state. It walks all flows, so it is meant for a
-// metrics interval and not for each request.
+// Stats returns the queue's state. It visits all flows, so it is meant to be called once per
+// metrics interval, not for each request.
 func (q *Queue) Stats() Stats {
 	s := Stats{Counters: q.counters, Waiting: q.waiting, Running: len(q.running)}
-	for _, m := range q.order {
+	for _, m := range q.modelList {
 		s.Models = append(s.Models, m.stats())
 	}
 	return s
