--- a/internal/admission/door_test.go
+++ b/internal/admission/admission_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Twice the capacity is asked for. A request whose deadline lies before the
-// end of the work ahead of it is refused as it comes, not when it is too late.
-func TestUnreachableDeadlineIsRefusedAtTheDoor(t *testing.T) {
+// Twice the capacity is requested. A request whose deadline lies before the end of the work ahead
+// of it must be refused on arrival, not when it is too late.
+func TestUnreachableDeadlineIsRefusedOnArrival(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
 	now := at(2 * rateWindow)
@@ -32,10 +32,10 @@
 	assert.Assert(t, q.Offer(now, late).Queued)
 }
 
-// The top class asks for more than there is, so that its own requests wait to the
-// last. A summary has the floor share to count on; refused at the door for what
-// waits ahead of it, it would never get it.
-func TestDoorCountsTheFloorShare(t *testing.T) {
+// The top class requests more than the capacity, so its requests wait until just before their
+// deadline. A summary can count on the floor share. Refused because of the work of greater worth
+// ahead of it, it would never get this share.
+func TestAdmissionCountsTheFloorShare(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
 	for second := range 20 {
@@ -55,8 +55,9 @@
 	assert.Equal(t, q.Offer(now, r).Refusal.Reason, ReasonDeadlineUnreachable)
 }
 
-// The queue ahead is of lesser worth: it must not make the top class refuse.
-func TestLesserWorkAheadDoesNotRefuseGreater(t *testing.T) {
+// The requests ahead are of lesser worth. They must not cause the refusal of a request of the top
+// class.
+func TestLesserWorthAheadCausesNoRefusal(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
 	now := at(2 * rateWindow)
@@ -66,10 +67,10 @@
 	assert.Assert(t, q.Offer(now, r).Queued)
 }
 
-// Every backend server is gone for 20 s; nothing completes. If the service
-// rate fell to nothing meanwhile, each caller would be refused after the outage
-// as well, and the idle servers would never show a better rate.
-func TestOutageDoesNotForgetTheServiceRate(t *testing.T) {
+// Every backend server is lost for 20 s and nothing completes. If the service rate fell to zero
+// meanwhile, all requests would be refused after the outage as well, and the idle servers would
+// never show a better rate.
+func TestOutageKeepsTheServiceRate(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
 	mustQueue(t, q, at(2*rateWindow), request("waits", "audit", "memo", 100))
@@ -79,9 +80,9 @@
 	assert.Equal(t, q.Stats().Models[0].TokensPerSecond, 1000.0)
 }
 
-// A caller sends its request again every 100 ms because the answer is slow.
-// Without joining, each copy would wait and run by itself.
-func TestResendsOfOneKeyJoinTheFirst(t *testing.T) {
+// A caller resends its request every 100 ms because the answer is slow. Without joining, each
+// copy would wait and run by itself.
+func TestResendsWithOneKeyJoinTheFirst(t *testing.T) {
 	q := New(twoClasses())
 	r := request("first", "audit", "memo", 10)
 	r.IdempotencyKey = "k"
@@ -99,9 +100,9 @@
 	mustQueue(t, q, start, again)
 }
 
-// A thousand callers are refused in the same second. Told one and the same
-// time, they would come back together and be refused together without end.
-func TestRefusedCallersComeBackNoFasterThanTheyCanBeServed(t *testing.T) {
+// A thousand callers are refused in the same second. With the same Retry-After, they would return
+// together and be refused together without end.
+func TestRefusedCallersReturnNoFasterThanServed(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
 	now := at(2 * rateWindow)
@@ -116,13 +117,13 @@
 		perSecond[int(d.Refusal.RetryAfter/time.Second)]++
 	}
 	for second, n := range perSecond {
-		assert.Assert(t, n <= 100, "%d callers sent back to second %d, 10 can be served", n, second)
+		assert.Assert(t, n <= 100, "%d callers told to return in second %d, 10 can be served", n, second)
 	}
 }
 
-// The drafts are refused for seconds on end and none is admitted. Those refused
-// in one second must not be told the same time as those of the second before.
-func TestPromisedReturnsAreKeptBetweenWindows(t *testing.T) {
+// Drafts are refused for several seconds and none is admitted. The drafts refused in one second
+// must not get the same retry times as the drafts of the second before.
+func TestRetryScheduleIsKeptBetweenRateWindows(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
 	q.policy.MaxRetryAfter = time.Hour
@@ -141,9 +142,9 @@
 	}
 }
 
-// One caller waits as it was told, another sends again at once. The second must
-// not get the room that the first was promised.
-func TestComingBackTooEarlyGainsNothing(t *testing.T) {
+// One caller waits for its Retry-After, another resends at once. The second must not get the
+// capacity that the first was promised.
+func TestResendBeforeRetryAfterIsRefused(t *testing.T) {
 	q := New(twoClasses())
 	learnRate(t, q, 1000, 500*time.Millisecond)
 	now := at(2 * rateWindow)
@@ -161,8 +162,8 @@
 	mustQueue(t, q, now.Add(first.RetryAfter), r)
 }
 
-// All backend servers fail at once and each attempt is repeated. The retries
-// of a workspace stay a tenth of its admitted requests.
+// All backend servers fail at once and each attempt is retried. The retries of a workspace must
+// stay at a tenth of its admitted requests.
 func TestRetryBudgetBoundsTheAddedLoad(t *testing.T) {
 	q := New(twoClasses())
 	for q.AllowRetry(start, "audit") {
@@ -178,9 +179,9 @@
 	assert.Assert(t, q.AllowRetry(start, "tank"))
 }
 
-// Backend servers lose the answers of 145 requests a second for four seconds,
-// after minutes in which next to nothing was repeated. What the requests of the
-// last ten seconds allow may be repeated at once, and in no ten seconds more.
+// Backend servers lose the answers of 145 requests a second for four seconds, after minutes with
+// next to no retries. The retries that the requests of the last ten seconds allow may be sent at
+// once, and no ten seconds may have more.
 func TestRetriesOfAnyTenSecondsAreBounded(t *testing.T) {
 	policy := twoClasses()
 	policy.RetryRatio, policy.RetryPerSecond = 0.15, 0.1
@@ -198,7 +199,7 @@
 		}
 		now = now.Add(time.Second)
 	}
-	assert.Equal(t, allowed[40], 11, "0.15 of 66 requests and 1.1 beside")
+	assert.Equal(t, allowed[40], 11, "0.15 of 66 requests plus 1.1")
 	for from := 40; from < 50; from++ {
 		sum := 0
 		for second := from; second < from+10; second++ {
@@ -206,13 +207,13 @@
 		}
 		assert.Assert(t, sum <= 11, "%d in ten seconds from %d", sum, from)
 	}
-	assert.Assert(t, q.AllowRetry(now, "audit"), "the workspace's own budget is another")
+	assert.Assert(t, q.AllowRetry(now, "audit"), "the workspace has its own retry budget")
 }
 
-// Drafts and checks have prompts of one length; a draft writes for four seconds, a
-// check for 0.3. A check that comes with 2.5 s left must be admitted, and a draft with
-// as little be refused at once.
-func TestClassesOfOneLengthAreTimedApart(t *testing.T) {
+// Drafts and checks have prompts of the same length; a draft takes four seconds, a check 0.3 s. A
+// check that arrives with 2.5 s left must be admitted, and a draft with as little time must be
+// refused at once.
+func TestServiceTimesAreEstimatedByClass(t *testing.T) {
 	q := New(Policy{})
 	now := start
 	for i := range 40 {
@@ -231,11 +232,11 @@
 	assert.Equal(t, q.Offer(now, draft).Refusal.Reason, ReasonDeadlinePassed)
 }
 
-// A host is lost and one request in five takes three times as long, until it runs again
-// elsewhere; the others take a second as ever. A caller with 1.6 s left is told that no
-// server could answer in that time, and comes back with less. It must be let in while
-// nothing waits; one with 0.1 s left must not.
-func TestWhatMayJustBeInTimeIsLetIn(t *testing.T) {
+// A host is lost and one request in five takes three times as long until its group runs
+// elsewhere; the other requests take a second as before. A caller with 1.6 s left was told that
+// no server could answer in that time, and returned with even less time. It must be admitted
+// while nothing waits. A caller with 0.1 s left must be refused.
+func TestTightDeadlineIsAdmittedWhileNothingWaits(t *testing.T) {
 	q := New(Policy{})
 	now := start
 	for i := range 40 {
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// benchQueue holds 10,000 waiting requests of 10 workspaces, 3 classes and 5
+// benchQueue returns a queue with 10,000 waiting requests of 10 workspaces, 3 classes and 5
 // models.
 func benchQueue(b *testing.B) *Queue {
 	q := New(Policy{
@@ -29,7 +29,7 @@
 	}
 }
 
-// BenchmarkOfferNextDone is a whole life: in, out, done.
+// BenchmarkOfferNextDone measures Offer, Next and Done of one request in a full queue.
 func BenchmarkOfferNextDone(b *testing.B) {
 	q := benchQueue(b)
 	extra := make([]Request, 4096)
@@ -47,8 +47,8 @@
 	}
 }
 
-// BenchmarkNextNoRoom is full saturation: every model is asked in vain.
-func BenchmarkNextNoRoom(b *testing.B) {
+// BenchmarkNextNoCapacity measures Next under full saturation, when no request of any model fits.
+func BenchmarkNextNoCapacity(b *testing.B) {
 	q := benchQueue(b)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkRefuse is a storm at the door of a full queue.
+// BenchmarkRefuse measures the refusal of a request by a full queue.
 func BenchmarkRefuse(b *testing.B) {
 	q := benchQueue(b)
 	q.policy.QueueRequests = 10000
--- a/internal/admission/ontime_test.go
+++ b/internal/admission/late_backlog_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// replayBacklog replays callers who come back together: 150 requests of ten workspaces wait
-// when the first server is there, all late already, and 80 more come each second to
-// slots that serve 100. It returns how many of those that came later were sent on
-// time, and when the last of the backlog was sent.
+// replayBacklog simulates callers who return together after an outage. 150 requests of ten
+// workspaces, all late already, wait when the first server is available. 80 more arrive each
+// second, to slots that serve 100. replayBacklog returns how many of the later requests were sent
+// on time, their number, and when the last request of the backlog was sent.
 func replayBacklog(t *testing.T, ordered, reserved bool) (onTime, later int, cleared time.Duration) {
 	t.Helper()
 	const (
@@ -52,7 +52,7 @@
 			if !ok {
 				break
 			}
-			// The backlog fills the slots at once; they end one after the other.
+			// The backlog fills the slots at once. Its requests end one after the other.
 			busy = append(busy, now.Add(work+time.Duration(len(busy))*time.Millisecond))
 			q.Done(now, Outcome{ID: r.ID})
 			if at, new := arrivals[r.ID]; !new {
@@ -65,11 +65,11 @@
 	return onTime, len(arrivals), cleared
 }
 
-// All processes come back after a loss of power, and a second of callers' requests
-// with them. Served first come, first served, those that come in the next seconds
-// wait until they are late too. Served as long as they can be on time, they are, and
-// what was late already follows within its deadline.
-func TestThoseThatCanBeOnTimeGoBeforeALateBacklog(t *testing.T) {
+// All processes restart after a loss of power, and a second of callers' requests arrives with
+// them. Served first come, first served, the requests of the next seconds would wait until they
+// are late too. Requests that can still be on time must go first, and the late ones must follow
+// within their deadline.
+func TestOnTimeRequestsPrecedeALateBacklog(t *testing.T) {
 	before, all, _ := replayBacklog(t, false, false)
 	after, _, cleared := replayBacklog(t, true, false)
 	t.Logf("on time of %d: %d before, %d now, backlog cleared after %s", all, before, after, cleared)
@@ -77,11 +77,11 @@
 	assert.Assert(t, cleared > 0 && cleared < 7*time.Second, "the last of the backlog after %s", cleared)
 }
 
-// The same, and the backlog is there before the first newcomer: whatever goes first,
-// it fills all slots for the time of an answer, and those that come meanwhile are late
-// behind it. Newcomers must find places, nearly all of them; the backlog follows in what
-// they leave, and nobody of it is lost.
-func TestALateBacklogLeavesPlacesForNewcomers(t *testing.T) {
+// As in the test above, but the backlog is there before the first new request. It fills all slots
+// for the time of an answer in any order of service, and the requests that arrive meanwhile are
+// late. Nearly all new requests must find slots. The backlog must follow in the slots that they
+// leave, without the loss of a request.
+func TestLateBacklogLeavesSlotsForNewRequests(t *testing.T) {
 	before, all, _ := replayBacklog(t, true, false)
 	after, _, cleared := replayBacklog(t, true, true)
 	t.Logf("on time of %d: %d before, %d now, backlog cleared after %s", all, before, after, cleared)
@@ -89,9 +89,9 @@
 	assert.Assert(t, cleared > 0 && cleared < 7*time.Second, "the last of the backlog after %s", cleared)
 }
 
-// Requests of one workspace that are late already, and one that is not: it goes first,
-// then the others in the order in which they came.
-func TestLateRequestsFollowInTheirOrder(t *testing.T) {
+// Of the requests of one workspace, most are already late. The requests that are not late must go
+// first, then the late ones in arrival order.
+func TestLateRequestsKeepArrivalOrder(t *testing.T) {
 	q := New(Policy{})
 	for i, until := range []time.Duration{-3, -2, -1, 5, 6} {
 		r := Request{ID: fmt.Sprint(i), Workspace: "w", Class: "c", Model: "m", Tokens: 1, Arrived: start, OnTimeUntil: start.Add(until * time.Second)}
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -21,7 +21,7 @@
 
 func never(Request) bool { return false }
 
-// twoClasses is worth "memo" over "draft", both of workspace "audit" or "tank".
+// twoClasses returns a policy in which the class "memo" is worth more than "draft".
 func twoClasses() Policy {
 	return Policy{Classes: map[string]ClassPolicy{"memo": {Worth: 4}, "draft": {Worth: 1}}}
 }
@@ -43,8 +43,8 @@
 	return r
 }
 
-// learnRate serves one window with a backlog, so that q knows a service rate
-// of perSecond tokens and that a request takes took.
+// learnRate serves one rate window with a backlog, so that q measures a service rate of perSecond
+// tokens a second and a service time of took.
 func learnRate(t *testing.T, q *Queue, perSecond int, took time.Duration) {
 	t.Helper()
 	mustQueue(t, q, start, request("learn-done", "audit", "memo", perSecond))
@@ -57,7 +57,7 @@
 	assert.Equal(t, q.Stats().Models[0].TokensPerSecond, float64(perSecond))
 }
 
-// backlog makes short requests of the top class wait.
+// backlog queues short requests of the top class.
 func backlog(t *testing.T, q *Queue, now time.Time, tokens int) {
 	t.Helper()
 	for i := range tokens / 1000 {
@@ -73,9 +73,8 @@
 	assert.Equal(t, takeNext(t, q, start).ID, "draft")
 }
 
-// A scheduler keeps the top class busy all night. Drafts of the same model wait
-// behind it. Without a floor no draft would ever start, and its caller would
-// send it again until morning.
+// A scheduler keeps the top class busy all night, and drafts of the same model wait behind it.
+// Without a floor share, no draft would ever start, and its caller would resend it until morning.
 func TestLesserClassGetsItsFloorShareAndNotMore(t *testing.T) {
 	q := New(twoClasses())
 	drafts := 0
@@ -89,8 +88,8 @@
 	assert.Assert(t, drafts >= 2000*4/100 && drafts <= 2000*6/100, "%d drafts of 2000", drafts)
 }
 
-// The waiting draft is larger than all that a class may usually save up. If its
-// credit stopped short of its size, it would wait for ever.
+// The waiting draft is larger than the usual limit of a class's credit. If the credit were
+// limited below its size, the draft would wait forever.
 func TestFloorShareReachesTheLargestRequest(t *testing.T) {
 	q := New(twoClasses())
 	mustQueue(t, q, start, request("draft", "audit", "draft", 10*DefaultLongTokens))
@@ -101,11 +100,11 @@
 			return
 		}
 	}
-	t.Fatal("the draft starves")
+	t.Fatal("the draft was never served")
 }
 
-// The drafts have saved their credit, but there is only the room that is kept
-// for the top class. A memo must not wait until a draft fits.
+// The drafts have earned their credit, but the only free capacity is the reserve of the top
+// class. A memo must not wait until a draft fits.
 func TestCreditThatDoesNotFitDoesNotHoldBackTheTopClass(t *testing.T) {
 	q := New(twoClasses())
 	mustQueue(t, q, start, request("draft", "audit", "draft", 10))
@@ -125,9 +124,9 @@
 	assert.Assert(t, asked <= 200)
 }
 
-// One large workspace sends nine requests for each one of a small workspace,
-// both of equal worth. The small one's juniors wait behind the large one's
-// backlog if requests are served in the order they came.
+// One large workspace sends nine requests for each request of a small workspace of equal worth.
+// Served in arrival order, the requests of the small workspace would wait behind the backlog of
+// the large one.
 func TestWorkspacesOfEqualWorthShareByWeight(t *testing.T) {
 	p := twoClasses()
 	p.Workspaces = map[string]WorkspacePolicy{"small": {Share: 1}, "large": {Share: 3}}
@@ -147,9 +146,9 @@
 	assert.Equal(t, small, 50)
 }
 
-// A workspace was idle all night while another was served. It must get its
-// share from now on and not all that it left unused.
-func TestIdleWorkspaceSavesNothingUp(t *testing.T) {
+// A workspace was idle all night while another was served. It must get its share from now on, not
+// the share that it left unused.
+func TestIdleWorkspaceEarnsNoCredit(t *testing.T) {
 	q := New(twoClasses())
 	for i := range 200 {
 		mustQueue(t, q, start, request(fmt.Sprint("busy", i), "busy", "memo", 10))
@@ -169,9 +168,9 @@
 	assert.Assert(t, served >= 19 && served <= 21, "%d of 40", served)
 }
 
-// A long draft waits for a group with much free room. Lookups of the same
-// workspace and class would fit now, but stand behind it in one list.
-func TestShortIsNotStuckBehindLong(t *testing.T) {
+// A long draft waits for a group with much free capacity. Lookups of the same workspace and class
+// fit now; in one list they would wait behind the draft.
+func TestShortRequestPassesLongRequest(t *testing.T) {
 	q := New(twoClasses())
 	mustQueue(t, q, start, request("long", "audit", "memo", 50000))
 	mustQueue(t, q, start, request("short", "audit", "memo", 50))
@@ -185,8 +184,8 @@
 	assert.Assert(t, asked <= 2)
 }
 
-// The top class keeps all servers full up to the part that is kept for it. A draft
-// that the floor share is due to must be let into that part, or it never runs.
+// The top class keeps all servers full up to the reserve. A draft that has earned its floor share
+// must be admitted to the reserve, or it would never run.
 func TestReserveIsForTheGreatestWorthAndForDueCredit(t *testing.T) {
 	q := New(twoClasses())
 	mustQueue(t, q, start, request("draft", "audit", "draft", 100))
@@ -207,8 +206,8 @@
 	assert.DeepEqual(t, reserves(), map[string]float64{"draft": 0, "memo": 0})
 }
 
-// A waiting request can't be in time any more. Its caller gets the final
-// answer now, and no backend server works for nobody.
+// A waiting request can no longer be answered in time. Its caller must get the refusal now, and
+// no backend server may work on it.
 func TestExpiredRequestIsRefusedAndNotServed(t *testing.T) {
 	q := New(twoClasses())
 	r := request("late", "audit", "memo", 100)
@@ -222,7 +221,7 @@
 	assert.Equal(t, q.Stats().Waiting, 0)
 }
 
-func TestFullQueueThrowsOutTheLowestWorth(t *testing.T) {
+func TestFullQueueEvictsTheLowestWorth(t *testing.T) {
 	p := twoClasses()
 	p.QueueRequests, p.WorkspaceQueueShare = 3, 1
 	q := New(p)
@@ -260,9 +259,9 @@
 	assert.Equal(t, takeNext(t, q, start).ID, "memo")
 }
 
-// Workspaces, classes and models come and go for months. What they left must
-// not pile up.
-func TestNothingPilesUp(t *testing.T) {
+// Workspaces, classes and models come and go for months. Their state must be removed, or memory
+// would grow without bound.
+func TestIdleStateIsRemoved(t *testing.T) {
 	q := New(Policy{})
 	for i := range 6000 {
 		now := at(time.Duration(i) * time.Second)
@@ -283,8 +282,7 @@
 	assert.Equal(t, len(q.workspaces)+len(q.running)+len(q.keys)+len(q.items), 0)
 }
 
-// Whatever the order of calls, a request leaves the queue exactly once and the
-// counts agree.
+// In any order of calls, a request leaves the queue exactly once and the counts agree.
 func TestEveryRequestLeavesExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := twoClasses()
--- a/internal/admission/places_test.go
+++ b/internal/admission/slots_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against requests that are held to their deadline for places that others get.
-func TestRequestsBeyondThePlacesAreRefusedAtOnce(t *testing.T) {
+// Guards against requests that wait until their deadline for slots that other requests get.
+func TestRequestsBeyondTheSlotsAreRefusedAtOnce(t *testing.T) {
 	q := New(twoClasses())
 	place := func(id, class string) Request {
 		r := request(id, "audit", class, 10)
