--- a/internal/loadtest/baseline_test.go
+++ b/internal/loadtest/baseline_test.go
@@ -11,7 +11,7 @@
 
 // baseline sends each request on as it comes; the engines queue them.
 type baseline struct {
-	w           *world
+	w           *simulation
 	targets     []placement.Target
 	outstanding map[string]int
 	next        int
@@ -36,8 +36,8 @@
 	return best
 }
 
-func newBaseline(choose func(b *baseline) string) func(w *world, i int) node {
-	return func(w *world, i int) node {
+func newBaseline(choose func(b *baseline) string) func(w *simulation, i int) node {
+	return func(w *simulation, i int) node {
 		return &baseline{w: w, next: i * 3, outstanding: make(map[string]int), choose: choose}
 	}
 }
--- a/internal/loadtest/caller_test.go
+++ b/internal/loadtest/caller_test.go
@@ -72,7 +72,7 @@
 // callers issues jobs in an open loop and sends refused ones again.
 type callers struct {
 	c         *clock
-	situation *situation
+	scenario  *scenario
 	rate      float64
 	frontends []frontend
 	jobs      []*job
@@ -83,13 +83,13 @@
 
 // gap draws the time to the next arrival of a Poisson process.
 func (w *callers) gap() time.Duration {
-	perSecond := w.rate * w.situation.load(w.c.now)
+	perSecond := w.rate * w.scenario.load(w.c.now)
 	seconds := -math.Log(1-w.c.rng.Float64()) / perSecond
 	return time.Duration(seconds * float64(time.Second))
 }
 
 func (w *callers) arrive() {
-	if w.c.now >= w.situation.duration() {
+	if w.c.now >= w.scenario.duration() {
 		return
 	}
 	w.send(w.newJob())
@@ -97,15 +97,15 @@
 }
 
 func (w *callers) newJob() *job {
-	cl := w.situation.class(w.c)
+	cl := w.scenario.class(w.c)
 	j := &job{id: len(w.jobs), class: cl, issued: w.c.now, deadline: w.c.now + cl.deadline}
-	j.workspace = w.situation.workspace(w.c)
-	j.doc = w.situation.doc(w.c)
+	j.workspace = w.scenario.workspace(w.c)
+	j.doc = w.scenario.doc(w.c)
 	j.prompt = w.c.between(cl.prompt[0], cl.prompt[1])
 	most := w.c.between(cl.output[0], cl.output[1])
 	j.output = w.c.between(most*6/10, most)
 	j.expected = j.prompt + most
-	j.honours = w.c.rng.Float64() < w.situation.honouring
+	j.honours = w.c.rng.Float64() < w.scenario.honouring
 	w.jobs = append(w.jobs, j)
 	return j
 }
@@ -113,7 +113,7 @@
 func (w *callers) send(j *job) {
 	j.tries++
 	deadline := j.deadline
-	if w.situation.endless && w.c.now+j.class.deadline > deadline {
+	if w.scenario.endless && w.c.now+j.class.deadline > deadline {
 		deadline = w.c.now + j.class.deadline
 	}
 	t := &try{id: fmt.Sprintf("j%d.%d", j.id, j.tries), job: j, deadline: deadline, offered: w.c.now}
@@ -146,10 +146,10 @@
 }
 
 func (w *callers) again(j *job, after time.Duration) {
-	if w.c.now+after >= j.deadline && !w.situation.endless {
+	if w.c.now+after >= j.deadline && !w.scenario.endless {
 		return
 	}
-	if w.c.now+after >= w.situation.duration() {
+	if w.c.now+after >= w.scenario.duration() {
 		return
 	}
 	w.c.after(after, func() { w.send(j) })
--- a/internal/loadtest/engine_test.go
+++ b/internal/loadtest/engine_test.go
@@ -22,7 +22,7 @@
 	eventLag      = 250 * time.Millisecond
 	eventsLost    = 0.02
 	// silentFor is how long a call to a dark engine takes to fail.
-	silentFor = time.Second
+	failureTimeout = time.Second
 )
 
 // call is one attempt on an engine.
@@ -41,19 +41,19 @@
 }
 
 type engine struct {
-	c        *clock
-	target   placement.Target
-	slow     float64
-	dark     bool
-	running  []*call
-	queue    []*call
-	kv       int
-	stepping bool
-	epoch    int
-	docs     []int
-	sequence uint64
-	produced int
-	lastSent int
+	c            *clock
+	target       placement.Target
+	slowdown     float64
+	unresponsive bool
+	running      []*call
+	queue        []*call
+	kv           int
+	stepping     bool
+	epoch        int
+	docs         []int
+	sequence     uint64
+	produced     int
+	lastSent     int
 	// queued sums the length of the queue over reports.
 	queued, reports int
 	// Events and reports go to every frontend, late.
@@ -63,8 +63,8 @@
 
 // start takes a call; onEnd follows exactly once unless it is cancelled.
 func (e *engine) start(x *call) {
-	if e.dark {
-		e.c.after(silentFor, func() { e.end(x, false) })
+	if e.unresponsive {
+		e.c.after(failureTimeout, func() { e.end(x, false) })
 		return
 	}
 	x.prefill = x.t.job.prompt - e.cachedTokens(x.t.job)
@@ -96,7 +96,7 @@
 }
 
 func (e *engine) wake() {
-	if e.stepping || e.dark {
+	if e.stepping || e.unresponsive {
 		return
 	}
 	e.admit()
@@ -111,7 +111,7 @@
 		budget -= n
 		took += time.Duration(n) * stepPrefill
 	}
-	took = time.Duration(float64(took) * e.slow)
+	took = time.Duration(float64(took) * e.slowdown)
 	epoch := e.epoch
 	e.c.after(took, func() {
 		if e.epoch == epoch {
@@ -170,12 +170,12 @@
 
 // fail makes the engine go dark: everything in flight ends after a silence.
 func (e *engine) fail() {
-	e.dark = true
+	e.unresponsive = true
 	e.epoch++
 	lost := append(slices.Clone(e.running), e.queue...)
 	e.running, e.queue, e.kv, e.stepping, e.docs = nil, nil, 0, false, nil
 	for _, x := range lost {
-		e.c.after(silentFor, func() { e.end(x, false) })
+		e.c.after(failureTimeout, func() { e.end(x, false) })
 	}
 }
 
@@ -193,7 +193,7 @@
 
 func (e *engine) startReports() {
 	e.c.every(reportEvery, func() {
-		if e.dark {
+		if e.unresponsive {
 			return
 		}
 		l := e.load()
--- a/internal/loadtest/entry_test.go
+++ b/internal/loadtest/entry_test.go
@@ -10,7 +10,7 @@
 
 // entry carries out the decisions under test, as internal/entry does.
 type entry struct {
-	w        *world
+	w        *simulation
 	queue    *admission.Queue
 	picker   *placement.Picker
 	waiting  map[string]*try
@@ -33,16 +33,16 @@
 // and expired requests.
 const pumpEvery = 50 * time.Millisecond
 
-func newEntry(w *world, i int) node { return newEntryWith(way{noFloor: w.s.noFloor})(w, i) }
+func newEntry(w *simulation, i int) node { return newEntryWith(way{noFloor: w.s.noFloor})(w, i) }
 
-func newEntryWith(v way) func(w *world, i int) node {
-	return func(w *world, i int) node { return makeEntry(w, i, v) }
+func newEntryWith(v way) func(w *simulation, i int) node {
+	return func(w *simulation, i int) node { return makeEntry(w, i, v) }
 }
 
 // nothing is a share too small to have an effect; zero would be the default.
 const nothing = 1e-9
 
-func makeEntry(w *world, i int, v way) node {
+func makeEntry(w *simulation, i int, v way) node {
 	e := &entry{w: w, waiting: make(map[string]*try), way: v}
 	p := admission.Policy{Classes: make(map[string]admission.ClassPolicy), Seed: uint64(i)}
 	for _, cl := range classes {
--- a/internal/loadtest/load_test.go
+++ b/internal/loadtest/load_test.go
@@ -22,7 +22,7 @@
 }
 
 // play runs s under p with several seeds.
-func play(s *situation, p policy, seeds int, rate float64) *result {
+func play(s *scenario, p policy, seeds int, rate float64) *result {
 	r := &result{}
 	for seed := range seeds {
 		r.add(run(s, p, uint64(seed+1), rate))
@@ -40,7 +40,7 @@
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 1, ' ', tabwriter.Debug)
 	defer out.Flush()
 	fmt.Fprintln(out, "situation\tpolicy\tin time\tlookup\tsummary\tdraft\tTTFT 50\t95\t99\tlookup TTFT 50\t95\t99\trefused/job\twasted\tgoodput/capacity\tengine queue\tback after, lookup / all")
-	for _, s := range situations() {
+	for _, s := range scenarios() {
 		if *only != "" && *only != s.name {
 			continue
 		}
@@ -52,7 +52,7 @@
 	}
 }
 
-func row(out *tabwriter.Writer, s *situation, p policy, r *result) {
+func row(out *tabwriter.Writer, s *scenario, p policy, r *result) {
 	possible, _ := capacity(r.served())
 	fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.2f\t%s\t%s\t%.1f\t%s\n", s.name, p.name,
 		percent(r.all.part()), percent(r.classes[0].part()), percent(r.classes[1].part()), percent(r.classes[2].part()),
@@ -62,7 +62,7 @@
 		percent(r.useful.Seconds()/r.counted.Seconds()/possible), float64(r.queued)/float64(r.reports), back(s, r))
 }
 
-func back(s *situation, r *result) string {
+func back(s *scenario, r *result) string {
 	if !s.endless {
 		return "-"
 	}
@@ -92,7 +92,7 @@
 	for _, mix := range [][3]float64{ordinaryMix, worthMix} {
 		_, jobs := capacity(mix)
 		for _, entries := range []int{1, 2, 6, 9} {
-			s := &situation{name: "worth", mix: mix, large: 0.4, honouring: 0.5, load: steady(2), entries: entries, noFloor: true}
+			s := &scenario{name: "worth", mix: mix, large: 0.4, honouring: 0.5, load: steady(2), entries: entries, noFloor: true}
 			r := play(s, policies[0], *seeds, jobs)
 			possible, _ := capacity(r.served())
 			l := &r.classes[0]
@@ -124,7 +124,7 @@
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 1, ' ', tabwriter.Debug)
 	defer out.Flush()
 	fmt.Fprintln(out, "situation\tway\tin time\tlookup\tsummary\tdraft\tTTFT 50\t95\t99\trefused/job\twasted\tprompt computed")
-	for _, s := range situations() {
+	for _, s := range scenarios() {
 		if s.name != "skew" && s.name != "saturation" && s.name != "storm" {
 			continue
 		}
@@ -150,7 +150,7 @@
 	const groups, entries = 89, 9
 	_, jobs := capacity(ordinaryMix)
 	for _, load := range []float64{0.7, 2} {
-		s := &situation{
+		s := &scenario{
 			name: fmt.Sprint("load ", load), mix: ordinaryMix, large: 0.4, honouring: 0.5, load: steady(load),
 			groups: groups, entries: entries,
 		}
--- a/internal/loadtest/outcome_test.go
+++ b/internal/loadtest/outcome_test.go
@@ -17,7 +17,7 @@
 // outcomes plays with several seeds, for figures that hang on a few requests.
 func outcomes(t *testing.T, name string, seeds int) (ours, baseline *result) {
 	t.Helper()
-	for _, s := range situations() {
+	for _, s := range scenarios() {
 		if s.name == name {
 			_, rate := capacity(s.mix)
 			s.seconds = 60
--- a/internal/loadtest/result_test.go
+++ b/internal/loadtest/result_test.go
@@ -49,7 +49,7 @@
 	asked, computed int
 }
 
-func (r *result) add(w *world) {
+func (r *result) add(w *simulation) {
 	end := w.s.duration()
 	r.counted += end - warmUp
 	for _, j := range w.callers.jobs {
@@ -159,7 +159,7 @@
 	saved := classes
 	classes = patient
 	defer func() { classes = saved }()
-	s := &situation{mix: mix, large: 0.4, load: steady(1)}
+	s := &scenario{mix: mix, large: 0.4, load: steady(1)}
 	w := run(s, policies[2], 1, overload)
 	cost, jobs := time.Duration(0), 0
 	for _, j := range w.callers.jobs {
