--- a/internal/loadtest/baseline_test.go
+++ b/internal/loadtest/baseline_test.go
@@ -6,10 +6,11 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// baselineTries bounds the attempts of one request that fail on an engine.
-const baselineTries = 3
+// baselineAttempts bounds the attempts of one request that fail on an engine.
+const baselineAttempts = 3
 
-// baseline sends each request on as it comes; the engines queue them.
+// baseline is a frontend without admission: it sends each request to an engine on arrival, and
+// the engines queue the requests.
 type baseline struct {
 	w           *simulation
 	targets     []placement.Target
@@ -45,9 +46,9 @@
 func (b *baseline) setTargets(list []placement.Target)            { b.targets = list }
 func (b *baseline) report(string, placement.Load)                 {}
 func (b *baseline) cacheEvent(string, uint64, []uint64, []uint64) {}
-func (b *baseline) offer(t *try)                                  { b.send(t) }
+func (b *baseline) offer(t *request)                              { b.send(t) }
 
-func (b *baseline) send(t *try) {
+func (b *baseline) send(t *request) {
 	if len(b.targets) == 0 {
 		b.w.callers.refused(t, 0)
 		return
@@ -55,28 +56,28 @@
 	id := b.choose(b)
 	b.outstanding[id]++
 	b.attempts++
-	x := &call{id: fmt.Sprint(t.id, "#", b.attempts), t: t, tokens: t.job.expected}
+	x := &attempt{id: fmt.Sprint(t.id, "#", b.attempts), request: t, tokens: t.job.expected}
 	x.onToken = func() { b.w.callers.token(t) }
 	x.onEnd = func(ok bool) {
 		b.outstanding[id]--
 		switch {
 		case ok:
 			b.w.callers.answer(t)
-		case len(t.calls) < baselineTries && !t.over:
+		case len(t.attempts) < baselineAttempts && !t.isOver:
 			b.send(t)
 		default:
 			b.w.callers.refused(t, 0)
 		}
 	}
-	t.calls = append(t.calls, x)
+	t.attempts = append(t.attempts, x)
 	b.w.engine(id).start(x)
-	x.t = t
+	x.request = t
 	t.engine = id
 }
 
-func (b *baseline) cancel(t *try) {
-	x := t.calls[len(t.calls)-1]
-	if x.ended {
+func (b *baseline) cancel(t *request) {
+	x := t.attempts[len(t.attempts)-1]
+	if x.isEnded {
 		return
 	}
 	b.outstanding[t.engine]--
--- a/internal/loadtest/caller_test.go
+++ b/internal/loadtest/caller_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// class is a request class and the work its callers ask for.
+// class is a request class with the sizes of its requests. prompt and output are ranges in
+// tokens.
 type class struct {
 	name           string
 	worth          float64
@@ -21,68 +22,68 @@
 	classes = []*class{lookup, summary, draft}
 )
 
-// job is what a caller wants; it may take several tries.
+// job is the work that a caller wants done; it may take several requests.
 type job struct {
 	id             int
 	class          *class
 	workspace      string
 	doc            int
 	prompt, output int
-	// expected is the work in tokens that is known before: the caller states
-	// the most output it takes, not what comes.
-	expected   int
-	issued     time.Duration
-	deadline   time.Duration
-	honours    bool
-	tries      int
-	refused    int
-	firstToken time.Duration
-	answered   time.Duration
+	// expected is the size in tokens that is known in advance. The caller states the longest
+	// output that it accepts, not the actual one.
+	expected          int
+	issued            time.Duration
+	deadline          time.Duration
+	honoursRetryAfter bool
+	requestCount      int
+	refusals          int
+	firstToken        time.Duration
+	answered          time.Duration
 	// cost is the engine time of the answer at full batches.
 	cost time.Duration
 }
 
-// shared is the part of the prompt that all prompts on the document have.
-func (j *job) shared() int { return j.prompt * 3 / 4 }
-
-func (j *job) inTime() bool { return j.answered > 0 && j.answered <= j.deadline }
-
-// try is one request of a job.
-type try struct {
-	id       string
-	job      *job
-	frontend frontend
-	deadline time.Duration
-	over     bool
-	answered bool
-	calls    []*call
-	engine   string
-	queueID  string
-	offered  time.Duration
-	exclude  []string
+// sharedPrompt returns the part of the prompt that all prompts on the document have in common.
+func (j *job) sharedPrompt() int { return j.prompt * 3 / 4 }
+
+func (j *job) isInTime() bool { return j.answered > 0 && j.answered <= j.deadline }
+
+// request is one request of a job, as a caller sends it.
+type request struct {
+	id         string
+	job        *job
+	frontend   frontend
+	deadline   time.Duration
+	isOver     bool
+	isAnswered bool
+	attempts   []*attempt
+	engine     string
+	queueID    string
+	offered    time.Duration
+	exclude    []string
 }
 
-// frontend is one entry, under test or baseline.
+// frontend is an entry: the tested one or a baseline.
 type frontend interface {
-	offer(t *try)
-	// cancel is called once when the caller of t is gone.
-	cancel(t *try)
+	offer(t *request)
+	// cancel is called once when the caller of t has disconnected.
+	cancel(t *request)
 }
 
-// callers issues jobs in an open loop and sends refused ones again.
+// callers issues jobs in an open loop and resends refused ones.
 type callers struct {
 	c         *clock
 	scenario  *scenario
 	rate      float64
 	frontends []frontend
 	jobs      []*job
-	tries     []*try
+	requests  []*request
 }
 
-func (w *callers) start() { w.c.after(w.gap(), w.arrive) }
+func (w *callers) start() { w.c.after(w.interarrival(), w.arrive) }
 
-// gap draws the time to the next arrival of a Poisson process.
-func (w *callers) gap() time.Duration {
+// interarrival draws the time to the next arrival of a Poisson process.
+func (w *callers) interarrival() time.Duration {
 	perSecond := w.rate * w.scenario.load(w.c.now)
 	seconds := -math.Log(1-w.c.rng.Float64()) / perSecond
 	return time.Duration(seconds * float64(time.Second))
@@ -93,7 +94,7 @@
 		return
 	}
 	w.send(w.newJob())
-	w.c.after(w.gap(), w.arrive)
+	w.c.after(w.interarrival(), w.arrive)
 }
 
 func (w *callers) newJob() *job {
@@ -102,50 +103,50 @@
 	j.workspace = w.scenario.workspace(w.c)
 	j.doc = w.scenario.doc(w.c)
 	j.prompt = w.c.between(cl.prompt[0], cl.prompt[1])
-	most := w.c.between(cl.output[0], cl.output[1])
-	j.output = w.c.between(most*6/10, most)
-	j.expected = j.prompt + most
-	j.honours = w.c.rng.Float64() < w.scenario.honouring
+	maxOutput := w.c.between(cl.output[0], cl.output[1])
+	j.output = w.c.between(maxOutput*6/10, maxOutput)
+	j.expected = j.prompt + maxOutput
+	j.honoursRetryAfter = w.c.rng.Float64() < w.scenario.honouring
 	w.jobs = append(w.jobs, j)
 	return j
 }
 
 func (w *callers) send(j *job) {
-	j.tries++
+	j.requestCount++
 	deadline := j.deadline
 	if w.scenario.endless && w.c.now+j.class.deadline > deadline {
 		deadline = w.c.now + j.class.deadline
 	}
-	t := &try{id: fmt.Sprintf("j%d.%d", j.id, j.tries), job: j, deadline: deadline, offered: w.c.now}
+	t := &request{id: fmt.Sprintf("j%d.%d", j.id, j.requestCount), job: j, deadline: deadline, offered: w.c.now}
 	t.frontend = w.frontends[w.c.rng.IntN(len(w.frontends))]
-	w.tries = append(w.tries, t)
+	w.requests = append(w.requests, t)
 	w.c.after(deadline-w.c.now, func() { w.timeout(t) })
 	t.frontend.offer(t)
 }
 
-func (w *callers) timeout(t *try) {
-	if t.over {
+func (w *callers) timeout(t *request) {
+	if t.isOver {
 		return
 	}
-	t.over = true
+	t.isOver = true
 	t.frontend.cancel(t)
-	w.again(t.job, 0)
+	w.resend(t.job, 0)
 }
 
-// refused ends a try that did not run.
-func (w *callers) refused(t *try, after time.Duration) {
-	if t.over {
+// refused ends a request that did not run.
+func (w *callers) refused(t *request, after time.Duration) {
+	if t.isOver {
 		return
 	}
-	t.over = true
-	t.job.refused++
-	if !t.job.honours || after <= 0 {
+	t.isOver = true
+	t.job.refusals++
+	if !t.job.honoursRetryAfter || after <= 0 {
 		after = time.Duration(w.c.between(100, 300)) * time.Millisecond
 	}
-	w.again(t.job, after)
+	w.resend(t.job, after)
 }
 
-func (w *callers) again(j *job, after time.Duration) {
+func (w *callers) resend(j *job, after time.Duration) {
 	if w.c.now+after >= j.deadline && !w.scenario.endless {
 		return
 	}
@@ -155,17 +156,17 @@
 	w.c.after(after, func() { w.send(j) })
 }
 
-func (w *callers) token(t *try) {
-	if t.job.firstToken == 0 && !t.over {
+func (w *callers) token(t *request) {
+	if t.job.firstToken == 0 && !t.isOver {
 		t.job.firstToken = w.c.now
 	}
 }
 
-func (w *callers) answer(t *try) {
-	if t.over {
+func (w *callers) answer(t *request) {
+	if t.isOver {
 		return
 	}
-	t.over = true
-	t.answered = true
+	t.isOver = true
+	t.isAnswered = true
 	t.job.answered = w.c.now
 }
--- a/internal/loadtest/clock_test.go
+++ b/internal/loadtest/clock_test.go
@@ -1,9 +1,9 @@
-// Package loadtest drives admission and placement through situations of heavy
-// load on a virtual clock, and tells what their callers would see.
+// Package loadtest runs admission and placement through scenarios of heavy load on a virtual
+// clock, and measures the results that callers get.
 //
-// The engines are small stand-ins: continuous batching in steps, chunked
-// prefill, a prefix cache, late reports and cache events with gaps. Their
-// figures are of the order of a group of eight VMs, not measured on one.
+// The engines are small models of real ones: continuous batching in steps, chunked prefill, a
+// prefix cache, delayed reports, and cache events with gaps. Their figures are of the order of a
+// group of eight VMs, not measured on one.
 package loadtest
 
 import (
@@ -18,7 +18,7 @@
 type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
 type eventHeap []event
@@ -48,15 +48,15 @@
 	return &clock{rng: rand.New(rand.NewPCG(seed, 17))}
 }
 
-func (c *clock) after(d time.Duration, do func()) {
+func (c *clock) after(d time.Duration, run func()) {
 	c.seq++
-	heap.Push(&c.events, event{c.now + d, c.seq, do})
+	heap.Push(&c.events, event{c.now + d, c.seq, run})
 }
 
-func (c *clock) every(d time.Duration, do func()) {
+func (c *clock) every(d time.Duration, run func()) {
 	c.after(d, func() {
-		do()
-		c.every(d, do)
+		run()
+		c.every(d, run)
 	})
 }
 
@@ -66,10 +66,10 @@
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
 		c.now = e.at
-		e.do()
+		e.run()
 	}
 	c.now = until
 }
 
-// between draws a whole number from lo to hi.
+// between draws an integer from lo to hi.
 func (c *clock) between(lo, hi int) int { return lo + c.rng.IntN(hi-lo+1) }
--- a/internal/loadtest/engine_test.go
+++ b/internal/loadtest/engine_test.go
@@ -7,35 +7,35 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// The stand-in engine: a step takes stepBase, stepRunning for each request
-// that runs and stepPrefill for each prompt token computed in it.
+// Figures of the simulated engine. A step takes stepBase, plus stepRunning for each running
+// request, plus stepPrefill for each prompt token computed in the step.
 const (
-	stepBase      = 15 * time.Millisecond
-	stepRunning   = 500 * time.Microsecond
-	stepPrefill   = 25 * time.Microsecond
-	prefillBudget = 512
-	engineSlots   = 32
-	engineKV      = 64000
-	cachedDocs    = 40
-	reportEvery   = 200 * time.Millisecond
-	reportLag     = 300 * time.Millisecond
-	eventLag      = 250 * time.Millisecond
-	eventsLost    = 0.02
-	// silentFor is how long a call to a dark engine takes to fail.
+	stepBase       = 15 * time.Millisecond
+	stepRunning    = 500 * time.Microsecond
+	stepPrefill    = 25 * time.Microsecond
+	prefillBudget  = 512
+	engineSlots    = 32
+	engineKV       = 64000
+	cachedDocs     = 40
+	reportInterval = 200 * time.Millisecond
+	reportLag      = 300 * time.Millisecond
+	eventLag       = 250 * time.Millisecond
+	eventLoss      = 0.02
+	// failureTimeout is how long an attempt on an unresponsive engine takes to fail.
 	failureTimeout = time.Second
 )
 
-// call is one attempt on an engine.
-type call struct {
+// attempt is one attempt of a request on an engine.
+type attempt struct {
 	id       string
-	t        *try
+	request  *request
 	tokens   int
 	worth    float64
 	prefill  int
 	computed int
 	produced int
 	spent    time.Duration
-	ended    bool
+	isEnded  bool
 	onToken  func()
 	onEnd    func(ok bool)
 }
@@ -45,31 +45,32 @@
 	target       placement.Target
 	slowdown     float64
 	unresponsive bool
-	running      []*call
-	queue        []*call
+	running      []*attempt
+	queue        []*attempt
 	kv           int
-	stepping     bool
-	epoch        int
+	isStepping   bool
+	generation   int
 	docs         []int
 	sequence     uint64
 	produced     int
 	lastSent     int
-	// queued sums the length of the queue over reports.
+	// queued is the sum of the queue lengths at all reports.
 	queued, reports int
-	// Events and reports go to every frontend, late.
+	// Cache events and reports go to every frontend with a delay.
 	onReport func(placement.Load)
 	onCache  func(sequence uint64, add, drop []uint64)
 }
 
-// start takes a call; onEnd follows exactly once unless it is cancelled.
-func (e *engine) start(x *call) {
+// start queues an attempt. Unless the attempt is cancelled, onEnd is called exactly once.
+func (e *engine) start(x *attempt) {
 	if e.unresponsive {
 		e.c.after(failureTimeout, func() { e.end(x, false) })
 		return
 	}
-	x.prefill = x.t.job.prompt - e.cachedTokens(x.t.job)
+	x.prefill = x.request.job.prompt - e.cachedTokens(x.request.job)
 	x.computed = x.prefill
-	// The queue is by worth; callers that set none are first come, first served.
+	// The queue is ordered by worth. Attempts of equal worth, such as those of a frontend that
+	// sets none, are first come, first served.
 	at := len(e.queue)
 	for at > 0 && e.queue[at-1].worth < x.worth {
 		at--
@@ -78,45 +79,45 @@
 	e.wake()
 }
 
-func (e *engine) end(x *call, ok bool) {
-	if x.ended {
+func (e *engine) end(x *attempt, ok bool) {
+	if x.isEnded {
 		return
 	}
-	x.ended = true
+	x.isEnded = true
 	x.onEnd(ok)
 }
 
-func (e *engine) cancel(x *call) {
-	x.ended = true
-	e.queue = slices.DeleteFunc(e.queue, func(o *call) bool { return o == x })
+func (e *engine) cancel(x *attempt) {
+	x.isEnded = true
+	e.queue = slices.DeleteFunc(e.queue, func(o *attempt) bool { return o == x })
 	if i := slices.Index(e.running, x); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
-		e.kv -= x.t.job.prompt + x.t.job.output
+		e.kv -= x.request.job.prompt + x.request.job.output
 	}
 }
 
 func (e *engine) wake() {
-	if e.stepping || e.unresponsive {
+	if e.isStepping || e.unresponsive {
 		return
 	}
 	e.admit()
 	if len(e.running) == 0 {
 		return
 	}
-	e.stepping = true
+	e.isStepping = true
 	budget := prefillBudget
-	took := stepBase + time.Duration(len(e.running))*stepRunning
+	duration := stepBase + time.Duration(len(e.running))*stepRunning
 	for _, x := range e.running {
 		n := min(budget, x.prefill)
 		budget -= n
-		took += time.Duration(n) * stepPrefill
-	}
-	took = time.Duration(float64(took) * e.slowdown)
-	epoch := e.epoch
-	e.c.after(took, func() {
-		if e.epoch == epoch {
-			e.stepping = false
-			e.finishStep(took)
+		duration += time.Duration(n) * stepPrefill
+	}
+	duration = time.Duration(float64(duration) * e.slowdown)
+	generation := e.generation
+	e.c.after(duration, func() {
+		if e.generation == generation {
+			e.isStepping = false
+			e.finishStep(duration)
 			e.wake()
 		}
 	})
@@ -125,22 +126,22 @@
 func (e *engine) admit() {
 	for len(e.queue) > 0 && len(e.running) < engineSlots {
 		x := e.queue[0]
-		need := x.t.job.prompt + x.t.job.output
+		need := x.request.job.prompt + x.request.job.output
 		if e.kv+need > engineKV {
 			return
 		}
 		e.queue = e.queue[1:]
 		e.running = append(e.running, x)
 		e.kv += need
-		e.remember(x.t.job)
+		e.cacheDocument(x.request.job)
 	}
 }
 
-func (e *engine) finishStep(took time.Duration) {
+func (e *engine) finishStep(duration time.Duration) {
 	budget := prefillBudget
-	share := took / time.Duration(max(1, len(e.running)))
+	share := duration / time.Duration(max(1, len(e.running)))
 	for _, x := range slices.Clone(e.running) {
-		if x.ended {
+		if x.isEnded {
 			continue
 		}
 		x.spent += share
@@ -153,27 +154,27 @@
 		x.produced++
 		e.produced++
 		x.onToken()
-		if x.produced >= x.t.job.output && !x.ended {
-			x.t.job.cost = x.cost()
+		if x.produced >= x.request.job.output && !x.isEnded {
+			x.request.job.cost = x.cost()
 			e.cancel(x)
-			x.ended = false
+			x.isEnded = false
 			e.end(x, true)
 		}
 	}
 }
 
-// cost is the engine time that x takes in steps of full batches.
-func (x *call) cost() time.Duration {
+// cost returns the engine time that x takes in steps of full batches.
+func (x *attempt) cost() time.Duration {
 	perToken := stepBase/engineSlots + stepRunning
 	return time.Duration(x.produced)*perToken + time.Duration(x.computed)*stepPrefill
 }
 
-// fail makes the engine go dark: everything in flight ends after a silence.
+// fail makes the engine unresponsive. All its attempts fail after failureTimeout.
 func (e *engine) fail() {
 	e.unresponsive = true
-	e.epoch++
+	e.generation++
 	lost := append(slices.Clone(e.running), e.queue...)
-	e.running, e.queue, e.kv, e.stepping, e.docs = nil, nil, 0, false, nil
+	e.running, e.queue, e.kv, e.isStepping, e.docs = nil, nil, 0, false, nil
 	for _, x := range lost {
 		e.c.after(failureTimeout, func() { e.end(x, false) })
 	}
@@ -184,7 +185,7 @@
 	for _, x := range append(slices.Clone(e.running), e.queue...) {
 		l.TokensInFlight += x.tokens
 	}
-	l.TokensPerSecond = float64(e.produced-e.lastSent) / reportEvery.Seconds()
+	l.TokensPerSecond = float64(e.produced-e.lastSent) / reportInterval.Seconds()
 	e.lastSent = e.produced
 	e.queued += len(e.queue)
 	e.reports++
@@ -192,7 +193,7 @@
 }
 
 func (e *engine) startReports() {
-	e.c.every(reportEvery, func() {
+	e.c.every(reportInterval, func() {
 		if e.unresponsive {
 			return
 		}
@@ -203,27 +204,27 @@
 
 func (e *engine) cachedTokens(j *job) int {
 	if slices.Contains(e.docs, j.doc) {
-		return j.shared()
+		return j.sharedPrompt()
 	}
 	return 0
 }
 
-// remember puts j's document at the end of the least-recently-used list.
-func (e *engine) remember(j *job) {
+// cacheDocument puts the document of j at the end of the least-recently-used list.
+func (e *engine) cacheDocument(j *job) {
 	var drop []uint64
-	known := slices.Contains(e.docs, j.doc)
+	wasCached := slices.Contains(e.docs, j.doc)
 	e.docs = slices.DeleteFunc(e.docs, func(d int) bool { return d == j.doc })
 	e.docs = append(e.docs, j.doc)
 	if len(e.docs) > cachedDocs {
 		drop = prefix(e.docs[0])
 		e.docs = e.docs[1:]
 	}
-	if known {
+	if wasCached {
 		return
 	}
 	e.sequence++
 	sequence := e.sequence
-	if e.c.rng.Float64() < eventsLost {
+	if e.c.rng.Float64() < eventLoss {
 		return
 	}
 	e.c.after(eventLag, func() { e.onCache(sequence, prefix(j.doc), drop) })
--- a/internal/loadtest/entry_test.go
+++ b/internal/loadtest/entry_test.go
@@ -13,7 +13,7 @@
 	w        *simulation
 	queue    *admission.Queue
 	picker   *placement.Picker
-	waiting  map[string]*try
+	waiting  map[string]*request
 	attempts int
 	// inversions counts starts of a request while one of greater worth waited
 	// at any entry for longer than inversionSlack.
@@ -43,7 +43,7 @@
 const nothing = 1e-9
 
 func makeEntry(w *simulation, i int, v way) node {
-	e := &entry{w: w, waiting: make(map[string]*try), way: v}
+	e := &entry{w: w, waiting: make(map[string]*request), way: v}
 	p := admission.Policy{Classes: make(map[string]admission.ClassPolicy), Seed: uint64(i)}
 	for _, cl := range classes {
 		p.Classes[cl.name] = admission.ClassPolicy{Worth: cl.worth}
@@ -80,16 +80,16 @@
 	e.picker.CacheEvent(e.w.c.time(), id, sequence, add, drop)
 }
 
-func (e *entry) offer(t *try) {
+func (e *entry) offer(t *request) {
 	e.admit(t, t.id)
 	e.pump()
 }
 
-func (e *entry) admit(t *try, id string) {
+func (e *entry) admit(t *request, id string) {
 	r := admission.Request{
 		ID: id, Workspace: t.job.workspace, Class: t.job.class.name, Model: model,
 		IdempotencyKey: fmt.Sprint(t.job.id), Tokens: t.job.expected,
-		Arrived: e.w.c.time(), Deadline: epoch.Add(t.deadline), Resend: t.job.tries > 1,
+		Arrived: e.w.c.time(), Deadline: epoch.Add(t.deadline), Resend: t.job.requestCount > 1,
 	}
 	if e.way.noKeys {
 		r.IdempotencyKey = ""
@@ -148,7 +148,7 @@
 		return
 	}
 	e.attempts++
-	x := &call{id: fmt.Sprint(r.ID, "#", e.attempts), t: t, tokens: r.Tokens, worth: t.job.class.worth}
+	x := &attempt{id: fmt.Sprint(r.ID, "#", e.attempts), request: t, tokens: r.Tokens, worth: t.job.class.worth}
 	started := e.w.c.now
 	first := time.Duration(0)
 	e.picker.Started(now, x.id, choice.ID, r.Tokens)
@@ -165,35 +165,35 @@
 		e.queue.Done(e.w.c.time(), admission.Outcome{ID: r.ID, Answered: ok, Tokens: r.Tokens, Took: took})
 		e.ended(t, x, ok)
 	}
-	t.calls = append(t.calls, x)
+	t.attempts = append(t.attempts, x)
 	t.engine = choice.ID
 	e.w.engine(choice.ID).start(x)
 }
 
-func (e *entry) ended(t *try, x *call, ok bool) {
+func (e *entry) ended(t *request, x *attempt, ok bool) {
 	switch {
 	case ok:
 		e.w.callers.answer(t)
-	case !t.over && e.queue.AllowRetry(e.w.c.time(), t.job.workspace):
+	case !t.isOver && e.queue.AllowRetry(e.w.c.time(), t.job.workspace):
 		t.exclude = append(t.exclude, t.engine)
-		e.admit(t, fmt.Sprint(t.id, "r", len(t.calls)))
+		e.admit(t, fmt.Sprint(t.id, "r", len(t.attempts)))
 	default:
 		e.w.callers.refused(t, time.Second)
 	}
 	e.pump()
 }
 
-func (e *entry) cancel(t *try) {
+func (e *entry) cancel(t *request) {
 	now := e.w.c.time()
 	delete(e.waiting, t.queueID)
 	if e.queue.Cancel(t.queueID) {
 		return
 	}
-	if len(t.calls) == 0 {
+	if len(t.attempts) == 0 {
 		return
 	}
-	x := t.calls[len(t.calls)-1]
-	if x.ended {
+	x := t.attempts[len(t.attempts)-1]
+	if x.isEnded {
 		return
 	}
 	e.picker.Finished(now, x.id, placement.Result{Cancelled: true})
@@ -201,7 +201,7 @@
 	e.pump()
 }
 
-func (e *entry) countInversion(t *try) {
+func (e *entry) countInversion(t *request) {
 	e.starts++
 	for _, n := range e.w.nodes {
 		for _, other := range n.(*entry).waiting {
--- a/internal/loadtest/result_test.go
+++ b/internal/loadtest/result_test.go
@@ -33,7 +33,7 @@
 	classes [3]classResult
 	all     classResult
 	// refusals counts refused tries.
-	tries, refusals int
+	requests, refusals int
 	// spent is engine time on calls; wasted the part on calls whose caller got
 	// no answer in time from them.
 	spent, wasted time.Duration
@@ -53,7 +53,7 @@
 	end := w.s.duration()
 	r.counted += end - warmUp
 	for _, j := range w.callers.jobs {
-		if j.answered >= warmUp && j.answered <= end && j.inTime() {
+		if j.answered >= warmUp && j.answered <= end && j.isInTime() {
 			r.useful += j.cost
 		}
 		if j.issued < warmUp || j.issued > end-5*time.Second {
@@ -61,8 +61,8 @@
 		}
 		r.addJob(j)
 	}
-	for _, t := range w.callers.tries {
-		r.addCalls(t)
+	for _, t := range w.callers.requests {
+		r.addAttempts(t)
 	}
 	for _, e := range w.engines {
 		r.queued += e.queued
@@ -82,7 +82,7 @@
 		at := &c.seconds[int(j.issued/time.Second)]
 		c.jobs++
 		at.jobs++
-		if j.inTime() {
+		if j.isInTime() {
 			c.inTime++
 			at.inTime++
 		}
@@ -90,17 +90,17 @@
 			c.firstToken = append(c.firstToken, j.firstToken-j.issued)
 		}
 	}
-	r.tries += j.tries
-	r.refusals += j.refused
+	r.requests += j.requestCount
+	r.refusals += j.refusals
 }
 
-func (r *result) addCalls(t *try) {
-	for i, x := range t.calls {
+func (r *result) addAttempts(t *request) {
+	for i, x := range t.attempts {
 		r.spent += x.spent
 		r.asked += t.job.prompt
 		r.computed += x.computed
-		last := i == len(t.calls)-1
-		if !last || !t.job.inTime() || t.job.answered > t.deadline || !t.answered {
+		last := i == len(t.attempts)-1
+		if !last || !t.job.isInTime() || t.job.answered > t.deadline || !t.isAnswered {
 			r.wasted += x.spent
 		}
 	}
