--- a/internal/loadtest/entry_test.go
+++ b/internal/loadtest/entry_test.go
@@ -8,58 +8,58 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// entry carries out the decisions under test, as internal/entry does.
+// entry carries out the decisions of the tested admission and placement, as internal/entry does.
 type entry struct {
 	w        *simulation
 	queue    *admission.Queue
 	picker   *placement.Picker
 	waiting  map[string]*request
 	attempts int
-	// inversions counts starts of a request while one of greater worth waited
-	// at any entry for longer than inversionSlack.
+	// inversions counts the starts of a request while a request of greater worth has waited at
+	// any entry for longer than inversionSlack.
 	starts, inversions int
-	way                way
+	ablation           ablation
 }
 
-// way leaves a part of the policy out, to see what it is worth.
-type way struct {
+// ablation turns off parts of the policy, to measure their effect.
+type ablation struct {
 	noPrefix, noHints, noReserve, noFloor, oneWorth, noKeys, noDeadlines bool
 }
 
-// inversionSlack leaves out requests that are about to start anyway.
+// inversionSlack excludes requests that are about to start anyway.
 const inversionSlack = 50 * time.Millisecond
 
-// pumpEvery is the entry's timer for what no event announces: ramps, back-offs
-// and expired requests.
-const pumpEvery = 50 * time.Millisecond
+// pumpInterval is the interval of the entry's timer. The timer covers changes that no event
+// announces: ramps, back-offs and expired requests.
+const pumpInterval = 50 * time.Millisecond
 
-func newEntry(w *simulation, i int) node { return newEntryWith(way{noFloor: w.s.noFloor})(w, i) }
+func newEntry(w *simulation, i int) node { return newEntryWith(ablation{noFloor: w.s.noFloor})(w, i) }
 
-func newEntryWith(v way) func(w *simulation, i int) node {
+func newEntryWith(v ablation) func(w *simulation, i int) node {
 	return func(w *simulation, i int) node { return makeEntry(w, i, v) }
 }
 
-// nothing is a share too small to have an effect; zero would be the default.
-const nothing = 1e-9
+// negligibleShare is a share too small to have an effect; zero would mean the default.
+const negligibleShare = 1e-9
 
-func makeEntry(w *simulation, i int, v way) node {
-	e := &entry{w: w, waiting: make(map[string]*request), way: v}
+func makeEntry(w *simulation, i int, v ablation) node {
+	e := &entry{w: w, waiting: make(map[string]*request), ablation: v}
 	p := admission.Policy{Classes: make(map[string]admission.ClassPolicy), Seed: uint64(i)}
 	for _, cl := range classes {
 		p.Classes[cl.name] = admission.ClassPolicy{Worth: cl.worth}
 	}
 	if v.noFloor {
-		p.FloorShare = nothing
+		p.FloorShare = negligibleShare
 	}
 	if v.noReserve {
-		p.Reserve = nothing
+		p.Reserve = negligibleShare
 	}
 	if v.oneWorth {
 		p.Classes = nil
 	}
 	e.queue = admission.New(p)
 	e.picker = placement.New(placement.Options{Seed: uint64(i) + 1, DataCentre: "dc"})
-	w.c.every(pumpEvery, e.pump)
+	w.c.every(pumpInterval, e.pump)
 	return e
 }
 
@@ -74,7 +74,7 @@
 }
 
 func (e *entry) cacheEvent(id string, sequence uint64, add, drop []uint64) {
-	if e.way.noHints {
+	if e.ablation.noHints {
 		return
 	}
 	e.picker.CacheEvent(e.w.c.time(), id, sequence, add, drop)
@@ -91,10 +91,10 @@
 		IdempotencyKey: fmt.Sprint(t.job.id), Tokens: t.job.expected,
 		Arrived: e.w.c.time(), Deadline: epoch.Add(t.deadline), Resend: t.job.requestCount > 1,
 	}
-	if e.way.noKeys {
+	if e.ablation.noKeys {
 		r.IdempotencyKey = ""
 	}
-	if e.way.noDeadlines {
+	if e.ablation.noDeadlines {
 		r.Deadline = time.Time{}
 	}
 	e.waiting[id] = t
@@ -134,14 +134,14 @@
 	t := e.waiting[r.ID]
 	delete(e.waiting, r.ID)
 	e.countInversion(t)
-	request := placement.Request{
+	placementRequest := placement.Request{
 		ID: r.ID, Model: r.Model, Prefix: prefix(t.job.doc), Tokens: r.Tokens,
 		Reserve: r.Reserve, Exclude: t.exclude,
 	}
-	if e.way.noPrefix {
-		request.Prefix = nil
+	if e.ablation.noPrefix {
+		placementRequest.Prefix = nil
 	}
-	choice, ok := e.picker.Pick(now, request)
+	choice, ok := e.picker.Pick(now, placementRequest)
 	if !ok {
 		e.queue.Done(now, admission.Outcome{ID: r.ID})
 		e.w.callers.refused(t, time.Second)
@@ -160,9 +160,9 @@
 		e.w.callers.token(t)
 	}
 	x.onEnd = func(ok bool) {
-		took := e.w.c.now - started
-		e.picker.Finished(e.w.c.time(), x.id, placement.Result{OK: ok, FirstToken: first, Took: took, Tokens: x.produced})
-		e.queue.Done(e.w.c.time(), admission.Outcome{ID: r.ID, Answered: ok, Tokens: r.Tokens, Took: took})
+		elapsed := e.w.c.now - started
+		e.picker.Finished(e.w.c.time(), x.id, placement.Result{OK: ok, FirstToken: first, Took: elapsed, Tokens: x.produced})
+		e.queue.Done(e.w.c.time(), admission.Outcome{ID: r.ID, Answered: ok, Tokens: r.Tokens, Took: elapsed})
 		e.ended(t, x, ok)
 	}
 	t.attempts = append(t.attempts, x)
--- a/internal/loadtest/outcome_test.go
+++ b/internal/loadtest/outcome_test.go
@@ -21,7 +21,7 @@
 		if s.name == name {
 			_, rate := capacity(s.mix)
 			s.seconds = 60
-			return play(s, policies[0], seeds, rate), play(s, policies[2], seeds, rate)
+			return runSeeds(s, policies[0], seeds, rate), runSeeds(s, policies[2], seeds, rate)
 		}
 	}
 	t.Fatalf("no situation %q", name)
