--- a/internal/loadtest/load_test.go
+++ b/internal/loadtest/load_test.go
@@ -55,7 +55,7 @@
 func row(out *tabwriter.Writer, s *scenario, p policy, r *result) {
 	possible, _ := capacity(r.served())
 	fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.2f\t%s\t%s\t%.1f\t%s\n", s.name, p.name,
-		percent(r.all.part()), percent(r.classes[0].part()), percent(r.classes[1].part()), percent(r.classes[2].part()),
+		percent(r.all.inTimeFraction()), percent(r.classes[0].inTimeFraction()), percent(r.classes[1].inTimeFraction()), percent(r.classes[2].inTimeFraction()),
 		seconds(r.all.quantile(0.5)), seconds(r.all.quantile(0.95)), seconds(r.all.quantile(0.99)),
 		seconds(r.classes[0].quantile(0.5)), seconds(r.classes[0].quantile(0.95)), seconds(r.classes[0].quantile(0.99)),
 		float64(r.refusals)/float64(max(1, r.all.jobs)), percent(r.wasted.Seconds()/max(0.001, r.spent.Seconds())),
@@ -97,7 +97,7 @@
 			possible, _ := capacity(r.served())
 			l := &r.classes[0]
 			fmt.Fprintf(out, "%d\tlookups %.0f%%\t%s\t%s\t%s\t%s\t%s\t%s\n", entries, 100*mix[0],
-				percent(float64(r.inversions)/float64(r.starts)), percent(l.part()),
+				percent(float64(r.inversions)/float64(r.starts)), percent(l.inTimeFraction()),
 				seconds(l.quantile(0.5)), seconds(l.quantile(0.95)), seconds(l.quantile(0.99)),
 				percent(r.useful.Seconds()/r.counted.Seconds()/possible))
 		}
@@ -132,10 +132,10 @@
 		for _, p := range ablations {
 			r := runSeeds(s, p, *seeds, jobs)
 			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.2f\t%s\t%s\n", s.name, p.name,
-				percent(r.all.part()), percent(r.classes[0].part()), percent(r.classes[1].part()), percent(r.classes[2].part()),
+				percent(r.all.inTimeFraction()), percent(r.classes[0].inTimeFraction()), percent(r.classes[1].inTimeFraction()), percent(r.classes[2].inTimeFraction()),
 				seconds(r.all.quantile(0.5)), seconds(r.all.quantile(0.95)), seconds(r.all.quantile(0.99)),
 				float64(r.refusals)/float64(max(1, r.all.jobs)), percent(r.wasted.Seconds()/max(0.001, r.spent.Seconds())),
-				percent(float64(r.computed)/float64(max(1, r.asked))))
+				percent(float64(r.computed)/float64(max(1, r.promptTokens))))
 		}
 	}
 }
--- a/internal/loadtest/result_test.go
+++ b/internal/loadtest/result_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// classResult is what the callers of one class saw.
+// classResult holds the results of the callers of one class.
 type classResult struct {
 	jobs, inTime int
 	firstToken   []time.Duration
 	seconds      [maxSeconds]second
 }
 
-func (r *classResult) part() float64 {
+func (r *classResult) inTimeFraction() float64 {
 	if r.jobs == 0 {
 		return 1
 	}
 	return float64(r.inTime) / float64(r.jobs)
 }
 
-// quantile returns the time to first token of the answered jobs.
+// quantile returns a quantile of the time to first token of the answered jobs.
 func (r *classResult) quantile(q float64) time.Duration {
 	if len(r.firstToken) == 0 {
 		return 0
@@ -28,25 +28,25 @@
 	return r.firstToken[int(q*float64(len(r.firstToken)-1))]
 }
 
-// result sums up runs of one policy in one situation.
+// result sums up the runs of one policy in one scenario.
 type result struct {
 	classes [3]classResult
 	all     classResult
-	// refusals counts refused tries.
+	// refusals counts refused requests.
 	requests, refusals int
-	// spent is engine time on calls; wasted the part on calls whose caller got
-	// no answer in time from them.
+	// spent is the engine time of all attempts. wasted is the part of the attempts whose caller
+	// got no answer in time from them.
 	spent, wasted time.Duration
-	// useful is the engine time that the answers in time cost at full batches,
-	// counted when given.
+	// useful is the engine time that the answers in time cost at full batches. An answer is
+	// counted when it is given. counted is the time over which answers are counted.
 	useful             time.Duration
 	counted            time.Duration
 	starts, inversions int
-	// queued is the sum of the engines' own queues over reports.
+	// queued is the sum of the lengths of the engines' own queues at all reports.
 	queued, reports int
-	// asked and computed are the prompt tokens of all calls, and those that
-	// weren't found in a prefix cache.
-	asked, computed int
+	// promptTokens counts the prompt tokens of all attempts; computed counts those that were not
+	// found in a prefix cache.
+	promptTokens, computed int
 }
 
 func (r *result) add(w *simulation) {
@@ -97,7 +97,7 @@
 func (r *result) addAttempts(t *request) {
 	for i, x := range t.attempts {
 		r.spent += x.spent
-		r.asked += t.job.prompt
+		r.promptTokens += t.job.prompt
 		r.computed += x.computed
 		last := i == len(t.attempts)-1
 		if !last || !t.job.isInTime() || t.job.answered > t.deadline || !t.isAnswered {
@@ -112,8 +112,8 @@
 // second counts the jobs issued in one second of all runs.
 type second struct{ jobs, inTime int }
 
-// recovery returns how long after an outage the last second began in which
-// under 95% of the callers who came with a new job of c were answered in time.
+// recovery returns how long after the end of an outage callers were still affected: until the end
+// of the last second in which fewer than 95% of the new jobs of r were answered in time.
 func (r *classResult) recovery(end time.Duration) time.Duration {
 	const least = 0.95
 	from := faultAt + outage
@@ -126,8 +126,8 @@
 	return last - from
 }
 
-// served returns the mix of the jobs that were answered in time. A policy that
-// prefers cheap jobs is held against the capacity for just these.
+// served returns the mix of the jobs that were answered in time. A policy that prefers cheap jobs
+// is compared with the capacity for this mix.
 func (r *result) served() [3]float64 {
 	var mix [3]float64
 	for i, c := range r.classes {
@@ -136,28 +136,28 @@
 	return mix
 }
 
-// overload is a rate of jobs a second above the capacity for any mix: lookups
-// alone take ten groups some 250 a second.
+// overload is a rate of jobs a second above the capacity for any mix. Ten groups can serve about
+// 250 lookups a second if there are no other jobs.
 const overload = 400
 
-// capacities keeps the results of capacity by mix.
+// capacities caches the results of capacity by mix.
 var capacities = make(map[[3]float64][2]float64)
 
-// capacity measures the work that the engines do when they never idle, and the
-// jobs a second that this is: least outstanding, no deadline, an endless queue.
+// capacity measures the engine time a second and the jobs a second that the engines complete when
+// they are never idle. It runs least outstanding without deadlines and with unbounded queues.
 func capacity(mix [3]float64) (costPerSecond, jobsPerSecond float64) {
-	if known, ok := capacities[mix]; ok {
-		return known[0], known[1]
+	if cached, ok := capacities[mix]; ok {
+		return cached[0], cached[1]
 	}
 	defer func() { capacities[mix] = [2]float64{costPerSecond, jobsPerSecond} }()
-	patient := make([]*class, len(classes))
+	unlimited := make([]*class, len(classes))
 	for i, cl := range classes {
 		c := *cl
 		c.deadline = time.Hour
-		patient[i] = &c
+		unlimited[i] = &c
 	}
 	saved := classes
-	classes = patient
+	classes = unlimited
 	defer func() { classes = saved }()
 	s := &scenario{mix: mix, large: 0.4, load: steady(1)}
 	w := run(s, policies[2], 1, overload)
