--- a/test/workload/faults.go
+++ b/test/workload/faults.go
@@ -13,48 +13,49 @@
 )
 
 const (
-	// pauseBetween is the longest time between two faults.
-	pauseBetween = 1500 * time.Millisecond
-	// faultTime is the longest time that a passing fault lasts.
-	faultTime = 2500 * time.Millisecond
-	// stopTime bounds a graceful stop.
-	stopTime = 60 * time.Second
+	// maxFaultPause is the longest time between two faults.
+	maxFaultPause = 1500 * time.Millisecond
+	// maxFaultDuration is the longest time that a temporary fault lasts.
+	maxFaultDuration = 2500 * time.Millisecond
+	// stopTimeout bounds a graceful stop.
+	stopTimeout = 60 * time.Second
 )
 
-// faulter makes faults and planned stops on processes of its own, one after the
-// other in seeded order; some go on while the next ones happen.
-type faulter struct {
-	t       harness.T
-	cluster *harness.Cluster
-	nodes   []*harness.Node
-	engines []*harness.Standin
-	service []*harness.Standin
-	random  *rand.Rand
-	// alone is held for writing by a fault that no other may meet.
-	alone *sync.RWMutex
-	name  string
-	// drained is the VM that is drained, or empty.
+// faultInjector injects faults and planned stops into its own part of the processes, one after
+// the other in seeded order. Some faults last while the next ones happen.
+type faultInjector struct {
+	t        harness.T
+	cluster  *harness.Cluster
+	nodes    []*harness.Node
+	engines  []*harness.Standin
+	services []*harness.Standin
+	random   *rand.Rand
+	// exclusive is held for writing by a fault that must not overlap with any other.
+	exclusive *sync.RWMutex
+	name      string
+	// drained is the VM that is currently drained, or empty.
 	drained string
 	changes int
-	Log     []string
+	// Log holds the names of the injected faults in order.
+	Log []string
 }
 
-// newFaulters divides the processes among the faulters.
-func newFaulters(t harness.T, c *harness.Cluster, engines, services []*harness.Standin, o Options) []*faulter {
-	alone := &sync.RWMutex{}
-	all := make([]*faulter, o.Overlap)
+// newFaultInjectors divides the processes among the injectors.
+func newFaultInjectors(t harness.T, c *harness.Cluster, engines, services []*harness.Standin, o Options) []*faultInjector {
+	exclusive := &sync.RWMutex{}
+	all := make([]*faultInjector, o.Overlap)
 	for i := range all {
-		all[i] = &faulter{
-			t: t, cluster: c, random: rand.New(rand.NewPCG(o.Seed, uint64(i))), alone: alone, name: strconv.Itoa(i),
-			nodes: share(c.Nodes, i, o.Overlap), engines: share(engines, i, o.Overlap), service: share(services, i, o.Overlap),
+		all[i] = &faultInjector{
+			t: t, cluster: c, random: rand.New(rand.NewPCG(o.Seed, uint64(i))), exclusive: exclusive, name: strconv.Itoa(i),
+			nodes: everyNth(c.Nodes, i, o.Overlap), engines: everyNth(engines, i, o.Overlap), services: everyNth(services, i, o.Overlap),
 		}
 	}
 	return all
 }
 
-// share returns every n-th of all from the i-th on, or the last if there are too
-// few.
-func share[V any](all []V, i, n int) []V {
+// everyNth returns every n-th element of all from the i-th on, or the last element if there are
+// too few.
+func everyNth[V any](all []V, i, n int) []V {
 	var out []V
 	for j := i; j < len(all); j += n {
 		out = append(out, all[j])
@@ -65,39 +66,38 @@
 	return out
 }
 
-// fault is one kind of fault. It returns when the system has its processes
-// again.
+// fault is one kind of fault. Its function returns when all processes of the system run again.
 type fault struct {
-	name string
-	do   func(context.Context, *faulter)
+	name   string
+	inject func(context.Context, *faultInjector)
 }
 
-// diskLost is the one fault that no other may meet: the system bears the loss of
-// one disk of three at a time.
+// diskLost is the one fault that must not overlap with any other: the system can sustain the loss
+// of one disk of three at a time.
 const diskLost = "lost disk of a control VM"
 
 var faults = []fault{
 	{"bad answers of an engine", badAnswers},
 	{"bad answers of an engine", badAnswers},
 	{"bad answers of a service", badServiceAnswers},
-	{"crash of an engine", func(_ context.Context, f *faulter) { f.engine().Fault(standin.FaultOrder{Crash: true}) }},
-	{"kill of an engine", func(ctx context.Context, f *faulter) { f.killAndReturn(ctx, f.engine().Process) }},
-	{"kill of a service", func(ctx context.Context, f *faulter) { f.killAndReturn(ctx, f.instance().Process) }},
-	{"pause of an engine", func(ctx context.Context, f *faulter) { f.pause(ctx, f.engine().Process) }},
-	{"pause of an entry", func(ctx context.Context, f *faulter) { f.pause(ctx, f.node().Process) }},
-	{"kill of an entry", func(ctx context.Context, f *faulter) { f.killAndReturn(ctx, f.node().Process) }},
-	{"kill of an entry", func(ctx context.Context, f *faulter) { f.killAndReturn(ctx, f.node().Process) }},
+	{"crash of an engine", func(_ context.Context, f *faultInjector) { f.engine().Fault(standin.FaultOrder{Crash: true}) }},
+	{"kill of an engine", func(ctx context.Context, f *faultInjector) { f.killAndRestart(ctx, f.engine().Process) }},
+	{"kill of a service", func(ctx context.Context, f *faultInjector) { f.killAndRestart(ctx, f.instance().Process) }},
+	{"pause of an engine", func(ctx context.Context, f *faultInjector) { f.pause(ctx, f.engine().Process) }},
+	{"pause of an entry", func(ctx context.Context, f *faultInjector) { f.pause(ctx, f.node().Process) }},
+	{"kill of an entry", func(ctx context.Context, f *faultInjector) { f.killAndRestart(ctx, f.node().Process) }},
+	{"kill of an entry", func(ctx context.Context, f *faultInjector) { f.killAndRestart(ctx, f.node().Process) }},
 	{"stop of an entry", stopEntry},
-	{"silent engine connections", func(_ context.Context, f *faulter) { f.engine().Link.Silence() }},
-	{"silent service connections", func(_ context.Context, f *faulter) { f.instance().Link.Silence() }},
-	{"silent peer connections", func(_ context.Context, f *faulter) { f.node().Peers.Silence() }},
-	{"reset of engine connections", func(_ context.Context, f *faulter) { f.engine().Link.Reset() }},
-	{"cut of an engine", func(ctx context.Context, f *faulter) { f.cut(ctx, f.engine().Link) }},
-	{"one-way cut of an engine", func(ctx context.Context, f *faulter) { f.cutOneWay(ctx, f.engine().Link) }},
-	{"cut of a node", func(ctx context.Context, f *faulter) { f.cut(ctx, f.node().Peers) }},
-	{"delay of an engine", func(ctx context.Context, f *faulter) { f.delay(ctx, f.engine().Link) }},
-	{"delay of a node", func(ctx context.Context, f *faulter) { f.delay(ctx, f.node().Peers) }},
-	{"reload of a node", func(_ context.Context, f *faulter) { f.node().Reload() }},
+	{"silent engine connections", func(_ context.Context, f *faultInjector) { f.engine().Link.Silence() }},
+	{"silent service connections", func(_ context.Context, f *faultInjector) { f.instance().Link.Silence() }},
+	{"silent peer connections", func(_ context.Context, f *faultInjector) { f.node().Peers.Silence() }},
+	{"reset of engine connections", func(_ context.Context, f *faultInjector) { f.engine().Link.Reset() }},
+	{"cut of an engine", func(ctx context.Context, f *faultInjector) { f.cut(ctx, f.engine().Link) }},
+	{"one-way cut of an engine", func(ctx context.Context, f *faultInjector) { f.cutOneWay(ctx, f.engine().Link) }},
+	{"cut of a node", func(ctx context.Context, f *faultInjector) { f.cut(ctx, f.node().Peers) }},
+	{"delay of an engine", func(ctx context.Context, f *faultInjector) { f.delay(ctx, f.engine().Link) }},
+	{"delay of a node", func(ctx context.Context, f *faultInjector) { f.delay(ctx, f.node().Peers) }},
+	{"reload of a node", func(_ context.Context, f *faultInjector) { f.node().Reload() }},
 	{"restart of nodes in turn", restartInTurn},
 	{"change of a preset", changePreset},
 	{diskLost, loseDisk},
@@ -108,32 +108,32 @@
 	{"leaving engine", leave},
 }
 
-func (f *faulter) run(ctx context.Context) {
+func (f *faultInjector) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait(ctx, time.Duration(f.random.Int64N(int64(pauseBetween))))
+		wait(ctx, time.Duration(f.random.Int64N(int64(maxFaultPause))))
 		if ctx.Err() != nil {
 			return
 		}
-		one := faults[f.random.IntN(len(faults))]
-		f.Log = append(f.Log, one.name)
-		f.doOne(ctx, one)
+		next := faults[f.random.IntN(len(faults))]
+		f.Log = append(f.Log, next.name)
+		f.inject(ctx, next)
 	}
 }
 
-func (f *faulter) doOne(ctx context.Context, one fault) {
+func (f *faultInjector) inject(ctx context.Context, one fault) {
 	if one.name == diskLost {
-		f.alone.Lock()
-		defer f.alone.Unlock()
+		f.exclusive.Lock()
+		defer f.exclusive.Unlock()
 	} else {
-		f.alone.RLock()
-		defer f.alone.RUnlock()
+		f.exclusive.RLock()
+		defer f.exclusive.RUnlock()
 	}
-	one.do(ctx, f)
+	one.inject(ctx, f)
 }
 
-// heal ends all faults.
-func (f *faulter) heal() {
-	for _, s := range append(append([]*harness.Standin(nil), f.engines...), f.service...) {
+// heal ends the lasting faults and the drain that the injector has begun.
+func (f *faultInjector) heal() {
+	for _, s := range append(append([]*harness.Standin(nil), f.engines...), f.services...) {
 		s.Link.Heal()
 		s.Link.Delay(0)
 		leaving := false
@@ -149,68 +149,70 @@
 	}
 }
 
-func (f *faulter) engine() *harness.Standin   { return f.engines[f.random.IntN(len(f.engines))] }
-func (f *faulter) instance() *harness.Standin { return f.service[f.random.IntN(len(f.service))] }
-func (f *faulter) node() *harness.Node        { return f.nodes[f.random.IntN(len(f.nodes))] }
+func (f *faultInjector) engine() *harness.Standin { return f.engines[f.random.IntN(len(f.engines))] }
+func (f *faultInjector) instance() *harness.Standin {
+	return f.services[f.random.IntN(len(f.services))]
+}
+func (f *faultInjector) node() *harness.Node { return f.nodes[f.random.IntN(len(f.nodes))] }
 
-func (f *faulter) lasting() time.Duration { return time.Duration(f.random.Int64N(int64(faultTime))) }
+func (f *faultInjector) randomDuration() time.Duration {
+	return time.Duration(f.random.Int64N(int64(maxFaultDuration)))
+}
 
-func (f *faulter) killAndReturn(ctx context.Context, p *harness.Process) {
+func (f *faultInjector) killAndRestart(ctx context.Context, p *harness.Process) {
 	p.Kill()
-	wait(ctx, f.lasting())
+	wait(ctx, f.randomDuration())
 	p.Start()
 }
 
-func killTogether(ctx context.Context, f *faulter) {
+func killTogether(ctx context.Context, f *faultInjector) {
 	n, e := f.node(), f.engine()
 	n.Kill()
 	e.Kill()
-	wait(ctx, f.lasting())
+	wait(ctx, f.randomDuration())
 	n.Start()
 	e.Start()
 }
 
-// killInARow kills a second engine right after the first is back, in the
-// middle of the repair.
-func killInARow(ctx context.Context, f *faulter) {
-	f.killAndReturn(ctx, f.engine().Process)
-	f.killAndReturn(ctx, f.engine().Process)
+// killInARow kills a second engine right after the first is back, during the repair.
+func killInARow(ctx context.Context, f *faultInjector) {
+	f.killAndRestart(ctx, f.engine().Process)
+	f.killAndRestart(ctx, f.engine().Process)
 }
 
-func (f *faulter) pause(ctx context.Context, p *harness.Process) {
+func (f *faultInjector) pause(ctx context.Context, p *harness.Process) {
 	p.Pause()
-	wait(ctx, f.lasting())
+	wait(ctx, f.randomDuration())
 	p.Resume()
 }
 
-// longestDelay is over the timeouts of calls between processes.
-const longestDelay = 900 * time.Millisecond
+// maxLinkDelay is longer than the timeouts of calls between processes.
+const maxLinkDelay = 900 * time.Millisecond
 
-func (f *faulter) delay(ctx context.Context, l *harness.Link) {
-	l.Delay(time.Duration(f.random.Int64N(int64(longestDelay))))
-	wait(ctx, f.lasting())
+func (f *faultInjector) delay(ctx context.Context, l *harness.Link) {
+	l.Delay(time.Duration(f.random.Int64N(int64(maxLinkDelay))))
+	wait(ctx, f.randomDuration())
 	l.Delay(0)
 }
 
-func restartInTurn(_ context.Context, f *faulter) {
+func restartInTurn(_ context.Context, f *faultInjector) {
 	for _, n := range f.nodes {
 		f.stop(n)
 	}
 }
 
-func changePreset(_ context.Context, f *faulter) {
+func changePreset(_ context.Context, f *faultInjector) {
 	f.change(blackboard.ConfigChange{Presets: []blackboard.Preset{{
 		Name: "soak-" + f.name, ClassWorth: map[string]int{"batch": f.random.IntN(50)},
 	}}})
 }
 
-// voterTime bounds the wait until a control VM whose disk was lost votes again.
-const voterTime = 60 * time.Second
+// voterTimeout bounds the wait until a control VM whose disk was lost votes again.
+const voterTimeout = 60 * time.Second
 
-// loseDisk lets a control VM come back with an empty disk, and waits until it votes
-// under its new identity: the loss of a second disk before is more than three
-// voters bear.
-func loseDisk(_ context.Context, f *faulter) {
+// loseDisk restarts a control VM with an empty disk, and waits until it votes under its new
+// identity. The loss of a second disk before that is more than three voters can sustain.
+func loseDisk(_ context.Context, f *faultInjector) {
 	for _, n := range f.nodes {
 		if !n.Spec.Control {
 			continue
@@ -227,8 +229,8 @@
 	}
 }
 
-// voter returns the identity under which a node votes, if it does.
-func (f *faulter) voter(n *harness.Node) (id string, ok bool) {
+// voter returns the identity under which a node votes, and whether it votes.
+func (f *faultInjector) voter(n *harness.Node) (id string, ok bool) {
 	status, err := f.cluster.Status()
 	if err != nil {
 		return "", false
@@ -241,34 +243,34 @@
 	return "", false
 }
 
-func (f *faulter) awaitVoter(n *harness.Node, before string) {
-	for end := time.Now().Add(voterTime); time.Now().Before(end); time.Sleep(pauseBetween / 10) {
+func (f *faultInjector) awaitVoter(n *harness.Node, before string) {
+	for end := time.Now().Add(voterTimeout); time.Now().Before(end); time.Sleep(maxFaultPause / 10) {
 		if id, ok := f.voter(n); ok && id != before {
 			return
 		}
 	}
-	f.t.Errorf("%s, whose disk was lost, does not vote again within %s", n.Spec.Name, voterTime)
+	f.t.Errorf("%s does not vote again within %s after the loss of its disk", n.Spec.Name, voterTimeout)
 }
 
-func stopEntry(_ context.Context, f *faulter) { f.stop(f.node()) }
+func stopEntry(_ context.Context, f *faultInjector) { f.stop(f.node()) }
 
-func (f *faulter) stop(n *harness.Node) {
+func (f *faultInjector) stop(n *harness.Node) {
 	n.Terminate()
-	if status := n.Wait(stopTime); status != 0 {
-		f.t.Errorf("graceful stop of %s ended with status %d", n.Spec.Name, status)
+	if status := n.Wait(stopTimeout); status != 0 {
+		f.t.Errorf("graceful stop of %s: exit status %d, want 0", n.Spec.Name, status)
 	}
 	n.Start()
 }
 
-func (f *faulter) cut(ctx context.Context, l *harness.Link) {
+func (f *faultInjector) cut(ctx context.Context, l *harness.Link) {
 	l.Cut()
-	wait(ctx, f.lasting())
+	wait(ctx, f.randomDuration())
 	l.Heal()
 }
 
-func (f *faulter) cutOneWay(ctx context.Context, l *harness.Link) {
+func (f *faultInjector) cutOneWay(ctx context.Context, l *harness.Link) {
 	l.CutOneWay(harness.Direction(f.random.IntN(2)))
-	wait(ctx, f.lasting())
+	wait(ctx, f.randomDuration())
 	l.Heal()
 }
 
@@ -277,7 +279,7 @@
 	standin.StreamMalformed, standin.StreamOverlong, standin.StreamStalled, standin.StreamLate,
 }
 
-func badAnswers(_ context.Context, f *faulter) {
+func badAnswers(_ context.Context, f *faultInjector) {
 	kind := answerFaults[f.random.IntN(len(answerFaults))]
 	f.engine().Fault(standin.FaultOrder{Faults: standin.Faults{
 		Stream: standin.StreamFaults{
@@ -287,27 +289,27 @@
 	}})
 }
 
-func badServiceAnswers(_ context.Context, f *faulter) {
+func badServiceAnswers(_ context.Context, f *faultInjector) {
 	kinds := []standin.StreamFault{standin.StreamCut, standin.StreamStalled, standin.StreamLate}
 	f.instance().Fault(standin.FaultOrder{Faults: standin.Faults{Stream: standin.StreamFaults{
 		Kind: kinds[f.random.IntN(len(kinds))], After: f.random.IntN(20), Answers: 1 + f.random.IntN(3), DelayMillis: 500,
 	}}})
 }
 
-func slowEngine(_ context.Context, f *faulter) {
+func slowEngine(_ context.Context, f *faultInjector) {
 	f.engine().Fault(standin.FaultOrder{Faults: standin.Faults{SlowFactor: 5}})
 }
 
-func leave(ctx context.Context, f *faulter) {
+func leave(ctx context.Context, f *faultInjector) {
 	e := f.engine()
 	leaving, staying := true, false
 	e.Fault(standin.FaultOrder{Leaving: &leaving})
-	wait(ctx, f.lasting())
+	wait(ctx, f.randomDuration())
 	e.Fault(standin.FaultOrder{Leaving: &staying})
 }
 
-// drain drains a VM, or gives the drained one back.
-func drain(_ context.Context, f *faulter) {
+// drain drains a VM, or ends the drain if one is drained already.
+func drain(_ context.Context, f *faultInjector) {
 	if f.drained != "" {
 		f.change(blackboard.ConfigChange{UndrainVMs: []string{f.drained}})
 		f.drained = ""
@@ -317,7 +319,7 @@
 	f.change(blackboard.ConfigChange{DrainVMs: []string{f.drained}})
 }
 
-func (f *faulter) change(c blackboard.ConfigChange) {
+func (f *faultInjector) change(c blackboard.ConfigChange) {
 	f.changes++
 	c.ChangeID = "random-" + f.name + "-" + strconv.Itoa(f.changes)
 	f.cluster.Change(c)
--- a/test/workload/run.go
+++ b/test/workload/run.go
@@ -75,15 +75,15 @@
 	c.AwaitGroups(model, o.Groups)
 	c.AwaitReady()
 
-	faulters := newFaulters(t, c, engines, services, o)
+	injectors := newFaultInjectors(t, c, engines, services, o)
 	callers := &callers{cluster: c, seed: o.Seed, count: o.Callers}
 	var limits *limiter
 	if o.RateLimits {
 		limits = newLimiter(o.Seed, append(append([]*harness.Standin(nil), engines...), services...))
 	}
-	drive(faulters, limits, callers, o.Duration)
+	drive(injectors, limits, callers, o.Duration)
 	runs := c.Runs()
-	report := summarise(callers.works, runs, faulters)
+	report := summarise(callers.works, runs, injectors)
 	for _, n := range c.Nodes {
 		report.RateLimits += strings.Count(n.Log(), "event=rate_limit_named")
 	}
@@ -93,7 +93,7 @@
 
 // drive lets callers and faults go on for the duration, heals, and waits for
 // the callers to settle what they have begun.
-func drive(faulters []*faulter, limits *limiter, callers *callers, duration time.Duration) {
+func drive(injectors []*faultInjector, limits *limiter, callers *callers, duration time.Duration) {
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -105,14 +105,14 @@
 	faultsCtx, endFaults := context.WithTimeout(ctx, duration)
 	defer endFaults()
 	var all sync.WaitGroup
-	for _, f := range faulters {
+	for _, f := range injectors {
 		all.Go(func() { f.run(faultsCtx) })
 	}
 	if limits != nil {
 		all.Go(func() { limits.run(faultsCtx) })
 	}
 	all.Wait()
-	for _, f := range faulters {
+	for _, f := range injectors {
 		f.heal()
 	}
 	close(stop)
@@ -132,9 +132,9 @@
 	return s
 }
 
-func summarise(works []*Work, runs []standin.Run, faulters []*faulter) Report {
+func summarise(works []*Work, runs []standin.Run, injectors []*faultInjector) Report {
 	r := Report{Works: len(works), Runs: len(runs)}
-	for _, f := range faulters {
+	for _, f := range injectors {
 		r.Faults = append(r.Faults, f.Log...)
 	}
 	for _, w := range works {
