--- a/test/workload/run.go
+++ b/test/workload/run.go
@@ -77,9 +77,9 @@
 
 	injectors := newFaultInjectors(t, c, engines, services, o)
 	callers := &callers{cluster: c, seed: o.Seed, count: o.Callers}
-	var limits *limiter
+	var limits *rateLimitInjector
 	if o.RateLimits {
-		limits = newLimiter(o.Seed, append(append([]*harness.Standin(nil), engines...), services...))
+		limits = newRateLimitInjector(o.Seed, append(append([]*harness.Standin(nil), engines...), services...))
 	}
 	drive(injectors, limits, callers, o.Duration)
 	runs := c.Runs()
@@ -93,7 +93,7 @@
 
 // drive lets callers and faults go on for the duration, heals, and waits for
 // the callers to settle what they have begun.
-func drive(injectors []*faultInjector, limits *limiter, callers *callers, duration time.Duration) {
+func drive(injectors []*faultInjector, limits *rateLimitInjector, callers *callers, duration time.Duration) {
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
