--- a/test/workload/callers.go
+++ b/test/workload/callers.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// sendTimeoutMillis is the deadline of each send. It is short, so that
-	// resends overtake requests that still run.
+	// sendTimeoutMillis is the timeout of each send. It is short, so that resends overlap with
+	// requests that still run.
 	sendTimeoutMillis = 4000
-	// resendPause spreads a caller's resends.
+	// resendPause is the time between two sends of a work.
 	resendPause = 100 * time.Millisecond
-	// settleTime is how long callers go on after the last fault, until each
-	// work is settled: longer than a claim outlives its entry.
-	settleTime = 60 * time.Second
+	// settleTimeout is how long callers continue after the last fault to settle all works. It is
+	// longer than a claim outlives its entry.
+	settleTimeout = 60 * time.Second
 )
 
-// callers are the programs that call the system.
+// callers simulates the programs that call the system.
 type callers struct {
 	cluster *harness.Cluster
 	seed    uint64
@@ -30,8 +30,8 @@
 	works []*Work
 }
 
-// run draws works and brings each to its end. New works are begun until stop
-// is closed, resends go on until ctx ends.
+// run draws works and sends each until it is settled. New works begin until stop is closed;
+// resends continue until ctx ends.
 func (c *callers) run(ctx context.Context, stop <-chan struct{}) {
 	var wg sync.WaitGroup
 	for caller := range c.count {
@@ -39,17 +39,17 @@
 		go func() {
 			defer wg.Done()
 			r := rand.New(rand.NewPCG(c.seed, uint64(caller)))
-			for number := 0; !closed(stop) && ctx.Err() == nil; number++ {
-				c.finish(ctx, r, newWork(r, caller, number))
+			for number := 0; !isClosed(stop) && ctx.Err() == nil; number++ {
+				c.sendUntilSettled(ctx, r, newWork(r, caller, number))
 			}
 		}()
 	}
 	wg.Wait()
 }
 
-// finish sends a work until it is settled. Now and then it is sent to two
-// entries at once, as a caller does whose balancer timed out.
-func (c *callers) finish(ctx context.Context, r *rand.Rand, w *Work) {
+// sendUntilSettled sends a work until it is settled. Some sends go to two entries at once, like
+// those of a caller whose balancer timed out.
+func (c *callers) sendUntilSettled(ctx context.Context, r *rand.Rand, w *Work) {
 	c.mu.Lock()
 	c.works = append(c.works, w)
 	c.mu.Unlock()
@@ -65,8 +65,9 @@
 	}
 }
 
-// sendCopies sends a work to so many entries at once.
-func (c *callers) sendCopies(ctx context.Context, r *rand.Rand, w *Work, copies int) (done bool) {
+// sendCopies sends a work to as many entries at once as there are copies. It reports whether a
+// reply settles the work.
+func (c *callers) sendCopies(ctx context.Context, r *rand.Rand, w *Work, copies int) (settled bool) {
 	entries := c.cluster.Entries()
 	first := r.IntN(len(entries))
 	sends := make([]Send, copies)
@@ -83,15 +84,15 @@
 	defer c.mu.Unlock()
 	w.Sends = append(w.Sends, sends...)
 	for _, s := range sends {
-		done = done || settled(s.Reply)
+		settled = settled || isSettled(s.Reply)
 	}
-	return done
+	return settled
 }
 
 func send(ctx context.Context, entry *harness.Node, w *Work) Send {
 	s := Send{Entry: entry.Spec.Name, At: time.Now()}
 	if w.Call {
-		s.Reply = harness.CallService(ctx, entry.Entry, w.call())
+		s.Reply = harness.CallService(ctx, entry.Entry, w.serviceRequest())
 	} else {
 		s.Reply = harness.Complete(ctx, entry.Entry, w.completion())
 	}
@@ -99,7 +100,7 @@
 	return s
 }
 
-func closed(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -108,7 +109,7 @@
 	}
 }
 
-// wait waits for d or the end of ctx.
+// wait returns after d or at the end of ctx, whichever is first.
 func wait(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/test/workload/check_test.go
+++ b/test/workload/check_test.go
@@ -13,20 +13,20 @@
 
 var start = time.Unix(1000, 0)
 
-func whole(name string) harness.Reply {
+func completeReply(name string) harness.Reply {
 	return harness.Reply{Whole: true, Text: standin.ExpectedText(name, 4), RequestID: "r1"}
 }
 
-func refused(ran failure.Ran) harness.Reply {
+func refusedReply(ran failure.Ran) harness.Reply {
 	return harness.Reply{RequestID: "r1", Refusal: failure.New(failure.TypeOverloaded, "x").WithRan(ran)}
 }
 
-func unknown() harness.Reply {
+func unknownReply() harness.Reply {
 	e := failure.New(failure.TypeOutcomeUnknown, "x").WithRan(failure.RanUnknown)
 	return harness.Reply{RequestID: "r1", Refusal: e}
 }
 
-func work(nonIdempotent bool, replies ...harness.Reply) *Work {
+func newTestWork(nonIdempotent bool, replies ...harness.Reply) *Work {
 	w := &Work{Name: "w", Key: "k", NonIdempotent: nonIdempotent, MaxTokens: 4}
 	for i, r := range replies {
 		w.Sends = append(w.Sends, Send{At: start.Add(time.Duration(i) * time.Second), Reply: r})
@@ -38,7 +38,7 @@
 	return standin.Run{Work: "w", Attempt: request + ".1", Started: start.Add(after)}
 }
 
-// The checker itself must find each violation, and nothing where there is none.
+// Check must find each violation, and none where there is none.
 func TestCheckFindsEachViolation(t *testing.T) {
 	one := runAt("r1", 0)
 	other := runAt("r2", time.Second)
@@ -47,21 +47,21 @@
 		runs  []standin.Run
 		found int
 	}{
-		"answered":                       {work(true, whole("w")), []standin.Run{one}, 0},
-		"idempotent, ran twice":          {work(false, refused(failure.RanUnknown), whole("w")), []standin.Run{one, other}, 0},
-		"unknown in the end":             {work(true, unknown()), []standin.Run{one}, 0},
-		"not run, then answered":         {work(false, refused(failure.RanNo), whole("w")), []standin.Run{other}, 0},
-		"not run, ran later by a resend": {work(true, refused(failure.RanNo), whole("w")), []standin.Run{other}, 0},
-		"answer of another work":         {work(false, whole("v")), []standin.Run{one}, 1},
-		"answer without a run":           {work(false, whole("w")), nil, 1},
-		"ran twice":                      {work(true, whole("w")), []standin.Run{one, other}, 1},
-		"not run, but ran":               {work(false, refused(failure.RanNo), whole("w")), []standin.Run{one}, 1},
+		"answered":                       {newTestWork(true, completeReply("w")), []standin.Run{one}, 0},
+		"idempotent, ran twice":          {newTestWork(false, refusedReply(failure.RanUnknown), completeReply("w")), []standin.Run{one, other}, 0},
+		"unknown in the end":             {newTestWork(true, unknownReply()), []standin.Run{one}, 0},
+		"not run, then answered":         {newTestWork(false, refusedReply(failure.RanNo), completeReply("w")), []standin.Run{other}, 0},
+		"not run, ran later by a resend": {newTestWork(true, refusedReply(failure.RanNo), completeReply("w")), []standin.Run{other}, 0},
+		"answer of another work":         {newTestWork(false, completeReply("v")), []standin.Run{one}, 1},
+		"answer without a run":           {newTestWork(false, completeReply("w")), nil, 1},
+		"ran twice":                      {newTestWork(true, completeReply("w")), []standin.Run{one, other}, 1},
+		"not run, but ran":               {newTestWork(false, refusedReply(failure.RanNo), completeReply("w")), []standin.Run{one}, 1},
 		"resend not run, but an earlier ran": {
-			work(true, whole("w"), harness.Reply{RequestID: "r9", Refusal: refused(failure.RanNo).Refusal}),
+			newTestWork(true, completeReply("w"), harness.Reply{RequestID: "r9", Refusal: refusedReply(failure.RanNo).Refusal}),
 			[]standin.Run{one}, 1,
 		},
-		"never settled":           {work(false, refused(failure.RanUnknown)), []standin.Run{one}, 1},
-		"idempotent, but unknown": {work(false, unknown()), []standin.Run{one}, 1},
+		"never settled":           {newTestWork(false, refusedReply(failure.RanUnknown)), []standin.Run{one}, 1},
+		"idempotent, but unknown": {newTestWork(false, unknownReply()), []standin.Run{one}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			found := Check([]*Work{test.work}, test.runs)
--- a/test/workload/doc.go
+++ b/test/workload/doc.go
@@ -1,8 +1,7 @@
-// Package workload drives a whole system of real processes with callers that
-// resend without end, while a seeded schedule of faults and planned stops goes
-// on, and then checks what callers got against what backend servers ran.
+// Package workload runs a complete system of real processes. Callers resend without end while a
+// seeded schedule of faults and planned stops goes on. Then the package compares the replies that
+// the callers received with the runs on the backend servers.
 //
-// The seed fixes what is asked and which faults happen in which order, not the
-// timing of processes, so a seed brings about the same kind of run and not the
-// same run.
+// The seed determines the requests, the faults and their order, but not the timing of the
+// processes. Two runs with one seed are therefore similar, not identical.
 package workload
--- a/test/workload/run.go
+++ b/test/workload/run.go
@@ -12,18 +12,18 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// Options are the settings of a random run.
+// Options configures a random run.
 type Options struct {
 	Seed uint64
-	// Duration is how long faults go on and new work is begun.
+	// Duration is how long faults and new works go on.
 	Duration time.Duration
 	Callers  int
-	// Overlap is how many faults and planned stops go on side by side, each on
-	// processes of its own; 0 is one.
+	// Overlap is the number of faults and planned stops that go on at the same time, each on its
+	// own processes; 0 means one.
 	Overlap int
-	// Groups is how many serving groups there are; 0 is three.
+	// Groups is the number of serving groups; 0 means three.
 	Groups int
-	// RateLimits makes backend servers name rate limits beside the faults.
+	// RateLimits makes backend servers state rate limits in addition to the faults.
 	RateLimits bool
 }
 
@@ -37,7 +37,7 @@
 	return o
 }
 
-// Report is what a random run found.
+// Report holds the results of a random run.
 type Report struct {
 	Works      int
 	Sends      int
@@ -48,19 +48,19 @@
 	Runs       int
 	Faults     []string
 	Violations []string
-	// RateLimits counts how often a node took in a rate limit.
+	// RateLimits counts the rate limits that nodes recorded in their logs.
 	RateLimits int
 }
 
-// The sizes of the system of a random run.
+// The size of the system in a random run.
 const (
 	defaultGroups = 3
 	vmsPerReplica = 2
 	instances     = 2
 )
 
-// Run starts a system, drives it and checks it. Violations of the processes'
-// own invariants end them and are found in their logs.
+// Run starts a system, drives it and checks the results. A process that violates one of its own
+// invariants ends, and Run finds the violation in its log.
 func Run(t harness.T, o Options) Report {
 	o = o.withDefaults()
 	c := harness.NewCluster(t, spec())
@@ -87,12 +87,12 @@
 	for _, n := range c.Nodes {
 		report.RateLimits += strings.Count(n.Log(), "event=rate_limit_named")
 	}
-	report.Violations = append(Check(callers.works, runs), invariantsBroken(c)...)
+	report.Violations = append(Check(callers.works, runs), findPanics(c)...)
 	return report
 }
 
-// drive lets callers and faults go on for the duration, heals, and waits for
-// the callers to settle what they have begun.
+// drive runs callers and faults for the duration, ends all faults, and waits until the callers
+// have settled the works that they have begun.
 func drive(injectors []*faultInjector, limits *rateLimitInjector, callers *callers, duration time.Duration) {
 	stop := make(chan struct{})
 	done := make(chan struct{})
@@ -116,7 +116,7 @@
 		f.heal()
 	}
 	close(stop)
-	settle := time.AfterFunc(settleTime, cancel)
+	settle := time.AfterFunc(settleTimeout, cancel)
 	defer settle.Stop()
 	<-done
 }
@@ -155,9 +155,9 @@
 	return r
 }
 
-// invariantsBroken finds the processes that ended by a broken invariant or a
-// panic.
-func invariantsBroken(c *harness.Cluster) []string {
+// findPanics returns the panics and data races in the logs of the nodes. A violated invariant
+// appears as a panic.
+func findPanics(c *harness.Cluster) []string {
 	var out []string
 	for _, n := range c.Nodes {
 		for _, line := range strings.Split(n.Log(), "\n") {
--- a/test/workload/work.go
+++ b/test/workload/work.go
@@ -11,20 +11,20 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// model and service are what the system under test serves.
+// model and service are the names that the system under test serves.
 const (
 	model   = "demo"
 	service = "records"
 )
 
-// Work is one request that a caller wants done, however often it is sent.
+// Work is one piece of work that a caller wants done, however often it is sent.
 type Work struct {
-	// Name is unique; it is the prompt, or the body of a service call.
+	// Name is unique. It is the prompt, or the body of a service call.
 	Name string
 	// Key is the idempotency key, or empty.
 	Key           string
 	NonIdempotent bool
-	// Call says that the work is a call of the plain service.
+	// Call is true if the work is a call of the plain service.
 	Call      bool
 	Method    string
 	MaxTokens int
@@ -32,7 +32,7 @@
 	Sends     []Send
 }
 
-// Send is one time that a work was sent, and what came back.
+// Send is one send of a work and the reply to it.
 type Send struct {
 	Entry string
 	At    time.Time
@@ -40,7 +40,7 @@
 	Reply harness.Reply
 }
 
-// identity is the name under which backend servers record the work.
+// identity returns the name under which backend servers record the work.
 func (w *Work) identity() string {
 	if w.Call {
 		return standin.BodyHash([]byte(w.Name))
@@ -48,8 +48,8 @@
 	return w.Name
 }
 
-// mayResend tells whether a caller may send the work again: without a key a
-// non-idempotent request is sent once.
+// mayResend reports whether a caller may resend the work. A non-idempotent work without a key is
+// sent once.
 func (w *Work) mayResend() bool { return w.Key != "" || !w.NonIdempotent }
 
 func (w *Work) completion() harness.Completion {
@@ -59,15 +59,15 @@
 	}
 }
 
-func (w *Work) call() harness.ServiceRequest {
+func (w *Work) serviceRequest() harness.ServiceRequest {
 	return harness.ServiceRequest{
 		Service: service, Method: w.Method, Path: "/custody", Body: []byte(w.Name),
 		Key: w.Key, NonIdempotent: w.NonIdempotent, TimeoutMillis: sendTimeoutMillis,
 	}
 }
 
-// right tells whether a reply is the whole answer to this work.
-func (w *Work) right(r harness.Reply) bool {
+// isCorrect reports whether a reply is the complete answer to this work.
+func (w *Work) isCorrect(r harness.Reply) bool {
 	if !w.Call {
 		return r.Right(w.completion())
 	}
@@ -75,17 +75,17 @@
 	return err == nil && r.Whole && echo.BodyHash == w.identity() && echo.Method == w.Method
 }
 
-// settled tells whether a reply ends the work: a whole answer, or the word
-// that its outcome will stay unknown.
-func settled(r harness.Reply) bool {
+// isSettled reports whether a reply ends the work: a complete answer, or the final statement that
+// its outcome is unknown.
+func isSettled(r harness.Reply) bool {
 	if r.Whole {
 		return true
 	}
 	return r.Refusal != nil && r.Refusal.Type == failure.TypeOutcomeUnknown
 }
 
-// newWork draws a work: half completions and half calls, a third of each
-// non-idempotent, most with a key.
+// newWork draws a work: half completions and half calls, a third of each non-idempotent, most
+// with a key.
 func newWork(r *rand.Rand, caller, number int) *Work {
 	w := &Work{
 		Name:          fmt.Sprintf("caller %d work %d", caller, number),
