--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -137,19 +137,19 @@
 	long, short float64
 }
 
-func (l blockedWorth) includes(isLong bool, worth float64) bool {
+func (b blockedWorth) includes(isLong bool, worth float64) bool {
 	if isLong {
-		return worth <= l.long
+		return worth <= b.long
 	}
-	return worth <= l.short
+	return worth <= b.short
 }
 
-func (l *blockedWorth) add(isLong bool, worth float64) {
+func (b *blockedWorth) add(isLong bool, worth float64) {
 	if isLong {
-		l.long = max(l.long, worth)
+		b.long = max(b.long, worth)
 		return
 	}
-	l.short = max(l.short, worth)
+	b.short = max(b.short, worth)
 }
 
 // nextItem returns a request of the flow that is furthest behind its share, or nil. Flows that
--- a/internal/admission/model.go
+++ b/internal/admission/model.go
@@ -10,8 +10,8 @@
 // and still lets each of its requests be served.
 const maxCreditRequests = 2
 
-// modelQueue holds the waiting requests of one model. Models don't compete for the same backend
-// servers, so each model has its own queue.
+// modelQueue holds the waiting requests of one model and one value of Homes. Models don't compete
+// for the same backend servers, so each has its own queue.
 type modelQueue struct {
 	name string
 	// model is the model of the requests; name also contains their Homes.
@@ -92,8 +92,8 @@
 	m.waiting++
 }
 
-// prune removes flows and bands without requests, except those that have used more than their
-// share or have given a caller a Retry-After that is still to come.
+// prune removes empty flows and bands. It keeps flows that have used more than their share, bands
+// with recent arrivals, and bands that have given a caller a Retry-After that has not passed yet.
 //
 // Class names and workspaces come and go, and each leaves a flow. Without pruning, a queue that
 // runs for months would scan all of them.
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -70,8 +70,7 @@
 	}
 }
 
-// Offer decides whether r waits, joins a request with the same idempotency
-// key, or is refused.
+// Offer decides whether r waits, joins a request with the same idempotency key, or is refused.
 func (q *Queue) Offer(now time.Time, r Request) Decision {
 	r.Tokens = max(1, r.Tokens)
 	if id, ok := q.duplicate(r); ok {
--- a/internal/admission/retry_loans.go
+++ b/internal/admission/retry_loans.go
@@ -8,10 +8,11 @@
 )
 
 // All entries together may send a number of retries in each retry window beyond the fraction that
-// admitted requests earn. This number is divided as follows. ownPart is split into equal shares,
-// one for each entry. lentPart may be lent by each lender: when a lender is lost, another one
-// follows for the same borrowers and may lend as much again. The rest is left for entries that
-// restart and lose their counts.
+// admitted requests earn. This number is divided as follows. The fraction ownPart is split into
+// equal shares, one for each entry. The fraction lentPart is split among the pools, and the
+// lender of a pool lends it. When a lender is lost, another entry follows it for the same
+// borrowers and may lend as much again. The rest is left for entries that restart and lose their
+// counts.
 //
 // Loans are made for large fleets. A thousand entries get less than one retry a second each. When
 // a service fails one request in seven, the share of an entry is a tenth of a retry. Without
