--- a/internal/loadtest/baseline_test.go
+++ b/internal/loadtest/baseline_test.go
@@ -46,40 +46,40 @@
 func (b *baseline) setTargets(list []placement.Target)            { b.targets = list }
 func (b *baseline) report(string, placement.Load)                 {}
 func (b *baseline) cacheEvent(string, uint64, []uint64, []uint64) {}
-func (b *baseline) offer(t *request)                              { b.send(t) }
+func (b *baseline) offer(req *request)                            { b.send(req) }
 
-func (b *baseline) send(t *request) {
+func (b *baseline) send(req *request) {
 	if len(b.targets) == 0 {
-		b.w.callers.refused(t, 0)
+		b.w.callers.refused(req, 0)
 		return
 	}
 	id := b.choose(b)
 	b.outstanding[id]++
 	b.attempts++
-	x := &attempt{id: fmt.Sprint(t.id, "#", b.attempts), request: t, tokens: t.job.expected}
-	x.onToken = func() { b.w.callers.token(t) }
+	x := &attempt{id: fmt.Sprint(req.id, "#", b.attempts), request: req, tokens: req.job.expected}
+	x.onToken = func() { b.w.callers.token(req) }
 	x.onEnd = func(ok bool) {
 		b.outstanding[id]--
 		switch {
 		case ok:
-			b.w.callers.answer(t)
-		case len(t.attempts) < baselineAttempts && !t.isOver:
-			b.send(t)
+			b.w.callers.answer(req)
+		case len(req.attempts) < baselineAttempts && !req.isOver:
+			b.send(req)
 		default:
-			b.w.callers.refused(t, 0)
+			b.w.callers.refused(req, 0)
 		}
 	}
-	t.attempts = append(t.attempts, x)
+	req.attempts = append(req.attempts, x)
 	b.w.engine(id).start(x)
-	x.request = t
-	t.engine = id
+	x.request = req
+	req.engine = id
 }
 
-func (b *baseline) cancel(t *request) {
-	x := t.attempts[len(t.attempts)-1]
+func (b *baseline) cancel(req *request) {
+	x := req.attempts[len(req.attempts)-1]
 	if x.isEnded {
 		return
 	}
-	b.outstanding[t.engine]--
-	b.w.engine(t.engine).cancel(x)
+	b.outstanding[req.engine]--
+	b.w.engine(req.engine).cancel(x)
 }
--- a/internal/loadtest/caller_test.go
+++ b/internal/loadtest/caller_test.go
@@ -65,9 +65,9 @@
 
 // frontend is an entry: the tested one or a baseline.
 type frontend interface {
-	offer(t *request)
-	// cancel is called once when the caller of t has disconnected.
-	cancel(t *request)
+	offer(req *request)
+	// cancel is called once when the caller of req has disconnected.
+	cancel(req *request)
 }
 
 // callers issues jobs in an open loop and resends refused ones.
@@ -117,33 +117,33 @@
 	if w.scenario.endless && w.c.now+j.class.deadline > deadline {
 		deadline = w.c.now + j.class.deadline
 	}
-	t := &request{id: fmt.Sprintf("j%d.%d", j.id, j.requestCount), job: j, deadline: deadline, offered: w.c.now}
-	t.frontend = w.frontends[w.c.rng.IntN(len(w.frontends))]
-	w.requests = append(w.requests, t)
-	w.c.after(deadline-w.c.now, func() { w.timeout(t) })
-	t.frontend.offer(t)
+	req := &request{id: fmt.Sprintf("j%d.%d", j.id, j.requestCount), job: j, deadline: deadline, offered: w.c.now}
+	req.frontend = w.frontends[w.c.rng.IntN(len(w.frontends))]
+	w.requests = append(w.requests, req)
+	w.c.after(deadline-w.c.now, func() { w.timeout(req) })
+	req.frontend.offer(req)
 }
 
-func (w *callers) timeout(t *request) {
-	if t.isOver {
+func (w *callers) timeout(req *request) {
+	if req.isOver {
 		return
 	}
-	t.isOver = true
-	t.frontend.cancel(t)
-	w.resend(t.job, 0)
+	req.isOver = true
+	req.frontend.cancel(req)
+	w.resend(req.job, 0)
 }
 
 // refused ends a request that did not run.
-func (w *callers) refused(t *request, after time.Duration) {
-	if t.isOver {
+func (w *callers) refused(req *request, after time.Duration) {
+	if req.isOver {
 		return
 	}
-	t.isOver = true
-	t.job.refusals++
-	if !t.job.honoursRetryAfter || after <= 0 {
+	req.isOver = true
+	req.job.refusals++
+	if !req.job.honoursRetryAfter || after <= 0 {
 		after = time.Duration(w.c.between(100, 300)) * time.Millisecond
 	}
-	w.resend(t.job, after)
+	w.resend(req.job, after)
 }
 
 func (w *callers) resend(j *job, after time.Duration) {
@@ -156,17 +156,17 @@
 	w.c.after(after, func() { w.send(j) })
 }
 
-func (w *callers) token(t *request) {
-	if t.job.firstToken == 0 && !t.isOver {
-		t.job.firstToken = w.c.now
+func (w *callers) token(req *request) {
+	if req.job.firstToken == 0 && !req.isOver {
+		req.job.firstToken = w.c.now
 	}
 }
 
-func (w *callers) answer(t *request) {
-	if t.isOver {
+func (w *callers) answer(req *request) {
+	if req.isOver {
 		return
 	}
-	t.isOver = true
-	t.isAnswered = true
-	t.job.answered = w.c.now
+	req.isOver = true
+	req.isAnswered = true
+	req.job.answered = w.c.now
 }
--- a/internal/loadtest/entry_test.go
+++ b/internal/loadtest/entry_test.go
@@ -29,9 +29,9 @@
 // inversionSlack excludes requests that are about to start anyway.
 const inversionSlack = 50 * time.Millisecond
 
-// pumpInterval is the interval of the entry's timer. The timer covers changes that no event
+// timerInterval is the interval of the entry's timer. The timer covers changes that no event
 // announces: ramps, back-offs and expired requests.
-const pumpInterval = 50 * time.Millisecond
+const timerInterval = 50 * time.Millisecond
 
 func newEntry(w *simulation, i int) node { return newEntryWith(ablation{noFloor: w.s.noFloor})(w, i) }
 
@@ -59,18 +59,18 @@
 	}
 	e.queue = admission.New(p)
 	e.picker = placement.New(placement.Options{Seed: uint64(i) + 1, DataCentre: "dc"})
-	w.c.every(pumpInterval, e.pump)
+	w.c.every(timerInterval, e.sendQueued)
 	return e
 }
 
 func (e *entry) setTargets(list []placement.Target) {
 	e.picker.SetTargets(e.w.c.time(), list)
-	e.pump()
+	e.sendQueued()
 }
 
 func (e *entry) report(id string, l placement.Load) {
 	e.picker.Report(e.w.c.time(), id, l)
-	e.pump()
+	e.sendQueued()
 }
 
 func (e *entry) cacheEvent(id string, sequence uint64, add, drop []uint64) {
@@ -80,16 +80,16 @@
 	e.picker.CacheEvent(e.w.c.time(), id, sequence, add, drop)
 }
 
-func (e *entry) offer(t *request) {
-	e.admit(t, t.id)
-	e.pump()
+func (e *entry) offer(req *request) {
+	e.admit(req, req.id)
+	e.sendQueued()
 }
 
-func (e *entry) admit(t *request, id string) {
+func (e *entry) admit(req *request, id string) {
 	r := admission.Request{
-		ID: id, Workspace: t.job.workspace, Class: t.job.class.name, Model: model,
-		IdempotencyKey: fmt.Sprint(t.job.id), Tokens: t.job.expected,
-		Arrived: e.w.c.time(), Deadline: epoch.Add(t.deadline), Resend: t.job.requestCount > 1,
+		ID: id, Workspace: req.job.workspace, Class: req.job.class.name, Model: model,
+		IdempotencyKey: fmt.Sprint(req.job.id), Tokens: req.job.expected,
+		Arrived: e.w.c.time(), Deadline: epoch.Add(req.deadline), Resend: req.job.requestCount > 1,
 	}
 	if e.ablation.noKeys {
 		r.IdempotencyKey = ""
@@ -97,25 +97,26 @@
 	if e.ablation.noDeadlines {
 		r.Deadline = time.Time{}
 	}
-	e.waiting[id] = t
-	t.queueID = id
+	e.waiting[id] = req
+	req.queueID = id
 	d := e.queue.Offer(e.w.c.time(), r)
 	e.refuse(d.Evicted)
 	if d.Refusal != nil {
 		delete(e.waiting, id)
-		e.w.callers.refused(t, d.Refusal.RetryAfter)
+		e.w.callers.refused(req, d.Refusal.RetryAfter)
 	}
 }
 
 func (e *entry) refuse(evicted []admission.Eviction) {
 	for _, v := range evicted {
-		t := e.waiting[v.Request.ID]
+		req := e.waiting[v.Request.ID]
 		delete(e.waiting, v.Request.ID)
-		e.w.callers.refused(t, v.Refusal.RetryAfter)
+		e.w.callers.refused(req, v.Refusal.RetryAfter)
 	}
 }
 
-func (e *entry) pump() {
+// sendQueued places the waiting requests that fit.
+func (e *entry) sendQueued() {
 	now := e.w.c.time()
 	for {
 		r, expired, ok := e.queue.Next(now, func(r admission.Request) bool {
@@ -131,12 +132,12 @@
 
 func (e *entry) place(r admission.Request) {
 	now := e.w.c.time()
-	t := e.waiting[r.ID]
+	req := e.waiting[r.ID]
 	delete(e.waiting, r.ID)
-	e.countInversion(t)
+	e.countInversion(req)
 	placementRequest := placement.Request{
-		ID: r.ID, Model: r.Model, Prefix: prefix(t.job.doc), Tokens: r.Tokens,
-		Reserve: r.Reserve, Exclude: t.exclude,
+		ID: r.ID, Model: r.Model, Prefix: prefix(req.job.doc), Tokens: r.Tokens,
+		Reserve: r.Reserve, Exclude: req.exclude,
 	}
 	if e.ablation.noPrefix {
 		placementRequest.Prefix = nil
@@ -144,11 +145,11 @@
 	choice, ok := e.picker.Pick(now, placementRequest)
 	if !ok {
 		e.queue.Done(now, admission.Outcome{ID: r.ID})
-		e.w.callers.refused(t, time.Second)
+		e.w.callers.refused(req, time.Second)
 		return
 	}
 	e.attempts++
-	x := &attempt{id: fmt.Sprint(r.ID, "#", e.attempts), request: t, tokens: r.Tokens, worth: t.job.class.worth}
+	x := &attempt{id: fmt.Sprint(r.ID, "#", e.attempts), request: req, tokens: r.Tokens, worth: req.job.class.worth}
 	started := e.w.c.now
 	first := time.Duration(0)
 	e.picker.Started(now, x.id, choice.ID, r.Tokens)
@@ -157,55 +158,55 @@
 			first = e.w.c.now - started
 		}
 		e.picker.Progress(e.w.c.time(), x.id, 1)
-		e.w.callers.token(t)
+		e.w.callers.token(req)
 	}
 	x.onEnd = func(ok bool) {
 		elapsed := e.w.c.now - started
 		e.picker.Finished(e.w.c.time(), x.id, placement.Result{OK: ok, FirstToken: first, Took: elapsed, Tokens: x.produced})
 		e.queue.Done(e.w.c.time(), admission.Outcome{ID: r.ID, Answered: ok, Tokens: r.Tokens, Took: elapsed})
-		e.ended(t, x, ok)
+		e.ended(req, x, ok)
 	}
-	t.attempts = append(t.attempts, x)
-	t.engine = choice.ID
+	req.attempts = append(req.attempts, x)
+	req.engine = choice.ID
 	e.w.engine(choice.ID).start(x)
 }
 
-func (e *entry) ended(t *request, x *attempt, ok bool) {
+func (e *entry) ended(req *request, x *attempt, ok bool) {
 	switch {
 	case ok:
-		e.w.callers.answer(t)
-	case !t.isOver && e.queue.AllowRetry(e.w.c.time(), t.job.workspace):
-		t.exclude = append(t.exclude, t.engine)
-		e.admit(t, fmt.Sprint(t.id, "r", len(t.attempts)))
+		e.w.callers.answer(req)
+	case !req.isOver && e.queue.AllowRetry(e.w.c.time(), req.job.workspace):
+		req.exclude = append(req.exclude, req.engine)
+		e.admit(req, fmt.Sprint(req.id, "r", len(req.attempts)))
 	default:
-		e.w.callers.refused(t, time.Second)
+		e.w.callers.refused(req, time.Second)
 	}
-	e.pump()
+	e.sendQueued()
 }
 
-func (e *entry) cancel(t *request) {
+func (e *entry) cancel(req *request) {
 	now := e.w.c.time()
-	delete(e.waiting, t.queueID)
-	if e.queue.Cancel(t.queueID) {
+	delete(e.waiting, req.queueID)
+	if e.queue.Cancel(req.queueID) {
 		return
 	}
-	if len(t.attempts) == 0 {
+	if len(req.attempts) == 0 {
 		return
 	}
-	x := t.attempts[len(t.attempts)-1]
+	x := req.attempts[len(req.attempts)-1]
 	if x.isEnded {
 		return
 	}
 	e.picker.Finished(now, x.id, placement.Result{Cancelled: true})
-	e.w.engine(t.engine).cancel(x)
-	e.pump()
+	e.w.engine(req.engine).cancel(x)
+	e.sendQueued()
 }
 
-func (e *entry) countInversion(t *request) {
+func (e *entry) countInversion(req *request) {
 	e.starts++
 	for _, n := range e.w.nodes {
 		for _, other := range n.(*entry).waiting {
-			if other.job.class.worth > t.job.class.worth && e.w.c.now-other.offered > inversionSlack {
+			if other.job.class.worth > req.job.class.worth && e.w.c.now-other.offered > inversionSlack {
 				e.inversions++
 				return
 			}
--- a/internal/loadtest/result_test.go
+++ b/internal/loadtest/result_test.go
@@ -61,8 +61,8 @@
 		}
 		r.addJob(j)
 	}
-	for _, t := range w.callers.requests {
-		r.addAttempts(t)
+	for _, req := range w.callers.requests {
+		r.addAttempts(req)
 	}
 	for _, e := range w.engines {
 		r.queued += e.queued
@@ -94,13 +94,13 @@
 	r.refusals += j.refusals
 }
 
-func (r *result) addAttempts(t *request) {
-	for i, x := range t.attempts {
+func (r *result) addAttempts(req *request) {
+	for i, x := range req.attempts {
 		r.spent += x.spent
-		r.promptTokens += t.job.prompt
+		r.promptTokens += req.job.prompt
 		r.computed += x.computed
-		last := i == len(t.attempts)-1
-		if !last || !t.job.isInTime() || t.job.answered > t.deadline || !t.isAnswered {
+		last := i == len(req.attempts)-1
+		if !last || !req.job.isInTime() || req.job.answered > req.deadline || !req.isAnswered {
 			r.wasted += x.spent
 		}
 	}
