--- a/internal/loadtest/baseline_test.go
+++ b/internal/loadtest/baseline_test.go
@@ -6,12 +6,13 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// baselineTries bounds the attempts of one request that fail on an engine.
-const baselineTries = 3
+// baselineAttempts bounds the attempts of one request that fail on an engine.
+const baselineAttempts = 3
 
-// baseline sends each request on as it comes; the engines queue them.
+// baseline is a frontend without admission: it sends each request to an engine on arrival, and
+// the engines queue the requests.
 type baseline struct {
-	w           *world
+	w           *simulation
 	targets     []placement.Target
 	outstanding map[string]int
 	next        int
@@ -36,8 +37,8 @@
 	return best
 }
 
-func newBaseline(choose func(b *baseline) string) func(w *world, i int) node {
-	return func(w *world, i int) node {
+func newBaseline(choose func(b *baseline) string) func(w *simulation, i int) node {
+	return func(w *simulation, i int) node {
 		return &baseline{w: w, next: i * 3, outstanding: make(map[string]int), choose: choose}
 	}
 }
@@ -45,40 +46,40 @@
 func (b *baseline) setTargets(list []placement.Target)            { b.targets = list }
 func (b *baseline) report(string, placement.Load)                 {}
 func (b *baseline) cacheEvent(string, uint64, []uint64, []uint64) {}
-func (b *baseline) offer(t *try)                                  { b.send(t) }
+func (b *baseline) offer(req *request)                            { b.send(req) }
 
-func (b *baseline) send(t *try) {
+func (b *baseline) send(req *request) {
 	if len(b.targets) == 0 {
-		b.w.callers.refused(t, 0)
+		b.w.callers.refused(req, 0)
 		return
 	}
 	id := b.choose(b)
 	b.outstanding[id]++
 	b.attempts++
-	x := &call{id: fmt.Sprint(t.id, "#", b.attempts), t: t, tokens: t.job.expected}
-	x.onToken = func() { b.w.callers.token(t) }
+	x := &attempt{id: fmt.Sprint(req.id, "#", b.attempts), request: req, tokens: req.job.expected}
+	x.onToken = func() { b.w.callers.token(req) }
 	x.onEnd = func(ok bool) {
 		b.outstanding[id]--
 		switch {
 		case ok:
-			b.w.callers.answer(t)
-		case len(t.calls) < baselineTries && !t.over:
-			b.send(t)
+			b.w.callers.answer(req)
+		case len(req.attempts) < baselineAttempts && !req.isOver:
+			b.send(req)
 		default:
-			b.w.callers.refused(t, 0)
+			b.w.callers.refused(req, 0)
 		}
 	}
-	t.calls = append(t.calls, x)
+	req.attempts = append(req.attempts, x)
 	b.w.engine(id).start(x)
-	x.t = t
-	t.engine = id
+	x.request = req
+	req.engine = id
 }
 
-func (b *baseline) cancel(t *try) {
-	x := t.calls[len(t.calls)-1]
-	if x.ended {
+func (b *baseline) cancel(req *request) {
+	x := req.attempts[len(req.attempts)-1]
+	if x.isEnded {
 		return
 	}
-	b.outstanding[t.engine]--
-	b.w.engine(t.engine).cancel(x)
+	b.outstanding[req.engine]--
+	b.w.engine(req.engine).cancel(x)
 }
--- a/internal/loadtest/entry_test.go
+++ b/internal/loadtest/entry_test.go
@@ -8,114 +8,115 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// entry carries out the decisions under test, as internal/entry does.
+// entry carries out the decisions of the tested admission and placement, as internal/entry does.
 type entry struct {
-	w        *world
+	w        *simulation
 	queue    *admission.Queue
 	picker   *placement.Picker
-	waiting  map[string]*try
+	waiting  map[string]*request
 	attempts int
-	// inversions counts starts of a request while one of greater worth waited
-	// at any entry for longer than inversionSlack.
+	// inversions counts the starts of a request while a request of greater worth has waited at
+	// any entry for longer than inversionSlack.
 	starts, inversions int
-	way                way
+	ablation           ablation
 }
 
-// way leaves a part of the policy out, to see what it is worth.
-type way struct {
+// ablation turns off parts of the policy, to measure their effect.
+type ablation struct {
 	noPrefix, noHints, noReserve, noFloor, oneWorth, noKeys, noDeadlines bool
 }
 
-// inversionSlack leaves out requests that are about to start anyway.
+// inversionSlack excludes requests that are about to start anyway.
 const inversionSlack = 50 * time.Millisecond
 
-// pumpEvery is the entry's timer for what no event announces: ramps, back-offs
-// and expired requests.
-const pumpEvery = 50 * time.Millisecond
+// timerInterval is the interval of the entry's timer. The timer covers changes that no event
+// announces: ramps, back-offs and expired requests.
+const timerInterval = 50 * time.Millisecond
 
-func newEntry(w *world, i int) node { return newEntryWith(way{noFloor: w.s.noFloor})(w, i) }
+func newEntry(w *simulation, i int) node { return newEntryWith(ablation{noFloor: w.s.noFloor})(w, i) }
 
-func newEntryWith(v way) func(w *world, i int) node {
-	return func(w *world, i int) node { return makeEntry(w, i, v) }
+func newEntryWith(v ablation) func(w *simulation, i int) node {
+	return func(w *simulation, i int) node { return makeEntry(w, i, v) }
 }
 
-// nothing is a share too small to have an effect; zero would be the default.
-const nothing = 1e-9
+// negligibleShare is a share too small to have an effect; zero would mean the default.
+const negligibleShare = 1e-9
 
-func makeEntry(w *world, i int, v way) node {
-	e := &entry{w: w, waiting: make(map[string]*try), way: v}
+func makeEntry(w *simulation, i int, v ablation) node {
+	e := &entry{w: w, waiting: make(map[string]*request), ablation: v}
 	p := admission.Policy{Classes: make(map[string]admission.ClassPolicy), Seed: uint64(i)}
 	for _, cl := range classes {
 		p.Classes[cl.name] = admission.ClassPolicy{Worth: cl.worth}
 	}
 	if v.noFloor {
-		p.FloorShare = nothing
+		p.FloorShare = negligibleShare
 	}
 	if v.noReserve {
-		p.Reserve = nothing
+		p.Reserve = negligibleShare
 	}
 	if v.oneWorth {
 		p.Classes = nil
 	}
 	e.queue = admission.New(p)
 	e.picker = placement.New(placement.Options{Seed: uint64(i) + 1, DataCentre: "dc"})
-	w.c.every(pumpEvery, e.pump)
+	w.c.every(timerInterval, e.sendQueued)
 	return e
 }
 
 func (e *entry) setTargets(list []placement.Target) {
 	e.picker.SetTargets(e.w.c.time(), list)
-	e.pump()
+	e.sendQueued()
 }
 
 func (e *entry) report(id string, l placement.Load) {
 	e.picker.Report(e.w.c.time(), id, l)
-	e.pump()
+	e.sendQueued()
 }
 
 func (e *entry) cacheEvent(id string, sequence uint64, add, drop []uint64) {
-	if e.way.noHints {
+	if e.ablation.noHints {
 		return
 	}
 	e.picker.CacheEvent(e.w.c.time(), id, sequence, add, drop)
 }
 
-func (e *entry) offer(t *try) {
-	e.admit(t, t.id)
-	e.pump()
+func (e *entry) offer(req *request) {
+	e.admit(req, req.id)
+	e.sendQueued()
 }
 
-func (e *entry) admit(t *try, id string) {
+func (e *entry) admit(req *request, id string) {
 	r := admission.Request{
-		ID: id, Workspace: t.job.workspace, Class: t.job.class.name, Model: model,
-		IdempotencyKey: fmt.Sprint(t.job.id), Tokens: t.job.expected,
-		Arrived: e.w.c.time(), Deadline: epoch.Add(t.deadline), Resend: t.job.tries > 1,
+		ID: id, Workspace: req.job.workspace, Class: req.job.class.name, Model: model,
+		IdempotencyKey: fmt.Sprint(req.job.id), Tokens: req.job.expected,
+		Arrived: e.w.c.time(), Deadline: epoch.Add(req.deadline), Resend: req.job.requestCount > 1,
 	}
-	if e.way.noKeys {
+	if e.ablation.noKeys {
 		r.IdempotencyKey = ""
 	}
-	if e.way.noDeadlines {
+	if e.ablation.noDeadlines {
 		r.Deadline = time.Time{}
 	}
-	e.waiting[id] = t
-	t.queueID = id
+	e.waiting[id] = req
+	req.queueID = id
 	d := e.queue.Offer(e.w.c.time(), r)
 	e.refuse(d.Evicted)
 	if d.Refusal != nil {
 		delete(e.waiting, id)
-		e.w.callers.refused(t, d.Refusal.RetryAfter)
+		e.w.callers.refused(req, d.Refusal.RetryAfter)
 	}
 }
 
 func (e *entry) refuse(evicted []admission.Eviction) {
 	for _, v := range evicted {
-		t := e.waiting[v.Request.ID]
+		req := e.waiting[v.Request.ID]
 		delete(e.waiting, v.Request.ID)
-		e.w.callers.refused(t, v.Refusal.RetryAfter)
+		e.w.callers.refused(req, v.Refusal.RetryAfter)
 	}
 }
 
-func (e *entry) pump() {
+// sendQueued places the waiting requests that fit.
+func (e *entry) sendQueued() {
 	now := e.w.c.time()
 	for {
 		r, expired, ok := e.queue.Next(now, func(r admission.Request) bool {
@@ -131,24 +132,24 @@
 
 func (e *entry) place(r admission.Request) {
 	now := e.w.c.time()
-	t := e.waiting[r.ID]
+	req := e.waiting[r.ID]
 	delete(e.waiting, r.ID)
-	e.countInversion(t)
-	request := placement.Request{
-		ID: r.ID, Model: r.Model, Prefix: prefix(t.job.doc), Tokens: r.Tokens,
-		Reserve: r.Reserve, Exclude: t.exclude,
+	e.countInversion(req)
+	placementRequest := placement.Request{
+		ID: r.ID, Model: r.Model, Prefix: prefix(req.job.doc), Tokens: r.Tokens,
+		Reserve: r.Reserve, Exclude: req.exclude,
 	}
-	if e.way.noPrefix {
-		request.Prefix = nil
+	if e.ablation.noPrefix {
+		placementRequest.Prefix = nil
 	}
-	choice, ok := e.picker.Pick(now, request)
+	choice, ok := e.picker.Pick(now, placementRequest)
 	if !ok {
 		e.queue.Done(now, admission.Outcome{ID: r.ID})
-		e.w.callers.refused(t, time.Second)
+		e.w.callers.refused(req, time.Second)
 		return
 	}
 	e.attempts++
-	x := &call{id: fmt.Sprint(r.ID, "#", e.attempts), t: t, tokens: r.Tokens, worth: t.job.class.worth}
+	x := &attempt{id: fmt.Sprint(r.ID, "#", e.attempts), request: req, tokens: r.Tokens, worth: req.job.class.worth}
 	started := e.w.c.now
 	first := time.Duration(0)
 	e.picker.Started(now, x.id, choice.ID, r.Tokens)
@@ -157,55 +158,55 @@
 			first = e.w.c.now - started
 		}
 		e.picker.Progress(e.w.c.time(), x.id, 1)
-		e.w.callers.token(t)
+		e.w.callers.token(req)
 	}
 	x.onEnd = func(ok bool) {
-		took := e.w.c.now - started
-		e.picker.Finished(e.w.c.time(), x.id, placement.Result{OK: ok, FirstToken: first, Took: took, Tokens: x.produced})
-		e.queue.Done(e.w.c.time(), admission.Outcome{ID: r.ID, Answered: ok, Tokens: r.Tokens, Took: took})
-		e.ended(t, x, ok)
+		elapsed := e.w.c.now - started
+		e.picker.Finished(e.w.c.time(), x.id, placement.Result{OK: ok, FirstToken: first, Took: elapsed, Tokens: x.produced})
+		e.queue.Done(e.w.c.time(), admission.Outcome{ID: r.ID, Answered: ok, Tokens: r.Tokens, Took: elapsed})
+		e.ended(req, x, ok)
 	}
-	t.calls = append(t.calls, x)
-	t.engine = choice.ID
+	req.attempts = append(req.attempts, x)
+	req.engine = choice.ID
 	e.w.engine(choice.ID).start(x)
 }
 
-func (e *entry) ended(t *try, x *call, ok bool) {
+func (e *entry) ended(req *request, x *attempt, ok bool) {
 	switch {
 	case ok:
-		e.w.callers.answer(t)
-	case !t.over && e.queue.AllowRetry(e.w.c.time(), t.job.workspace):
-		t.exclude = append(t.exclude, t.engine)
-		e.admit(t, fmt.Sprint(t.id, "r", len(t.calls)))
+		e.w.callers.answer(req)
+	case !req.isOver && e.queue.AllowRetry(e.w.c.time(), req.job.workspace):
+		req.exclude = append(req.exclude, req.engine)
+		e.admit(req, fmt.Sprint(req.id, "r", len(req.attempts)))
 	default:
-		e.w.callers.refused(t, time.Second)
+		e.w.callers.refused(req, time.Second)
 	}
-	e.pump()
+	e.sendQueued()
 }
 
-func (e *entry) cancel(t *try) {
+func (e *entry) cancel(req *request) {
 	now := e.w.c.time()
-	delete(e.waiting, t.queueID)
-	if e.queue.Cancel(t.queueID) {
+	delete(e.waiting, req.queueID)
+	if e.queue.Cancel(req.queueID) {
 		return
 	}
-	if len(t.calls) == 0 {
+	if len(req.attempts) == 0 {
 		return
 	}
-	x := t.calls[len(t.calls)-1]
-	if x.ended {
+	x := req.attempts[len(req.attempts)-1]
+	if x.isEnded {
 		return
 	}
 	e.picker.Finished(now, x.id, placement.Result{Cancelled: true})
-	e.w.engine(t.engine).cancel(x)
-	e.pump()
+	e.w.engine(req.engine).cancel(x)
+	e.sendQueued()
 }
 
-func (e *entry) countInversion(t *try) {
+func (e *entry) countInversion(req *request) {
 	e.starts++
 	for _, n := range e.w.nodes {
 		for _, other := range n.(*entry).waiting {
-			if other.job.class.worth > t.job.class.worth && e.w.c.now-other.offered > inversionSlack {
+			if other.job.class.worth > req.job.class.worth && e.w.c.now-other.offered > inversionSlack {
 				e.inversions++
 				return
 			}
