--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -1,9 +1,17 @@
-// Package raft is a consensus step machine: it takes messages, ticks and
-// proposals, and returns what to persist, send and apply.
+// Package raft implements the Raft consensus algorithm as a deterministic state
+// machine. Its inputs are messages, ticks and proposals. Its outputs are entries to
+// persist, messages to send and committed entries to apply.
 //
-// It has no clock, disk, socket or goroutine of its own. The driver passes in
-// `now` and the random source, persists what Ready returns, sends the messages
-// only after that sync, applies the committed entries and calls Advance.
+// The package uses no clock, disk, socket or goroutine. The driver passes in the
+// time and the random source. For each Ready, the driver persists and syncs the
+// state, then sends the messages, applies the committed entries and calls Advance.
+//
+// Pre-votes, leader leases, linearizable reads, single-step membership changes and
+// leadership transfer are included.
+//
+// A node that received a message from a leader, led, or started grants no vote for
+// an election timeout. Comments call this the vote promise. The leader lease
+// depends on it, and only a leadership transfer overrides it.
 package raft
 
 import (
@@ -13,19 +21,19 @@
 	"github.com/juju/errors"
 )
 
-// NodeID is the random identity of one replica's data folder. Zero is no node.
+// NodeID is the random identity of one replica's data folder. Zero means no node.
 type NodeID uint64
 
-// GroupID names one replicated log. Every message carries it, so that several
+// GroupID identifies one replicated log. Every message carries it, so several
 // groups can share a process and a connection.
 type GroupID uint64
 
-// EntryType says what an entry's data is.
+// EntryType is the kind of data that an entry holds.
 type EntryType uint8
 
 const (
-	// EntryCommand holds a command for the state machine; empty data is the
-	// entry with which a leader opens its term.
+	// EntryCommand holds a command for the state machine. Empty data marks the
+	// entry that a leader appends at the start of its term.
 	EntryCommand EntryType = iota
 	// EntryMembership holds an encoded Membership.
 	EntryMembership
@@ -39,14 +47,15 @@
 	Data  []byte
 }
 
-// HardState is what a node must have synced before it speaks in a term.
+// HardState is the state that a node must sync before it sends messages that
+// depend on it. Commit alone needs no sync.
 type HardState struct {
 	Term   uint64
 	Vote   NodeID
 	Commit uint64
 }
 
-// Snapshot replaces the log up to and including Index.
+// Snapshot is the state that replaces the log up to and including Index.
 type Snapshot struct {
 	Index      uint64
 	Term       uint64
@@ -54,14 +63,14 @@
 	Data       []byte
 }
 
-// Position is an index of the log and the term of the entry there.
+// Position is a log index and the term of the entry at that index.
 type Position struct {
 	Index uint64
 	Term  uint64
 }
 
-// Saved is what a node finds in its data folder when it starts. Base is the
-// position just before the first of Entries.
+// Saved is the state that a node reads from its data folder when it starts. Base
+// is the position just before the first of Entries.
 type Saved struct {
 	HardState HardState
 	Snapshot  Snapshot
@@ -69,11 +78,13 @@
 	Entries   []Entry
 }
 
-// MessageType says what a Message asks or answers.
+// MessageType is the kind of a Message.
 type MessageType uint8
 
-// The messages between nodes. A reply of type MessageAppendReply answers
-// MessageAppend and MessageSnapshot.
+// The types of messages between nodes. MessageAppendReply answers both
+// MessageAppend and MessageSnapshot. MessageTimeoutNow asks the target of a
+// leadership transfer to start an election. MessageRemoved notifies a former member
+// that its removal is committed.
 const (
 	MessagePreVote MessageType = iota + 1
 	MessagePreVoteReply
@@ -88,17 +99,17 @@
 	MessageRemoved
 )
 
-// Message is sent from one node to another; it may be lost, doubled, delayed
-// or reordered.
+// Message is sent from one node to another. The network may lose, duplicate, delay
+// or reorder messages.
 type Message struct {
 	Type  MessageType
 	Group GroupID
 	From  NodeID
 	To    NodeID
 	Term  uint64
-	// Index and LogTerm are the last entry of a candidate, the entry before
-	// Entries in an append, or in a reply the index that matches (or, with
-	// Reject, the one that did not).
+	// Index and LogTerm describe the last entry of a candidate's log or, in an
+	// append, the entry before Entries. In a reply to an append or snapshot, Index
+	// is the last index that matches or, with Reject, the index that did not.
 	Index   uint64
 	LogTerm uint64
 	Entries []Entry
@@ -106,25 +117,25 @@
 	Reject  bool
 	// Hint is the highest index at which a rejecting follower may match.
 	Hint uint64
-	// Forced marks a candidate that the leader itself told to start, so that
-	// voters need not wait until they miss the leader.
+	// Forced marks the election of a leadership transfer. The leader requested it,
+	// so voters ignore their vote promise.
 	Forced bool
-	// SentAt and Round are the leader's clock and heartbeat round; a reply
-	// echoes them, which renews the lease and confirms reads.
+	// SentAt and Round are the leader's time and heartbeat round at the sending.
+	// The reply echoes both: SentAt renews the lease and Round confirms reads.
 	SentAt   time.Duration
 	Round    uint64
 	Snapshot *Snapshot
 }
 
-// Read is a read that may be answered once Index has been applied.
+// Read is a confirmed read, which the driver may answer once it has applied Index.
 type Read struct {
 	ID    uint64
 	Index uint64
 }
 
-// Ready is the work of one step. The driver first persists Snapshot, Entries
-// and HardState in one sync, then sends Messages, applies Committed, answers
-// Reads and calls Advance.
+// Ready is the work that a node has for its driver. If MustPersist is set, the
+// driver first persists Snapshot, Entries and HardState in one sync. It then sends
+// Messages, applies Committed, answers Reads and calls Advance.
 type Ready struct {
 	HardState   HardState
 	MustPersist bool
@@ -135,12 +146,12 @@
 	Reads       []Read
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there is no work.
 func (r Ready) Empty() bool {
 	return !r.MustPersist && len(r.Messages) == 0 && len(r.Committed) == 0 && len(r.Reads) == 0
 }
 
-// Role is what a node is in its term.
+// Role is the role of a node in its current term.
 type Role uint8
 
 // The roles of a node.
@@ -151,7 +162,7 @@
 	RoleLeader
 )
 
-// String returns the role's name as the status shows it.
+// String returns the role's name as shown in the status.
 func (r Role) String() string {
 	switch r {
 	case RoleLeader:
@@ -165,41 +176,43 @@
 	}
 }
 
-// Errors of the step machine.
+// Errors returned by New and by the methods of Node.
 const (
 	ErrNotLeader        = errors.ConstError("this node is not the leader")
 	ErrNotReady         = errors.ConstError("the leader has not yet committed an entry of its own term")
-	ErrBusy             = errors.ConstError("too much is proposed and not yet committed")
-	ErrTransferring     = errors.ConstError("the leader is handing over")
+	ErrBusy             = errors.ConstError("too many proposed entries are not yet committed")
+	ErrTransferring     = errors.ConstError("a leadership transfer is in progress")
 	ErrChangePending    = errors.ConstError("an earlier membership change is not yet committed")
-	ErrUnsafeChange     = errors.ConstError("the membership change could leave no majority that answers")
-	ErrInvalidChange    = errors.ConstError("the membership change is not one step")
-	ErrNoTransferTarget = errors.ConstError("no other voter answers and holds the log")
-	ErrInvalidConfig    = errors.ConstError("the node's configuration is not complete")
-	ErrInvariant        = errors.ConstError("the step was refused: it would break an invariant")
+	ErrUnsafeChange     = errors.ConstError("the membership change could leave the group without a responsive majority")
+	ErrInvalidChange    = errors.ConstError("the membership change is not a valid single step")
+	ErrNoTransferTarget = errors.ConstError("no other voter has answered within the election timeout")
+	ErrInvalidConfig    = errors.ConstError("the node's configuration is incomplete or invalid")
+	ErrInvariant        = errors.ConstError("the step was rejected: it would violate an invariant")
 )
 
-// Config sets a node's identity and timing.
+// Config holds a node's identity, timing and limits.
 type Config struct {
 	ID    NodeID
 	Group GroupID
-	// ElectionTimeout is how long a node that heard from a leader neither
-	// starts an election nor votes in one.
+	// ElectionTimeout is the time for which a node neither starts an election nor
+	// votes after it received a message from a leader.
 	ElectionTimeout time.Duration
-	// HeartbeatInterval is how often a leader speaks to each member.
+	// HeartbeatInterval is the time between two heartbeats to each member. It must
+	// be less than half of ElectionTimeout.
 	HeartbeatInterval time.Duration
-	// LeaseMargin is taken off the lease, for clocks that run at different
+	// LeaseMargin shortens the lease to allow for clocks that run at different
 	// rates: the lease lasts ElectionTimeout - LeaseMargin.
 	LeaseMargin time.Duration
-	// MaxBatchBytes bounds the entries in one append.
+	// MaxBatchBytes limits the data of the entries in one append, except that an
+	// append always has room for one entry. Zero means 1 MiB.
 	MaxBatchBytes int
-	// MaxInflight bounds the entries sent to a follower and not yet
-	// acknowledged.
+	// MaxInflight limits the entries that are sent to a member and not yet
+	// acknowledged. Zero means 4096.
 	MaxInflight uint64
-	// MaxUncommitted bounds the entries that a leader accepts ahead of the
-	// commit index; beyond it Propose returns ErrBusy.
+	// MaxUncommitted limits the entries that a leader accepts beyond the commit
+	// index. At the limit Propose returns ErrBusy. Zero means 16384.
 	MaxUncommitted uint64
-	// Rand spreads the election timeouts.
+	// Rand randomises the election timeouts.
 	Rand *rand.Rand
 }
 
