--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -8,23 +8,24 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// Defaults of Config that a driver may leave zero.
+// Defaults for the fields of Config that a driver may leave zero.
 const (
 	defaultMaxBatchBytes  = 1 << 20
 	defaultMaxInflight    = 4096
 	defaultMaxUncommitted = 16384
 )
 
-// never is a point in time before any that a driver passes in.
+// never is a time before any that a driver passes in.
 const never = time.Duration(-1 << 62)
 
-// Node is one replica's step machine. It is not safe for concurrent use.
+// Node is the consensus state machine of one replica. Time, messages and disk
+// results come only from its driver. It is not safe for concurrent use.
 type Node struct {
 	cfg  Config
 	now  time.Duration
 	role Role
 	hard HardState
-	// savedHard is the hard state as last persisted.
+	// savedHard is the hard state that was last persisted.
 	savedHard HardState
 	leader    NodeID
 	log       raftLog
@@ -32,21 +33,26 @@
 	membership      Membership
 	membershipIndex uint64
 	membershipTerm  uint64
-	removed         bool
+	// removed is set once this node learns that its removal is committed.
+	removed bool
 
-	// heardAt is when this node last heard from a leader, or started. Until
-	// ElectionTimeout later it votes for nobody: the leader's lease rests on
-	// that, also when this node has restarted and forgotten whom it heard.
+	// heardAt is the time at which this node last received a message from a
+	// leader, led, or started. It grants no vote for an ElectionTimeout after
+	// that: the leader's lease depends on this promise. The start counts because
+	// a restarted node does not know what it received before.
 	heardAt     time.Duration
 	electionDue time.Duration
 	votes       map[NodeID]bool
 
-	// What follows is kept by a leader only and reset in each term.
-	progress     map[NodeID]*progress
-	leaderSince  time.Duration
+	// The fields below are used only by a leader and reset when it is elected.
+	progress    map[NodeID]*progress
+	leaderSince time.Duration
+	// openingIndex is the index of the empty entry that began the leader's term.
 	openingIndex uint64
 	heartbeatDue time.Duration
-	round        uint64
+	// round numbers the heartbeats that the leader broadcast in this term.
+	round uint64
+	// roundWanted is set while a pending read needs a new round.
 	roundWanted  bool
 	pendingReads []pendingRead
 	transfer     transfer
@@ -56,7 +62,8 @@
 	reads           []Read
 }
 
-// New returns a node with the state of its data folder.
+// New returns a node with the state read from its data folder. It returns
+// ErrInvalidConfig for an invalid cfg and ErrInvariant for an inconsistent state.
 func New(cfg Config, saved Saved, now time.Duration) (*Node, error) {
 	if err := cfg.check(); err != nil {
 		return nil, errors.Trace(err)
@@ -76,7 +83,7 @@
 	n.log.applied = saved.Snapshot.Index
 	n.log.committed = max(saved.HardState.Commit, saved.Snapshot.Index)
 	if n.log.committed > n.log.lastIndex() {
-		return nil, errors.Annotate(ErrInvariant, "the commit index is past the log")
+		return nil, errors.Annotate(ErrInvariant, "the commit index is beyond the end of the log")
 	}
 	if err := n.reloadMembership(); err != nil {
 		return nil, errors.Trace(err)
@@ -84,13 +91,14 @@
 	n.removed = n.membership.IsRemoved(cfg.ID)
 	n.resetElection()
 	if v := n.membership.Voters(); len(v) == 1 && v[0] == cfg.ID {
-		// Nobody else can have been promised anything.
+		// No other node can hold this node's vote promise, so it need not wait.
 		n.electionDue = now
 	}
 	return n, nil
 }
 
-// Tick lets time pass: elections, heartbeats and the check of the quorum.
+// Tick advances the clock to now. It starts a due election or, on a leader, checks
+// the quorum and sends due heartbeats.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.role == RoleLeader {
@@ -102,18 +110,21 @@
 	}
 }
 
-// advanceClock ignores a clock that steps back; the driver's must not.
+// advanceClock sets the node's time to now. It ignores a step back, although a
+// driver's clock must be monotonic.
 func (n *Node) advanceClock(now time.Duration) {
 	n.now = max(n.now, now)
 }
 
+// resetElection sets the next election to a random time, one to two election
+// timeouts from now.
 func (n *Node) resetElection() {
 	spread := time.Duration(n.cfg.Rand.Int64N(int64(n.cfg.ElectionTimeout)))
 	n.electionDue = n.now + n.cfg.ElectionTimeout + spread
 }
 
-// Step takes one message. A message that is not for this node and group, or
-// is of the past, changes nothing.
+// Step handles one message. It ignores a message for another node or group. A
+// message of an earlier term changes no state.
 func (n *Node) Step(now time.Duration, m Message) {
 	n.advanceClock(now)
 	if m.Group != n.cfg.Group || m.To != n.cfg.ID || n.removed {
@@ -136,8 +147,9 @@
 	n.dispatch(m)
 }
 
-// enterTerm moves to the later term of m, unless m asks for a vote that this
-// node has promised its leader not to give. It tells whether to handle m.
+// enterTerm handles the later term of m and reports whether to handle m itself. It
+// returns false for a vote request that this node's vote promise forbids. A
+// pre-vote request, or the grant of one, does not change the term.
 func (n *Node) enterTerm(m Message) bool {
 	switch m.Type {
 	case MessagePreVote:
@@ -155,10 +167,11 @@
 	return true
 }
 
-// promised tells whether this node may not vote, because it heard from a
-// leader, led, or started less than an election timeout ago. A leader's lease
-// ends before this promise of a majority does. It also keeps a node that was
-// cut off, or removed without knowing, from unseating a working leader.
+// promised reports whether this node has promised not to vote: it leads, or it
+// received a message from a leader, led or started less than an election timeout
+// ago. The leader's lease ends before a majority's promises do. The promise also
+// prevents a node that was partitioned, or removed without knowing it, from
+// deposing a working leader.
 func (n *Node) promised() bool {
 	return n.role == RoleLeader || n.now-n.heardAt < n.cfg.ElectionTimeout
 }
@@ -182,8 +195,8 @@
 	}
 }
 
-// answerOldTerm tells a sender of an earlier term which term it is, so that a
-// leader or candidate left behind steps down.
+// answerOldTerm sends the current term to a sender in an earlier term, so that a
+// stale leader or candidate steps down.
 func (n *Node) answerOldTerm(m Message) {
 	switch m.Type {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
@@ -193,8 +206,10 @@
 	}
 }
 
-// refuseStranger answers a candidate whose removal is committed. It keeps
-// asking otherwise, because nobody sends the removed the log any more.
+// refuseStranger reports whether the sender's removal is committed, in which case
+// the message is dropped. It notifies a removed candidate of its removal.
+// Otherwise the candidate would request votes forever, because no leader sends the
+// log to a removed member.
 func (n *Node) refuseStranger(m Message) bool {
 	if !n.membership.IsRemoved(m.From) || n.membershipIndex > n.log.committed {
 		return false
@@ -205,8 +220,8 @@
 	return true
 }
 
-// handleRemoved ends this node's part. Its sender has seen the removal
-// committed, and an identity never becomes a member again.
+// handleRemoved makes this node ignore all later messages. The sender knows that
+// the removal is committed, and a removed identity never becomes a member again.
 func (n *Node) handleRemoved(m Message) {
 	if _, ok := n.membership.Find(m.From); !ok {
 		return
@@ -215,13 +230,14 @@
 	n.removed = true
 }
 
+// becomeFollower enters term as a follower of leader, which is zero if unknown.
 func (n *Node) becomeFollower(term uint64, leader NodeID) {
 	if !invariant.Check(term >= n.hard.Term, "terms never fall", "from %d to %d", n.hard.Term, term) {
 		return
 	}
 	if n.role == RoleLeader {
-		// This node's own word counted in the quorum behind its lease, so it
-		// keeps the promise that it would have made to another leader.
+		// This node counted itself in the quorum for its lease, so it makes the
+		// same vote promise that it would have made to another leader.
 		n.heardAt = n.now
 	}
 	if term > n.hard.Term {
@@ -247,9 +263,12 @@
 	n.messages = append(n.messages, m)
 }
 
-// Propose appends a command and returns its position. It is committed when
-// Ready hands it out, and surely lost when Ready hands out another entry with
-// the same index.
+// Propose appends a command and returns its position. The command is committed
+// once Ready returns it in Committed. It is lost once Ready returns an entry with
+// the same index and another term.
+//
+// It returns ErrNotLeader on a node that does not lead, ErrTransferring during a
+// leadership transfer, and ErrBusy when MaxUncommitted entries are uncommitted.
 func (n *Node) Propose(data []byte) (Position, error) {
 	if err := n.checkProposer(); err != nil {
 		return Position{}, errors.Trace(err)
@@ -264,19 +283,20 @@
 	if n.transfer.target != 0 {
 		return ErrTransferring
 	}
-	// A group that has lost its quorum would else collect proposals without
-	// end while callers retry.
+	// Without this limit, a group that has lost its quorum would accumulate
+	// proposals without bound while callers retry.
 	if n.log.lastIndex()-n.log.committed >= n.cfg.MaxUncommitted {
 		return ErrBusy
 	}
 	return nil
 }
 
+// appendOwn appends an entry of the leader's current term.
 func (n *Node) appendOwn(t EntryType, data []byte) Position {
 	p := Position{Index: n.log.lastIndex() + 1, Term: n.hard.Term}
 	n.log.entries = append(n.log.entries, Entry{Term: p.Term, Index: p.Index, Type: t, Data: data})
 	if t == EntryMembership {
-		// The data was encoded just before, so it decodes.
+		// ProposeMembership has just encoded the data, so decoding cannot fail.
 		_ = n.reloadMembership()
 	}
 	return p
