--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -6,9 +6,11 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// startPreVote asks whether an election could be won, without a new term.
-// Without it a node that was cut off returns with a high term and unseats a
-// leader that works.
+// startPreVote asks the voters whether this node could win an election, without
+// starting a new term. Without a pre-vote, a node that returns from a network
+// partition has a higher term and deposes a working leader.
+//
+// A forced call skips the pre-vote and starts the election at once.
 func (n *Node) startPreVote(forced bool) {
 	n.resetElection()
 	n.leader = 0
@@ -25,18 +27,24 @@
 	n.askForVotes(MessagePreVote, n.hard.Term+1, false)
 }
 
-// retryParts is the part of the election timeout after which a candidate that
-// did not win tries again, at the earliest; at the latest it is twice that. A
-// first try often comes a moment before the voters' promises end, or against
-// another candidate's. A quarter is many round trips, and the wait for a whole
-// timeout more would double the time without a leader.
+// retryParts divides the election timeout to give the shortest delay before an
+// unsuccessful candidate retries. The longest delay is twice the shortest.
+//
+// A first attempt often fails because the voters' promises have a moment left to
+// run, or because it competes with another candidate. A quarter of the timeout
+// spans many round trips. A delay of a whole timeout would double the time
+// without a leader.
 const retryParts = 4
 
+// scheduleRetry sets the next election attempt to a random time within the retry
+// range.
 func (n *Node) scheduleRetry() {
 	least := n.cfg.ElectionTimeout / retryParts
 	n.electionDue = n.now + least + time.Duration(n.cfg.Rand.Int64N(int64(least)))
 }
 
+// startElection enters a new term, votes for this node and requests the other
+// voters' votes.
 func (n *Node) startElection(forced bool) {
 	n.hard.Term++
 	n.hard.Vote = n.cfg.ID
@@ -61,8 +69,9 @@
 	}
 }
 
-// votesWon counts only voters of the present membership, so that a vote by an
-// identity that is not, or not yet, a voter has no weight.
+// votesWon reports whether a majority has granted its vote. It counts only
+// voters of the current membership: a vote from a learner or a non-member does
+// not count.
 func (n *Node) votesWon() bool {
 	granted := 0
 	for _, id := range n.membership.Voters() {
@@ -73,7 +82,8 @@
 	return granted >= n.membership.Quorum()
 }
 
-// upToDate tells whether a candidate's log holds all that may be committed.
+// upToDate reports whether the candidate's log is at least as up to date as the
+// local log, so that it holds every entry that may be committed.
 func (n *Node) upToDate(m Message) bool {
 	last := n.log.last()
 	return m.LogTerm > last.Term || (m.LogTerm == last.Term && m.Index >= last.Index)
@@ -89,8 +99,9 @@
 }
 
 func (n *Node) handleVote(m Message) {
-	// The promise is checked here too: this node can have come to the
-	// candidate's term by another message while its leader's lease still runs.
+	// enterTerm checks the vote promise only for a message of a later term. This
+	// node may already be in the candidate's term because of another message,
+	// while its leader's lease still runs.
 	free := n.hard.Vote == 0 && n.leader == 0 && (m.Forced || !n.promised())
 	grant := (free || n.hard.Vote == m.From) && n.upToDate(m)
 	if grant && !n.recordVote(m.From) {
@@ -99,8 +110,9 @@
 	n.send(Message{Type: MessageVoteReply, To: m.From, Reject: !grant})
 }
 
-// recordVote notes the vote in the hard state; the reply leaves only after
-// Ready's sync, so that a crash can't make this node forget it and vote twice.
+// recordVote stores the vote in the hard state. The driver sends the reply only
+// after it has synced the hard state, so a crash cannot make this node forget the
+// vote and vote twice in a term.
 func (n *Node) recordVote(candidate NodeID) bool {
 	ok := invariant.Check(n.hard.Vote == 0 || n.hard.Vote == candidate, "one vote in a term",
 		"term %d: voted for %x, asked by %x", n.hard.Term, uint64(n.hard.Vote), uint64(candidate))
@@ -136,6 +148,8 @@
 	n.becomeLeader()
 }
 
+// becomeLeader starts this node's leadership of the current term. It appends an
+// empty entry: earlier entries can commit only together with one of this term.
 func (n *Node) becomeLeader() {
 	n.role = RoleLeader
 	n.leader = n.cfg.ID
@@ -154,8 +168,8 @@
 	n.beat()
 }
 
-// handleTimeoutNow starts an election at the wish of the leader, which has
-// given up its lease before it sent this.
+// handleTimeoutNow starts an election at once, as the target of a leadership
+// transfer. The leader gave up its lease before it sent the message.
 func (n *Node) handleTimeoutNow(m Message) {
 	if m.From != n.leader || n.role != RoleFollower {
 		return
