--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -8,31 +8,33 @@
 	"github.com/juju/errors"
 )
 
-// pendingRead waits until a majority has answered a round that began after it.
+// pendingRead is a read that waits until a majority has answered a heartbeat
+// round that began after the read was requested.
 type pendingRead struct {
 	id    uint64
 	index uint64
 	round uint64
 }
 
-// transfer is a handover of leadership that is under way.
+// transfer is a leadership transfer in progress. The zero value means none.
 type transfer struct {
 	target NodeID
 	due    time.Duration
-	// told is set once the target may start its election. From then on the
-	// leader has no lease in this term: the target's election does not wait
-	// for the voters' promise, however late the message arrives.
+	// told is set when the leader sends MessageTimeoutNow. From then on the
+	// leader has no lease in this term. The message may arrive at any later
+	// time, and the target's election ignores the voters' promises.
 	told bool
 }
 
-// nthHighest returns the n-th highest of values.
+// nthHighest returns the n-th highest of values, counted from 1. It sorts values.
 func nthHighest[T cmp.Ordered](values []T, n int) T {
 	slices.Sort(values)
 	return values[len(values)-n]
 }
 
-// quorumAckedAt is the latest moment, by this leader's clock, at which
-// messages were sent that a majority, with this node, has answered.
+// quorumAckedAt returns the latest time, on this leader's clock, such that a
+// majority has answered a message sent at or after that time. The leader counts
+// as part of the majority. The result is never if no majority has answered.
 func (n *Node) quorumAckedAt() time.Duration {
 	var acks []time.Duration
 	for _, id := range n.membership.Voters() {
@@ -45,16 +47,17 @@
 	return nthHighest(acks, n.membership.Quorum())
 }
 
-// LeaseExpiry is the moment until which no other node can lead, by the clock
-// that the driver passes in. It is zero without a lease.
+// LeaseExpiry returns the time until which no other node can lead, on the clock
+// that the driver passes in. It returns zero if this node holds no lease.
 //
-// A majority has promised, at or after the moment the leader sent the message
-// that they answered, to elect nobody for an election timeout. The lease
-// counts from the sending and is shorter by LeaseMargin, so it ends first also
-// when the clocks run at different rates. It holds only after an entry of
-// this leader's own term is applied: before it is committed, the leader may not
-// know of all that earlier leaders committed, and before it is applied, the state
-// machine lacks some of that.
+// Each voter that answers the leader promises not to vote for an election
+// timeout. The promise starts when the voter receives the message. The lease
+// starts earlier, when the leader sends it, and is shorter by LeaseMargin.
+// It therefore ends before the promises even if clocks run at different rates.
+//
+// The lease is valid only after an entry of the leader's own term is applied.
+// Before that entry is committed, the leader may not know every entry that earlier
+// leaders committed. Before it is applied, the state machine may lack some of them.
 func (n *Node) LeaseExpiry() time.Duration {
 	if n.role != RoleLeader || n.transfer.told || n.log.applied < n.openingIndex {
 		return 0
@@ -66,18 +69,21 @@
 	return max(0, acked+n.cfg.ElectionTimeout-n.cfg.LeaseMargin)
 }
 
-// Active tells whether a member answered within the last election timeout.
+// Active reports whether a member answered within the last election timeout.
 func (n *Node) Active(id NodeID) bool {
 	return n.answeredWithin(id, n.cfg.ElectionTimeout)
 }
 
-// Fresh tells whether a member answered within the last few heartbeats, which
-// is what a change that needs its vote asks for.
+// Fresh reports whether a member answered within the last freshHeartbeats
+// heartbeat intervals. A membership change that needs the member's vote requires
+// this.
 func (n *Node) Fresh(id NodeID) bool {
 	return n.answeredWithin(id, freshHeartbeats*n.cfg.HeartbeatInterval)
 }
 
-// SilentFor is how long a member has not answered this leader.
+// SilentFor returns the time since a member last answered this leader, or since
+// this node began to lead if the member has not answered. It returns zero for
+// this node and for a non-member.
 func (n *Node) SilentFor(id NodeID) time.Duration {
 	p := n.progress[id]
 	if p == nil || id == n.cfg.ID {
@@ -98,9 +104,11 @@
 	return n.role == RoleLeader && n.log.committed >= n.openingIndex
 }
 
+// tickLeader checks the quorum and the leadership transfer, and sends heartbeats
+// that are due.
 func (n *Node) tickLeader() {
-	// A leader that a majority no longer answers steps down, so that its
-	// callers look for the new one and it answers nobody from old state.
+	// A leader that a majority no longer answers steps down. Its callers then
+	// look for the new leader, and it serves nobody from stale state.
 	answered := max(n.quorumAckedAt(), n.leaderSince)
 	if n.now-answered > n.cfg.ElectionTimeout {
 		n.becomeFollower(n.hard.Term, 0)
@@ -115,8 +123,9 @@
 	}
 }
 
-// endTransfer gives up a handover that took too long. Once the target was
-// told, only a new term brings the lease back.
+// endTransfer aborts a leadership transfer that exceeded its time limit. If the
+// leader has sent MessageTimeoutNow, it steps down: it cannot hold a lease again
+// in this term.
 func (n *Node) endTransfer() {
 	if n.transfer.told {
 		n.becomeFollower(n.hard.Term, 0)
@@ -125,9 +134,12 @@
 	n.transfer = transfer{}
 }
 
-// ReadIndex asks for a linearizable read. Ready returns it with the index
-// that must be applied first, once a majority has confirmed this leader after
-// the call. A read that was asked for is forgotten when the leader steps down.
+// ReadIndex requests a linearizable read. After a majority has confirmed this
+// leader's term in a later heartbeat round, Ready returns the read with the index
+// that must be applied first. The node discards pending reads when it steps down.
+//
+// It returns ErrNotLeader on a node that does not lead, and ErrNotReady before an
+// entry of the leader's own term is committed.
 func (n *Node) ReadIndex(now time.Duration, id uint64) error {
 	n.advanceClock(now)
 	if n.role != RoleLeader {
@@ -141,6 +153,8 @@
 	return nil
 }
 
+// confirmReads releases the pending reads whose heartbeat round a majority has
+// answered.
 func (n *Node) confirmReads() {
 	if len(n.pendingReads) == 0 {
 		return
@@ -161,8 +175,12 @@
 	}
 }
 
-// TransferLeadership hands over to the voter that answers and holds the most
-// of the log. Proposals are refused until the handover ends.
+// TransferLeadership starts a transfer to the active voter with the longest
+// matching log. It returns nil if a transfer is already in progress. The node
+// rejects proposals until the transfer ends.
+//
+// It returns ErrNotLeader on a node that does not lead, and ErrNoTransferTarget
+// if no other voter is active.
 func (n *Node) TransferLeadership(now time.Duration) error {
 	n.advanceClock(now)
 	if n.role != RoleLeader {
@@ -188,7 +206,8 @@
 	return nil
 }
 
-// maybeHandOver tells the target to start once it holds the whole log.
+// maybeHandOver sends MessageTimeoutNow to the transfer target once the target
+// holds the complete log.
 func (n *Node) maybeHandOver() {
 	t := n.transfer.target
 	if t == 0 || n.transfer.told {
@@ -202,8 +221,8 @@
 	n.send(Message{Type: MessageTimeoutNow, To: t})
 }
 
-// LeaderSince is when this node began to lead, by the driver's clock; it is
-// zero on a node that does not lead.
+// LeaderSince returns the time at which this node began to lead, on the driver's
+// clock. It returns zero on a node that does not lead.
 func (n *Node) LeaderSince() time.Duration {
 	if n.role != RoleLeader {
 		return 0
