--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -4,14 +4,14 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// raftLog is the part of the log since the last compaction, in memory.
+// raftLog is the in-memory part of the log: all entries since the last compaction.
 type raftLog struct {
 	snapshot Snapshot
-	// base is the position before entries[0]; it is at or below the snapshot,
-	// so that a follower a little behind catches up from entries.
+	// base is the position just before entries[0]. It is at or below the snapshot
+	// so that a follower slightly behind can catch up from entries.
 	base    Position
 	entries []Entry
-	// stable is the last index that is synced.
+	// stable is the last index that is synced to disk.
 	stable    uint64
 	committed uint64
 	applied   uint64
@@ -19,6 +19,7 @@
 
 func (l *raftLog) lastIndex() uint64 { return l.base.Index + uint64(len(l.entries)) }
 
+// last returns the position of the last entry, or base if there are no entries.
 func (l *raftLog) last() Position {
 	if len(l.entries) == 0 {
 		return l.base
@@ -27,7 +28,8 @@
 	return Position{Index: e.Index, Term: e.Term}
 }
 
-// term returns the term of the entry at index, if the log still holds it.
+// term returns the term of the entry at index. It returns false if the log does
+// not hold the entry.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	if index == l.base.Index {
 		return l.base.Term, true
@@ -38,12 +40,14 @@
 	return l.entries[index-l.base.Index-1].Term, true
 }
 
+// matches reports whether the log has an entry with p's index and term.
 func (l *raftLog) matches(p Position) bool {
 	term, ok := l.term(p.Index)
 	return ok && term == p.Term
 }
 
-// after returns the entries from index on, up to maxBytes but at least one.
+// after returns the entries that follow index. Their data is at most maxBytes in
+// total, except that a first entry of any size is included.
 func (l *raftLog) after(index uint64, maxBytes int) []Entry {
 	if index >= l.lastIndex() {
 		return nil
@@ -59,7 +63,7 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// between returns the entries of (from, to].
+// between returns the entries in (from, to].
 func (l *raftLog) between(from, to uint64) []Entry {
 	if to <= from {
 		return nil
@@ -69,8 +73,8 @@
 	return l.entries[low:high:high]
 }
 
-// merge appends those of entries that the log lacks and drops what conflicts.
-// It refuses to touch committed entries.
+// merge appends the entries that the log lacks and drops local entries that
+// conflict with them. It returns false if a conflict is at a committed index.
 func (l *raftLog) merge(entries []Entry) bool {
 	for i, e := range entries {
 		if e.Index <= l.base.Index || l.matches(Position{Index: e.Index, Term: e.Term}) {
@@ -87,8 +91,8 @@
 	return true
 }
 
-// truncate drops the entries after index. The rest is copied on the next
-// append, because messages on their way may share the memory.
+// truncate drops the entries after index. The next append copies the remaining
+// entries, because messages in flight may share their memory.
 func (l *raftLog) truncate(index uint64) {
 	if index >= l.lastIndex() {
 		return
@@ -98,6 +102,7 @@
 	l.stable = min(l.stable, index)
 }
 
+// commitTo raises the commit index. It returns false if index is beyond the log.
 func (l *raftLog) commitTo(index uint64) bool {
 	if index <= l.committed {
 		return true
@@ -110,7 +115,7 @@
 	return true
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the complete log with a snapshot.
 func (l *raftLog) restore(s Snapshot) {
 	l.snapshot = s
 	l.base = Position{Index: s.Index, Term: s.Term}
@@ -134,8 +139,9 @@
 	l.base = Position{Index: index, Term: term}
 }
 
-// hintFor returns the highest index at or below p.Index whose term is not
-// above p.Term: the leader need not try an index between the two.
+// hintFor returns the highest index at or below p.Index whose term is at most
+// p.Term. No index between the result and p.Index can match, so the leader need
+// not try one.
 func (l *raftLog) hintFor(p Position) uint64 {
 	index := min(p.Index, l.lastIndex())
 	for index > l.base.Index {
