--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -7,44 +7,46 @@
 	"github.com/juju/errors"
 )
 
-// maxRemoved bounds the identities remembered as removed: 8 bytes each, and
-// one is added only when a VM loses its disk or an operator removes it.
+// maxRemoved is the most removed identities that a Membership keeps. Each takes 8
+// bytes, and one is added only when a VM loses its disk or an operator removes a
+// member.
 const maxRemoved = 1024
 
 // Member is one replica of the group.
 type Member struct {
 	ID NodeID `json:"id"`
-	// VM is the stable name of the machine; the ID changes with its disk.
+	// VM is the stable name of the machine. The ID changes with the disk.
 	VM         string `json:"vm"`
 	DataCentre string `json:"data_centre,omitempty"`
 	// Address is the IP and port at which the other members reach it.
 	Address string `json:"address"`
-	// Learner receives the log but neither votes nor counts for a quorum.
+	// Learner is set if the member receives the log but neither votes nor counts
+	// towards a quorum.
 	Learner bool `json:"learner,omitempty"`
 }
 
-// Membership is the whole list of replicas. It takes effect when it is
-// appended to the log, committed or not.
+// Membership is the complete list of replicas. A node uses a list as soon as it
+// is appended to the log, before it is committed.
 type Membership struct {
 	Members []Member `json:"members"`
-	// Removed lists identities that were members once and never are again.
+	// Removed lists identities of former members, which can never join again.
 	Removed []NodeID `json:"removed,omitempty"`
 }
 
-// EncodeMembership returns the data of an EntryMembership.
+// EncodeMembership returns the membership as the data of an EntryMembership.
 func EncodeMembership(m Membership) ([]byte, error) {
 	data, err := json.Marshal(m)
 	return data, errors.Trace(err)
 }
 
-// DecodeMembership reads the data of an EntryMembership.
+// DecodeMembership decodes the data of an EntryMembership.
 func DecodeMembership(data []byte) (Membership, error) {
 	var m Membership
 	err := json.Unmarshal(data, &m)
 	return m, errors.Trace(err)
 }
 
-// Find returns the member with the id.
+// Find returns the member with the given id, and whether there is one.
 func (m Membership) Find(id NodeID) (Member, bool) {
 	for _, member := range m.Members {
 		if member.ID == id {
@@ -54,7 +56,7 @@
 	return Member{}, false
 }
 
-// Voters returns the identities that vote, in the order of the list.
+// Voters returns the identities of the voters, in the order of Members.
 func (m Membership) Voters() []NodeID {
 	var ids []NodeID
 	for _, member := range m.Members {
@@ -65,24 +67,24 @@
 	return ids
 }
 
-// IsVoter tells whether id votes.
+// IsVoter reports whether id is a voter.
 func (m Membership) IsVoter(id NodeID) bool {
 	member, ok := m.Find(id)
 	return ok && !member.Learner
 }
 
-// IsRemoved tells whether id was a member and was removed.
+// IsRemoved reports whether id was a member and has been removed.
 func (m Membership) IsRemoved(id NodeID) bool {
 	return slices.Contains(m.Removed, id)
 }
 
-// Quorum is how many voters make a majority.
+// Quorum returns the number of voters that make a majority.
 func (m Membership) Quorum() int {
 	return len(m.Voters())/2 + 1
 }
 
-// With returns a copy in which member replaces the one with its ID, or is
-// added.
+// With returns a copy in which member replaces the entry with the same ID, or is
+// added if there is none.
 func (m Membership) With(member Member) Membership {
 	next := m.clone()
 	for i := range next.Members {
@@ -95,7 +97,7 @@
 	return next
 }
 
-// Without returns a copy that lists id as removed.
+// Without returns a copy without the member id, and with id in Removed.
 func (m Membership) Without(id NodeID) Membership {
 	next := m.clone()
 	next.Members = slices.DeleteFunc(next.Members, func(member Member) bool { return member.ID == id })
@@ -110,7 +112,8 @@
 	return Membership{Members: slices.Clone(m.Members), Removed: slices.Clone(m.Removed)}
 }
 
-// votersChanged counts the identities that vote in one of the two lists only.
+// votersChanged returns the number of identities that are voters in exactly one of
+// the two lists.
 func votersChanged(a, b Membership) int {
 	changed := 0
 	for _, id := range a.Voters() {
@@ -126,10 +129,11 @@
 	return changed
 }
 
-// checkChange refuses a change that is not one step from the present list.
+// checkChange returns ErrInvalidChange unless next is a single-step change of the
+// current list.
 //
-// Majorities of two lists that differ in one voter always overlap; with two
-// voters exchanged at once, two disjoint majorities could elect a leader each.
+// Majorities of two lists that differ in one voter always overlap. If two voters
+// were exchanged at once, two disjoint majorities could each elect a leader.
 func (n *Node) checkChange(next Membership) error {
 	if votersChanged(n.membership, next) > 1 {
 		return errors.Annotate(ErrInvalidChange, "more than one voter differs")
@@ -140,24 +144,26 @@
 	seen := map[NodeID]bool{}
 	for _, member := range next.Members {
 		if member.ID == 0 || seen[member.ID] || next.IsRemoved(member.ID) {
-			return errors.Annotatef(ErrInvalidChange, "member %x", uint64(member.ID))
+			return errors.Annotatef(ErrInvalidChange, "identity of member %x is zero, duplicate or removed", uint64(member.ID))
 		}
 		seen[member.ID] = true
 	}
 	return nil
 }
 
-// freshHeartbeats is for how many heartbeat intervals an answer counts when a
-// membership change is judged: one may be lost and one late.
+// freshHeartbeats is the number of heartbeat intervals for which an answer counts
+// as recent when a membership change is checked. It allows for one lost and one
+// late answer.
 const freshHeartbeats = 3
 
-// keepsMajority tells whether enough voters of next have answered just now to
-// commit under it. Without this a second loss just after a removal or a
-// promotion would stop the group although a majority of it lives.
+// keepsMajority reports whether enough voters of next have answered recently to
+// commit entries under next. Without this check, a second loss just after a
+// removal or a promotion would stop a group although a majority of it is alive.
 //
-// A change that makes the majority larger, such as the fourth voter, needs all
-// of them: with one already gone it would take away the last spare, and if the
-// new voter is lost before it counts, the group is stuck for good.
+// A change that raises the quorum, such as adding a fourth voter, requires a
+// recent answer from all voters. If one voter is already lost, the change uses up
+// the failure tolerance. If the new voter is then lost before it has answered, the
+// group can never commit again.
 func (n *Node) keepsMajority(next Membership) bool {
 	voters := next.Voters()
 	fresh := 0
@@ -172,10 +178,14 @@
 	return fresh >= next.Quorum()
 }
 
-// ProposeMembership appends the next list of members. The leader refuses it
-// until it has committed an entry of its own term (otherwise two leaders could
-// each hold an uncommitted change that the other has not seen) and while an
-// earlier change is not committed.
+// ProposeMembership appends the next list of members and returns its position.
+//
+// It returns ErrNotReady until the leader has committed an entry of its own term:
+// otherwise two leaders could each hold an uncommitted change that the other has
+// not seen. It returns ErrChangePending while an earlier change is uncommitted,
+// ErrInvalidChange for a change of more than one step, and ErrUnsafeChange for a
+// change of voters that could leave no responsive majority. Errors of Propose
+// apply as well.
 func (n *Node) ProposeMembership(next Membership) (Position, error) {
 	if err := n.checkProposer(); err != nil {
 		return Position{}, errors.Trace(err)
@@ -199,8 +209,9 @@
 	return n.appendOwn(EntryMembership, data), nil
 }
 
-// reloadMembership takes the last list in the log, or else the snapshot's.
-// It runs after each append, truncation and restore.
+// reloadMembership sets the membership from the last EntryMembership in the log,
+// or from the snapshot if the log has none. It runs after entries are appended or
+// truncated.
 func (n *Node) reloadMembership() error {
 	for i := len(n.log.entries) - 1; i >= 0; i-- {
 		entry := n.log.entries[i]
@@ -224,6 +235,8 @@
 	return nil
 }
 
+// useMembership sets the membership and, on a leader, adds and removes the
+// progress of members to match it.
 func (n *Node) useMembership(m Membership, index, term uint64) {
 	n.membership = m
 	n.membershipIndex = index
