--- a/internal/raft/plan.go
+++ b/internal/raft/plan.go
@@ -1,30 +1,30 @@
 package raft
 
-// MembershipView is what the leader decides the next change of the membership
-// on.
+// MembershipView is the information from which the leader chooses the next
+// membership change.
 type MembershipView struct {
 	Membership Membership
 	Self       NodeID
-	// Wanted is how many voters to aim at.
+	// Wanted is the target number of voters.
 	Wanted int
-	// Joins are the live requests to be a member, ordered by identity.
+	// Joins holds the current join requests, ordered by identity.
 	Joins []Member
-	// Active holds the members that answered lately.
+	// Active holds the members that answered within the last election timeout.
 	Active map[NodeID]bool
-	// CaughtUp holds the members that have all that is committed.
+	// CaughtUp holds the members whose log has all committed entries.
 	CaughtUp map[NodeID]bool
-	// Silent holds the members that have not answered for so long that a
-	// spare should take their place.
+	// Silent holds the members that have not answered for so long that a learner
+	// should replace them.
 	Silent map[NodeID]bool
-	// Fresh holds the members that have answered just now.
+	// Fresh holds the members that answered within the last few heartbeats.
 	Fresh map[NodeID]bool
 }
 
-// NextMembership decides the one change to make now and says why; the reason
-// is empty if there is none.
+// NextMembership returns the one membership change to make now and the reason for
+// it. The reason is empty if no change is needed.
 func NextMembership(v MembershipView) (Membership, string) {
 	if id, ok := replacedMember(v); ok {
-		return v.Membership.Without(id), "its VM came back with an empty disk under a new identity"
+		return v.Membership.Without(id), "the VM of a member rejoins with an empty disk under a new identity"
 	}
 	for _, wants := range v.Joins {
 		present, ok := v.Membership.Find(wants.ID)
@@ -38,27 +38,29 @@
 		}
 	}
 	if id, ok := silentVoter(v); ok {
-		return v.Membership.Without(id), "it has been silent for long and a learner can take its place"
+		return v.Membership.Without(id), "a voter has not answered for the replacement period and a learner can replace it"
 	}
 	if learner, ok := promotable(v); ok {
 		learner.Learner = false
-		return v.Membership.With(learner), "a learner has caught up and a voter is wanted"
+		return v.Membership.With(learner), "a learner has caught up and the group needs another voter"
 	}
 	return Membership{}, ""
 }
 
-// replacedMember returns a member whose VM asks to join under another identity
-// while the old one is silent.
+// replacedMember returns an inactive member whose VM requests to join under
+// another identity.
 //
-// Its disk is gone: it has forgotten what it voted for and acknowledged, so
-// its old identity must never count again. It is removed before the new one
-// is added, so that at no time both count. The removal never makes the group
-// more fragile: the old identity answers no more, and raft refuses the change
-// if the voters that remain and answer are no majority of the shorter list.
+// The VM has lost its disk, and with it the record of its votes and acknowledged
+// entries. The old identity must therefore never count again. It is removed before
+// the new identity is added, so the two never count at the same time.
+//
+// The removal does not reduce fault tolerance: the old identity no longer answers,
+// and ProposeMembership rejects the change unless a majority of the shorter list
+// answers.
 func replacedMember(v MembershipView) (NodeID, bool) {
 	for _, wants := range v.Joins {
-		// A request that was repeated until just before its sender became a
-		// member, or was removed, is still remembered. It replaces nobody.
+		// A join request is kept for some time after its sender became a member
+		// or was removed. Such a stale request replaces no member.
 		_, present := v.Membership.Find(wants.ID)
 		if present || v.Membership.IsRemoved(wants.ID) {
 			continue
@@ -72,6 +74,8 @@
 	return 0, false
 }
 
+// nameTaken reports whether the VM of a join request is a member under another
+// identity.
 func nameTaken(v MembershipView, wants Member) bool {
 	for _, m := range v.Membership.Members {
 		if m.VM == wants.VM && m.ID != wants.ID {
@@ -81,9 +85,9 @@
 	return false
 }
 
-// promotable returns the learner to make a voter: one that answers and has
-// caught up, in the data centre with the fewest voters, so that losing one
-// data centre takes as few voters as can be.
+// promotable returns the learner to promote, if there are fewer voters than
+// wanted. It chooses an active, caught-up learner in the data centre with the
+// fewest voters, so that the loss of a data centre costs as few voters as possible.
 func promotable(v MembershipView) (Member, bool) {
 	perCentre := map[string]int{}
 	voters := 0
@@ -99,14 +103,13 @@
 	return readyLearner(v, perCentre)
 }
 
-// silentVoter returns a voter that has been silent for long, if a learner is
-// ready to be promoted in its place. Without a spare it stays: removing it
-// would only shorten the list. With one, a group that nobody looks after at
-// night gets back the loss that it can bear.
+// silentVoter returns a silent voter that a ready learner can replace. Without
+// such a learner, removing the voter would only shorten the list. With one, the
+// group regains its failure tolerance without an operator, for example at night.
 //
-// All other voters must answer. The silent one may only be cut off, with its
-// disk intact: if another is gone for good, its return may be what gives the
-// group its majority back.
+// All other voters must have answered recently. The silent voter may only be
+// partitioned, with its disk intact. If another voter is lost for good, the group
+// may need the silent one back to reach a majority.
 func silentVoter(v MembershipView) (NodeID, bool) {
 	if _, ok := readyLearner(v, nil); !ok {
 		return 0, false
@@ -124,8 +127,8 @@
 	return silent, silent != 0
 }
 
-// readyLearner returns a learner that answers and has caught up, from the data
-// centre with the fewest voters.
+// readyLearner returns an active, caught-up learner from the data centre with the
+// fewest voters according to perCentre.
 func readyLearner(v MembershipView, perCentre map[string]int) (Member, bool) {
 	var best Member
 	found := false
