--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -6,8 +6,8 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// Ready returns the work that has come up since the last Advance. The driver
-// calls Advance before it calls any other method.
+// Ready returns the work that has accumulated since the last Advance. The driver
+// must call Advance with the result before it calls any other method.
 func (n *Node) Ready() Ready {
 	n.flush()
 	n.hard.Commit = n.log.committed
@@ -19,13 +19,14 @@
 		Committed: n.log.between(n.log.applied, n.log.committed),
 		Reads:     n.reads,
 	}
-	// The commit index alone needs no sync: it is found again from a majority.
+	// A change of the commit index alone needs no sync: a restarted node learns
+	// the index again from a majority.
 	spoken := n.hard.Term != n.savedHard.Term || n.hard.Vote != n.savedHard.Vote
 	r.MustPersist = spoken || r.Snapshot != nil || len(r.Entries) > 0
 	return r
 }
 
-// Advance notes that all of r has been persisted, sent and applied.
+// Advance records that the driver has persisted, sent and applied all of r.
 func (n *Node) Advance(r Ready) {
 	n.messages = nil
 	n.reads = nil
@@ -49,9 +50,11 @@
 	}
 }
 
-// Compact notes a snapshot of the state machine as of the applied index, and
-// drops the entries that are more than keep behind it. The driver persists
-// the returned snapshot and base together.
+// Compact records data as the snapshot of the state machine at the applied index.
+// It drops all entries but the last keep up to that index. The driver must persist
+// the returned snapshot and base in one write.
+//
+// It returns ErrInvariant if no entry was applied since the last snapshot.
 func (n *Node) Compact(data []byte, keep uint64) (Snapshot, Position, error) {
 	index := n.log.applied
 	term, ok := n.log.term(index)
@@ -69,7 +72,7 @@
 	return n.log.snapshot, n.log.base, nil
 }
 
-// membershipAt returns the list of members as of an applied index.
+// membershipAt returns the membership as of an applied index.
 func (n *Node) membershipAt(index uint64) (Membership, error) {
 	if n.membershipIndex <= index {
 		return n.membership, nil
@@ -83,7 +86,7 @@
 	return n.log.snapshot.Membership, nil
 }
 
-// Status is what a node shows of itself.
+// Status is the state of a node, for operators and metrics.
 type Status struct {
 	ID              NodeID
 	Role            Role
@@ -97,12 +100,12 @@
 	Membership      Membership
 	MembershipIndex uint64
 	Removed         bool
-	// OwnTermCommitted is false on a leader that does not yet know of all
-	// that was committed before it.
+	// OwnTermCommitted is set on a leader that has committed an entry of its own
+	// term. Until then it may not know all entries that earlier leaders committed.
 	OwnTermCommitted bool
 }
 
-// Status returns the node's state.
+// Status returns the node's current state.
 func (n *Node) Status() Status {
 	return Status{
 		ID:               n.cfg.ID,
@@ -121,8 +124,8 @@
 	}
 }
 
-// Match returns the highest index that a member is known to have synced; it
-// is zero on a node that does not lead.
+// Match returns the highest index up to which a member is known to have synced the
+// log. It returns zero for a non-member and on a node that does not lead.
 func (n *Node) Match(id NodeID) uint64 {
 	if p := n.progress[id]; p != nil {
 		return p.match
