--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -6,21 +6,25 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// progress is what a leader knows of one member.
+// progress is the replication state of one member, as its leader knows it.
 type progress struct {
-	// match is the highest index known to be synced there.
+	// match is the highest index that the member is known to have synced.
 	match uint64
 	// next is the index of the next entry to send.
 	next uint64
-	// probing sends one append at a time, until one matches.
+	// probing is set until an append matches the member's log. Until then the
+	// leader sends one append at a time.
 	probing bool
-	// asked is set while a probe is on its way.
+	// asked is set while a probe has no answer. A heartbeat clears it, so that a
+	// lost probe is sent again.
 	asked bool
-	// snapshotUntil, if not zero, is when an unanswered snapshot is sent again.
+	// snapshotUntil is the time at which an unanswered snapshot is sent again. It
+	// is zero if no snapshot is in flight.
 	snapshotUntil time.Duration
-	// ackedAt is the leader's clock at the sending of the last message that
-	// this member answered; ackedRound is that message's round.
-	ackedAt    time.Duration
+	// ackedAt is the latest time, on the leader's clock, at which the leader sent
+	// a message that the member has answered.
+	ackedAt time.Duration
+	// ackedRound is the latest heartbeat round that the member has answered.
 	ackedRound uint64
 }
 
@@ -28,7 +32,7 @@
 	return &progress{next: next, probing: true, ackedAt: never}
 }
 
-// beat sends a heartbeat to each other member in a new round.
+// beat starts a new heartbeat round and sends a heartbeat to every other member.
 func (n *Node) beat() {
 	n.round++
 	n.roundWanted = false
@@ -46,8 +50,8 @@
 	}
 }
 
-// flush sends each member what it lacks. It runs once for each Ready, so that
-// all that was proposed since the last one leaves in one append.
+// flush sends each member the entries that it lacks. It runs once for each Ready,
+// so one append carries all entries proposed since the last Ready.
 func (n *Node) flush() {
 	if n.role != RoleLeader {
 		return
@@ -63,8 +67,9 @@
 	}
 }
 
-// sendEntries sends the next entries to a member; with probe set also an
-// empty append, whose answer shows whether an earlier one was lost.
+// sendEntries sends the next entries, or a snapshot, to a member. With probe set,
+// it also sends an empty append and ignores MaxInflight: the answer shows whether
+// an earlier append was lost.
 func (n *Node) sendEntries(to NodeID, probe bool) {
 	p := n.progress[to]
 	if p.snapshotUntil != 0 && n.now < p.snapshotUntil {
@@ -106,12 +111,12 @@
 	n.send(Message{Type: MessageSnapshot, To: to, Snapshot: &snapshot, SentAt: n.now, Round: n.round})
 }
 
-// snapshotRetry is after how many election timeouts an unanswered snapshot is
-// sent again: long enough for a large one on a slow link, since doubling it
-// would only make the link slower.
+// snapshotRetry is the number of election timeouts after which an unanswered
+// snapshot is sent again. It leaves time for a large snapshot on a slow link, which
+// a second copy would only slow down further.
 const snapshotRetry = 4
 
-// handleFromLeader takes an append, a heartbeat or a snapshot of this term.
+// handleFromLeader handles an append, heartbeat or snapshot of the current term.
 func (n *Node) handleFromLeader(m Message) {
 	known := n.leader == 0 || n.leader == m.From
 	if !invariant.Check(n.role != RoleLeader && known, "one leader in a term",
@@ -138,8 +143,8 @@
 func (n *Node) handleAppend(m Message) {
 	previous := Position{Index: m.Index, Term: m.LogTerm}
 	if previous.Index < n.log.committed {
-		// Committed entries are the same everywhere; an old append that
-		// arrives late must not be compared with what was compacted.
+		// Committed entries are the same on all nodes. A delayed append may refer
+		// to entries that were compacted, so it is not compared with the log.
 		n.replyAppend(m, n.log.committed)
 		return
 	}
@@ -179,8 +184,9 @@
 	n.replyAppend(m, s.Index)
 }
 
-// acknowledge notes that a member answered, which renews the lease and
-// confirms reads. It returns nil for one that is no longer a member.
+// acknowledge records a member's answer, which renews the lease and confirms
+// reads. It returns the member's progress, or nil if this node does not lead or the
+// sender is no member.
 func (n *Node) acknowledge(m Message) *progress {
 	if n.role != RoleLeader {
 		return nil
@@ -233,16 +239,17 @@
 
 func (n *Node) handleReject(m Message, p *progress) {
 	if m.Index <= p.match {
-		return // an answer to an append that has since been overtaken
+		return // a stale answer: a later append has already matched
 	}
 	p.asked = false
 	p.probing = true
 	p.next = max(p.match+1, min(m.Index, m.Hint+1))
 }
 
-// maybeCommit commits what a majority has synced. Only an entry of this term
-// commits by counting; earlier ones commit with it, because an earlier entry
-// on a majority can still be overwritten by a leader of a term between.
+// maybeCommit commits the entries that a majority has synced, if the last of them
+// is of the current term. Entries of earlier terms commit only together with it.
+// Even if a majority holds an earlier entry, a leader of a term in between can
+// still overwrite it.
 func (n *Node) maybeCommit() {
 	index := n.quorumMatch()
 	if index <= n.log.committed {
@@ -254,6 +261,7 @@
 	n.log.commitTo(index)
 }
 
+// quorumMatch returns the highest index that a majority has synced.
 func (n *Node) quorumMatch() uint64 {
 	var matches []uint64
 	for _, id := range n.membership.Voters() {
