--- a/internal/raft/directed_test.go
+++ b/internal/raft/directed_test.go
@@ -9,16 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// bench is a few nodes with perfect clocks and a network without delay, for
-// the tests that need one exact order of events.
+// bench is a small group of nodes with identical clocks and a network without
+// delay, for tests that need one exact order of events.
 type bench struct {
 	t     *testing.T
 	now   time.Duration
 	nodes map[NodeID]*Node
 	order []NodeID
-	// down nodes neither send nor receive.
+	// down holds the nodes that neither send nor receive.
 	down map[NodeID]bool
-	// held collects messages of these types in place of delivering them.
+	// holds holds the message types that are collected in held and not delivered.
 	holds map[MessageType]bool
 	held  []Message
 	reads []Read
@@ -51,7 +51,7 @@
 	return b
 }
 
-// settle exchanges messages until there are none.
+// settle delivers messages until none are left.
 func (b *bench) settle() {
 	for moved := true; moved; {
 		moved = false
@@ -80,6 +80,7 @@
 	}
 }
 
+// pass advances the clock by d in steps of 50 ms and ticks the nodes that are up.
 func (b *bench) pass(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.now += 50 * time.Millisecond
@@ -92,7 +93,7 @@
 	}
 }
 
-// leader lets time pass until an up node leads.
+// leader advances the clock until a node that is up leads, and returns that node.
 func (b *bench) leader() *Node {
 	b.t.Helper()
 	for range 200 {
@@ -117,9 +118,10 @@
 	return ids
 }
 
-// Story: three voters of five wanted, one of them just lost. The leader makes a
-// fourth VM a voter, and that one is lost too before it has answered. Two of
-// four are no majority, although two of three were: the group stays down.
+// Guards against a group without a majority after a promotion. Of three voters,
+// with five wanted, one is just lost. The leader promotes a fourth VM, which is
+// lost too before it has answered. Two of four voters are no majority, although two
+// of three were, and the group stays down.
 func TestFourthVoterNeedsAllToAnswer(t *testing.T) {
 	b := newBench(t, 3, 1)
 	n := b.leader()
@@ -137,9 +139,9 @@
 	assert.NilError(t, err)
 }
 
-// Story: a new leader is asked for a read. It holds an entry that the old
-// leader had committed and answered, but doesn't know yet that it is
-// committed. Answering now would show the state before that write.
+// Guards against a stale read on a new leader. The leader holds an entry that the
+// old leader committed and answered, but does not yet know that it is committed. A
+// read at this point would return the state before that write.
 func TestNoReadBeforeAnEntryOfTheOwnTerm(t *testing.T) {
 	b := newBench(t, 3, 0)
 	b.holds[MessageAppend] = true
@@ -157,8 +159,9 @@
 	assert.Assert(t, n.LeaseExpiry() > b.now)
 }
 
-// Failure: a new leader knows that all of its predecessors' entries are committed and still
-// applies them. With its lease it would grant others one on a state of long before.
+// Guards against a lease on a stale state machine. A new leader knows that all
+// entries of its predecessors are committed but has not applied them yet. With a
+// lease, it would grant leases to others based on a state that is long out of date.
 func TestNoLeaseBeforeTheEntriesOfEarlierLeadersAreApplied(t *testing.T) {
 	b := newBench(t, 3, 0)
 	b.holds[MessageAppendReply] = true
@@ -176,8 +179,9 @@
 	assert.Assert(t, n.LeaseExpiry() > b.now)
 }
 
-// Story: a leader's process is stopped for ten seconds and wakes. Before it
-// has looked at any message it is asked for its lease, and for a read.
+// Guards against a leader that serves after a long pause. Its process is suspended
+// until another node leads. When it resumes, a caller requests its lease and a
+// read before it has handled any message.
 func TestFrozenLeaderHasNoLease(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
@@ -196,10 +200,11 @@
 	assert.Equal(t, n.role, RoleFollower)
 }
 
-// Story: a follower comes to a later term by some other message than a vote.
-// A candidate of that term asks it next. The vote would break the promise on
-// which the present leader's lease rests, so a second leader would serve
-// while the first one still answers reads.
+// Guards against a broken vote promise within a term. A follower enters a later
+// term because of a message other than a vote request. A candidate of that term
+// then requests its vote. The vote would break the promise on which the current
+// leader's lease depends, and a second leader would serve while the first one still
+// answers reads.
 func TestPromiseHoldsInTheCandidatesTerm(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
@@ -216,8 +221,9 @@
 	assert.Equal(t, voter.hard.Vote, NodeID(0))
 }
 
-// Story: a leader hands over for a graceful stop. Its successor may be elected
-// without waiting, so from the moment it is told the old lease must be void.
+// Guards against two leaders during a leadership transfer, as before a graceful
+// stop. The successor's election does not wait for vote promises. The old leader's
+// lease must therefore end when it sends MessageTimeoutNow.
 func TestHandoverEndsTheLease(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
@@ -237,8 +243,9 @@
 	assert.Equal(t, n.role, RoleFollower)
 }
 
-// Story: a member is removed while it is cut off. When it returns it asks for
-// votes again and again; it is told that it was removed, and stays silent.
+// Guards against a removed member that requests votes forever. A member is removed
+// while it is partitioned. When it returns and requests votes, it is notified of its
+// removal and stops.
 func TestRemovedMemberIsTold(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
@@ -256,9 +263,9 @@
 	assert.Equal(t, n.hard.Term, term)
 }
 
-// Story: two operators change the membership at once. Two voters exchanged in
-// one step, or a second step before the first is committed, could give two
-// disjoint majorities.
+// Guards against two disjoint majorities when two operators change the membership
+// at once. Either an exchange of two voters in one step or a second change before
+// the first is committed could cause them.
 func TestOneMembershipChangeAtATime(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
@@ -273,11 +280,11 @@
 	assert.Assert(t, errors.Is(err, ErrChangePending), "%v", err)
 }
 
-// Story: a leader answers reads by its lease while one follower can't hear it.
-// The other follower restarts, or the leader itself steps down on hearing of a
-// later term. Either has counted in the majority behind the lease, so if it
-// voted at once for the one that hears nothing, a second leader would write
-// while the lease still runs.
+// Guards against a vote promise lost in a restart or a step-down. A leader answers
+// reads under its lease while one follower does not receive its messages. The other
+// follower restarts, or the leader steps down because of a later term. Both counted
+// in the majority for the lease. If either voted at once for the isolated follower,
+// a second leader would write while the lease still runs.
 func TestPromiseOutlastsRestartAndStepDown(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
