--- a/internal/raft/guards_test.go
+++ b/internal/raft/guards_test.go
@@ -7,16 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// The random runs seldom reach these orders of events, so each has a test of
-// its own.
+// The random runs seldom reach the orders of events below, so each order has its
+// own test.
 
-// Story: a node votes, crashes before the vote is synced, and votes for
-// another candidate of the same term: two leaders in one term.
+// Guards against two leaders in one term: a node votes, crashes before the vote is
+// synced, and votes for another candidate of the same term.
 func TestVoteIsPersistedBeforeItIsSent(t *testing.T) {
 	b := newBench(t, 3, 0)
 	b.now += 2 * time.Second
 	n := b.nodes[1]
-	// It is in the term already, so that the vote alone is new.
+	// Enter the term first, so that the vote is the only change to persist.
 	n.Step(b.now, Message{Type: MessageAppendReply, Group: 1, From: 2, To: 1, Term: 5, Reject: true})
 	n.Advance(n.Ready())
 	vote := Message{Type: MessageVote, Group: 1, From: 2, To: 1, Term: 5, Index: 1, LogTerm: 1}
@@ -32,9 +32,9 @@
 	assert.Assert(t, !r.MustPersist)
 }
 
-// Story: a leader of term 3 brings an entry of term 2 to a majority and calls
-// it committed. It dies, and a node with a later entry at that place, which a
-// leader between the two had written, wins and overwrites it.
+// Guards against the loss of a committed entry. A leader replicates an entry of an
+// earlier term to a majority and commits it by counting. The leader crashes. A node
+// with an entry of a term in between at the same index wins and overwrites it.
 func TestEarlierTermsCommitOnlyWithTheOwn(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
@@ -54,9 +54,9 @@
 	assert.Equal(t, n.log.committed, uint64(3))
 }
 
-// Story: a leader is cut off while an answer to an earlier heartbeat is still
-// on its way. Taken for the confirmation of a read asked later, it would let
-// the old leader answer after the new one has taken a write.
+// Guards against a stale read on a partitioned leader. An answer to an earlier
+// heartbeat is still in flight. If it confirmed a later read, the old leader would
+// answer that read after the new leader has committed a write.
 func TestReadNeedsARoundThatBeganAfterIt(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
@@ -77,8 +77,9 @@
 	assert.Equal(t, len(n.Ready().Reads), 1)
 }
 
-// Story: a replica that came back with an empty disk, not a voter yet, answers
-// a candidate. Two such answers must not make a majority of three.
+// Guards against votes from non-voters. Replicas that returned with an empty disk
+// are not voters yet and answer a candidate. Two such answers must not count as a
+// majority of three.
 func TestOnlyVotersCount(t *testing.T) {
 	b := newBench(t, 3, 2)
 	n := b.nodes[1]
@@ -91,8 +92,9 @@
 	assert.Equal(t, n.role, RoleLeader)
 }
 
-// Story: the leader's clock runs 5% slow and the voters' 5% fast. A lease as
-// long as the voters' promise would outlast it.
+// Guards against a lease that outlasts the vote promises. If the leader's clock
+// runs 5% slow and the voters' clocks 5% fast, a lease of the same nominal length
+// would end after the promises.
 func TestLeaseIsShorterThanThePromise(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
@@ -104,8 +106,8 @@
 	assert.Assert(t, slow < fast)
 }
 
-// Story: a leader is cut off from both peers. Callers that reach it would wait
-// on it without end, and operators would see two leaders.
+// Guards against a partitioned node that continues to lead. Callers that reach it
+// would wait forever, and operators would see two leaders.
 func TestLeaderWithoutAQuorumStepsDown(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
@@ -122,9 +124,10 @@
 	assert.Equal(t, n.hard.Term, term, "pre-votes start no new terms")
 }
 
-// Story: a leader is cut off, and an answer to a heartbeat of long ago arrives
-// late. Counted from its arrival, the lease would go on while the voters'
-// promise, made when they sent the answer, has run out.
+// Guards against a lease renewed by a late answer. A leader is partitioned, and the
+// answer to an old heartbeat arrives. If the lease counted from the arrival, it
+// would continue after the vote promises, which count from the sending of the
+// answer, have ended.
 func TestLateAnswerDoesNotRenewTheLease(t *testing.T) {
 	b := newBench(t, 3, 0)
 	n := b.leader()
