--- a/internal/raft/measure_test.go
+++ b/internal/raft/measure_test.go
@@ -9,8 +9,9 @@
 
 var measure = flag.Bool("measure", false, "run the measurements")
 
-// TestMeasureNewLeader reports how long a group without other faults has no
-// leader with a lease after its leader's process has ended. It is a command:
+// TestMeasureNewLeader reports how long a group has no leader with a lease after
+// its leader crashes, without other faults. It is a measurement, not a check. Run
+// it with:
 //
 //	go test ./internal/raft -run TestMeasureNewLeader -v -args -measure -seeds=2000
 func TestMeasureNewLeader(t *testing.T) {
@@ -30,6 +31,8 @@
 	}
 }
 
+// newLeaderAfterCrash returns the time from the crash of the leader until another
+// process holds a lease.
 func newLeaderAfterCrash(t *testing.T, seed uint64, voters int) time.Duration {
 	t.Helper()
 	w := newWorld(seed, voters, voters)
--- a/internal/raft/plan_test.go
+++ b/internal/raft/plan_test.go
@@ -20,10 +20,11 @@
 	}
 }
 
-// Story: VM b asked to join, became a voter, lost its disk and joined again
-// within ten seconds. The leader still remembered the first request, took the
-// new identity, not heard from yet, for the old one, and removed it. The VM
-// could never return under that identity.
+// Guards against a stale join request that removes a new member. VM b joined,
+// became a voter, lost its disk and joined again within ten seconds. The leader
+// still held the first request. The new identity had not answered yet, so the
+// leader removed it as the replaced member. The VM could never return under that
+// identity.
 func TestStaleJoinReplacesNobody(t *testing.T) {
 	v := sampleView()
 	v.Membership = v.Membership.Without(2)
@@ -33,8 +34,9 @@
 	assert.Equal(t, reason, "")
 }
 
-// Story: a VM comes back with an empty disk. Its old identity leaves the list
-// before the new one enters, and the new one votes only once it has caught up.
+// A VM that returns with an empty disk is replaced in order: the old identity is
+// removed, the new one joins as learner, and it votes only once it has caught up.
+// Otherwise both identities could count at once.
 func TestReplacementInOrder(t *testing.T) {
 	v := sampleView()
 	v.Joins = []Member{{ID: 33, VM: "c", DataCentre: "z", Address: "3"}}
@@ -62,8 +64,8 @@
 	assert.Assert(t, next.IsVoter(33))
 }
 
-// Story: four control VMs, three voters wanted. A voter is lost; the learner
-// to promote is one from the data centre that has no voter.
+// Guards against voters that share a data centre. Of three wanted voters, one is
+// lost. The learner to promote is the one in the data centre without a voter.
 func TestPromotionSpreadsOverDataCentres(t *testing.T) {
 	v := sampleView()
 	v.Membership = v.Membership.Without(3)
@@ -78,8 +80,8 @@
 	assert.Assert(t, !next.IsVoter(4))
 }
 
-// Story: a VM keeps its disk but gets another address. It stays a voter under
-// its identity and the list shows the new address.
+// A VM that keeps its disk but changes its address remains a voter under the same
+// identity, and the membership has the new address.
 func TestMovedReplicaKeepsItsVote(t *testing.T) {
 	v := sampleView()
 	v.Joins = []Member{{ID: 2, VM: "b", DataCentre: "y", Address: "20"}}
@@ -88,25 +90,25 @@
 	assert.Equal(t, m, Member{ID: 2, VM: "b", DataCentre: "y", Address: "20"})
 }
 
-// Story: a voter's VM dies in the evening and never returns. A fourth control
-// VM stands by as learner. By morning a second voter is gone: without the
-// spare's promotion the group would have no majority.
+// Guards against the loss of the majority while a spare is available. A voter's VM
+// is lost for good, and a fourth control VM is a learner. If a second voter is lost
+// before the learner is promoted, the group has no majority.
 func TestSpareTakesTheSilentVotersPlace(t *testing.T) {
 	v := sampleView()
 	v.Silent = map[NodeID]bool{3: true}
 	v.Fresh = map[NodeID]bool{1: true, 2: true}
 	v.Active[3] = false
 	_, reason := NextMembership(v)
-	assert.Equal(t, reason, "", "there is no spare")
+	assert.Equal(t, reason, "", "there is no learner")
 
 	v.Membership = v.Membership.With(Member{ID: 4, VM: "d", DataCentre: "z", Address: "4", Learner: true})
 	_, reason = NextMembership(v)
-	assert.Equal(t, reason, "", "the spare has not caught up")
+	assert.Equal(t, reason, "", "the learner has not caught up")
 	v.Active[4] = true
 	v.CaughtUp[4] = true
 	v.Fresh[2] = false
 	_, reason = NextMembership(v)
-	assert.Equal(t, reason, "", "another voter may be gone too")
+	assert.Equal(t, reason, "", "another voter may be lost too")
 	v.Fresh[2] = true
 	next, _ := NextMembership(v)
 	assert.Assert(t, next.IsRemoved(3))
