--- a/internal/raft/random_test.go
+++ b/internal/raft/random_test.go
@@ -15,28 +15,28 @@
 )
 
 var (
-	seedCount = flag.Int("seeds", 48, "how many seeds TestRandom runs")
+	seedCount = flag.Int("seeds", 48, "the number of seeds that TestRandom runs")
 	firstSeed = flag.Uint64("first-seed", 1, "the first seed")
 )
 
-// faultSeeds once showed a fault and run each time.
+// faultSeeds are seeds that once found a fault. They run every time.
 //
-// 5784: three voters of five wanted, one just lost; the leader made the
-// learner on a fourth VM a voter that was lost before it counted, and two of
-// four could not commit (keepsMajority now asks for all of them, lately).
+// 5784: of three voters, with five wanted, one was just lost. The leader promoted
+// the learner on a fourth VM, which was lost before it had answered, and two of four
+// voters could not commit. keepsMajority now requires a recent answer from all.
 //
-// 2397: the same with both lost within 0.2 s, before any leader can know. Four
-// voters don't survive that; the world no longer does it.
+// 2397: as 5784, but both were lost within 0.2 s, before any leader can detect a
+// loss. Four voters cannot survive that, so the simulation no longer does it.
 //
-// 23607: two of five voters lost within 0.3 s, a third only cut off. The leader
-// removed the third for its silence, and its return no longer gave a majority
-// (silentVoter now asks for a fresh answer from all others).
+// 23607: two of five voters were lost within 0.3 s, and a third was only
+// partitioned. The leader removed the third as silent, so its return no longer gave
+// a majority. silentVoter now requires a fresh answer from all other voters.
 var faultSeeds = []uint64{5784, 2397, 23607}
 
 const (
 	chaosTime = 40 * time.Second
 	healTime  = 40 * time.Second
-	// checkLimit bounds the search for an order that explains a history.
+	// checkLimit is the time limit of the linearizability check of one history.
 	checkLimit = 20 * time.Second
 )
 
@@ -45,11 +45,13 @@
 	os.Exit(m.Run())
 }
 
-// Story: messages are lost, doubled, late and crossed, links are cut one way,
-// processes crash between write and sync, freeze and wake, disks are lost,
-// also a second one right after the first was replaced, members are removed
-// and leadership is handed over, all at once. No answered write may be lost,
-// no read may be old, and once the faults end the group is whole by itself.
+// TestRandom combines random faults. Messages are lost, duplicated, delayed and
+// reordered, and links fail in one direction. Processes crash between write and
+// sync, freeze and resume. Disks are lost, also a second one right after the first
+// was replaced. Members are removed and leadership is transferred.
+//
+// No answered write may be lost, no read may be stale, and the group must recover
+// without help once the faults end.
 func TestRandom(t *testing.T) {
 	seeds := append([]uint64(nil), faultSeeds...)
 	for i := range *seedCount {
@@ -59,7 +61,8 @@
 	t.Logf("%d seeds: %s", len(seeds), totals)
 }
 
-// runSeeds runs the seeds on a few goroutines and adds up what happened.
+// runSeeds runs the seeds on a few goroutines and returns the sums of their event
+// counts.
 func runSeeds(t *testing.T, seeds []uint64) string {
 	const workers = 3
 	var mu sync.Mutex
@@ -104,7 +107,8 @@
 	return text
 }
 
-// runSeed runs one world and returns what went wrong.
+// runSeed runs one simulated cluster. It returns the event counts and a description
+// of the failure, which is empty on success.
 func runSeed(seed uint64) (counts map[string]int, problem string) {
 	wanted := 3
 	if seed%3 == 0 {
@@ -119,7 +123,7 @@
 	counts = w.counts
 	w.until(healTime, w.whole)
 	if !w.whole() {
-		return counts, "the group never became whole at the start\n" + w.String()
+		return counts, "the group did not become healthy at the start\n" + w.String()
 	}
 	w.faults = drawFaults(w)
 	w.clients.pause = []int{simFastClients, 20, 200}[w.rng.IntN(3)]
@@ -131,7 +135,8 @@
 	return counts, w.settle()
 }
 
-// drawFaults draws a world's own mix, so that some seeds are rough in one way.
+// drawFaults chooses the fault probabilities of a run at random, so that a single
+// kind of fault dominates in some seeds.
 func drawFaults(w *world) simFaults {
 	chance := func(highest float64) float64 { return highest * w.rng.Float64() * w.rng.Float64() }
 	return simFaults{
@@ -142,6 +147,7 @@
 	}
 }
 
+// until runs steps until done returns true or the time limit is reached.
 func (w *world) until(limit time.Duration, done func() bool) {
 	for end := w.now + limit; w.now < end && !done(); {
 		w.renewRemoved()
@@ -149,19 +155,19 @@
 	}
 }
 
-// settle ends the faults and checks that the group recovers, answers again,
-// and that all answers agree with one register.
+// settle ends the faults. It checks that the group recovers and answers again, and
+// that the history of all answers is linearizable.
 func (w *world) settle() string {
 	w.heal()
 	w.until(healTime, w.whole)
 	if !w.whole() {
-		return "the group did not become whole after the faults\n" + w.String()
+		return "the group did not become healthy after the faults\n" + w.String()
 	}
 	before := w.clients.answers
 	w.clients.pause = simFastClients
 	w.until(healTime, func() bool { return w.clients.answers > before+20 })
 	if w.clients.answers <= before+20 {
-		return "callers get no answers after the faults\n" + w.String()
+		return "clients get no answers after the faults\n" + w.String()
 	}
 	w.counts["answers"] += w.clients.answers
 	switch porcupine.CheckOperationsTimeout(registerModel(), w.clients.history, checkLimit) {
