--- a/internal/raft/simulation_check_test.go
+++ b/internal/raft/simulation_check_test.go
@@ -5,25 +5,27 @@
 	"fmt"
 )
 
-// simChecker watches the whole world for what no single node can see.
+// simChecker checks the invariants of the complete group, which no single node can
+// check.
 type simChecker struct {
 	w *world
-	// leaders holds the one leader of each term.
+	// leaders holds the only leader of each term.
 	leaders map[uint64]NodeID
 	votes   map[simBallot]NodeID
-	// committed is the log that any node has applied.
+	// committed holds, by index, the entries that at least one node has applied.
 	committed       map[uint64]Entry
 	lastCommitted   uint64
 	membership      Membership
 	membershipIndex uint64
 }
 
+// simBallot identifies the single vote of one voter in one term.
 type simBallot struct {
 	voter NodeID
 	term  uint64
 }
 
-// simViolation is the panic of a broken invariant of the world.
+// simViolation is the panic value for an invariant violation in the simulation.
 type simViolation struct{ what string }
 
 func (v simViolation) Error() string { return v.what }
@@ -38,7 +40,7 @@
 	panic(simViolation{fmt.Sprintf(format, args...)})
 }
 
-// message notes each vote that arrives: one a term from each identity.
+// message checks that each identity grants at most one vote per term.
 func (c *simChecker) message(p *simProcess, m Message) {
 	if m.Type != MessageVoteReply || m.Reject || m.To != p.id {
 		return
@@ -50,7 +52,7 @@
 	c.votes[b] = p.id
 }
 
-// node checks a process after each of its steps.
+// node checks, after each step of a process, that a term has only one leader.
 func (c *simChecker) node(p *simProcess) {
 	s := p.node.Status()
 	if s.Role != RoleLeader {
@@ -68,9 +70,9 @@
 	c.complete(p, s)
 }
 
-// complete checks that a new leader holds every entry of an earlier term that
-// was ever applied. One that learns late that it won may follow another of a
-// later term, whose entries it lacks; it can commit nothing.
+// complete checks that a new leader holds every applied entry of an earlier term.
+// A node may learn that it won only after a leader of a later term was elected. It
+// then lacks the later leader's entries, but it can commit nothing.
 func (c *simChecker) complete(p *simProcess, s Status) {
 	for index := s.FirstIndex; index <= c.lastCommitted; index++ {
 		if c.committed[index].Term >= s.Term {
@@ -87,7 +89,7 @@
 func (c *simChecker) applied(p *simProcess, e Entry) {
 	old, ok := c.committed[e.Index]
 	if ok && (old.Term != e.Term || !bytes.Equal(old.Data, e.Data)) {
-		c.fail("%x applies another entry %d than was applied before", uint64(p.id), e.Index)
+		c.fail("%x applies an entry %d that differs from the one applied before", uint64(p.id), e.Index)
 	}
 	if ok {
 		return
@@ -108,8 +110,8 @@
 	c.membershipIndex = e.Index
 }
 
-// leases checks that while one process, frozen or not, holds a lease by its
-// own clock, nobody leads a later term.
+// leases checks that no process leads a later term while another one, frozen or
+// not, holds a lease on its own clock.
 func (c *simChecker) leases() {
 	for _, vm := range c.w.vms {
 		p := vm.proc
--- a/internal/raft/simulation_clients_test.go
+++ b/internal/raft/simulation_clients_test.go
@@ -14,7 +14,7 @@
 	simFastClients = 4
 )
 
-// simOp is one call of a client.
+// simOp is one operation of a client.
 type simOp struct {
 	client  int
 	read    bool
@@ -22,19 +22,21 @@
 	call    time.Duration
 	term    uint64
 	open    bool
-	// taken is set once the command was appended, so that it may take effect.
+	// taken is set once a leader has appended the command, which may then take
+	// effect.
 	taken bool
 }
 
-// simResult is what a client saw: a read's value, or whether a write took
-// effect. Unknown stands for no answer.
+// simResult is the result that a client received: the value of a read, or in ok
+// whether a write took effect. If unknown is set, the client got no answer.
 type simResult struct {
 	value   int
 	ok      bool
 	unknown bool
 }
 
-// simClients call the registers and keep the history for the checker.
+// simClients call the registers and record the history for the linearizability
+// check.
 type simClients struct {
 	w       *world
 	current []*simOp
@@ -44,8 +46,8 @@
 	nextID  uint64
 	history []porcupine.Operation
 	answers int
-	// pause is how many steps a client waits between calls, on average. With
-	// few writes a follower that is cut off stays electable for long.
+	// pause is the average number of steps between two calls of a client. With few
+	// writes, a partitioned follower stays electable for a long time.
 	pause int
 }
 
@@ -73,7 +75,8 @@
 	}
 }
 
-// begin calls a process that claims to lead, or any other.
+// begin starts an operation on a random VM, if its process considers itself the
+// leader.
 func (c *simClients) begin(i int) {
 	p := c.w.vms[c.w.rng.IntN(len(c.w.vms))].proc
 	if p == nil || !p.lead {
@@ -93,8 +96,8 @@
 	c.enqueue(p, op, func() { c.propose(p, op) })
 }
 
-// enqueue lets a process take a call when it next has its turn: a frozen one
-// when it wakes, before or after it looks at its clock.
+// enqueue makes a process handle a call when it next runs. A frozen process
+// handles the call when it resumes, before or after its next tick.
 func (c *simClients) enqueue(p *simProcess, op *simOp, call func()) {
 	c.current[op.client] = op
 	p.calls = append(p.calls, func() {
@@ -149,8 +152,8 @@
 	c.finish(op, simResult{value: p.state[op.command.Key]})
 }
 
-// applied returns the answer to the caller of an entry, to be given once the
-// step is through.
+// applied returns a function that answers the caller of an applied entry, or nil if
+// no caller waits. The process calls it at the end of the step.
 func (c *simClients) applied(p *simProcess, e Entry, ok bool) func() {
 	op := p.waiters[e.Index]
 	if op == nil {
@@ -167,7 +170,7 @@
 	return func() { c.finish(op, simResult{ok: ok}) }
 }
 
-// drop forgets a call that surely took no effect.
+// drop discards an operation that certainly took no effect.
 func (c *simClients) drop(op *simOp) {
 	op.open = false
 	c.current[op.client] = nil
@@ -178,6 +181,8 @@
 	c.answers++
 }
 
+// unknown ends an operation without an answer. A command that was appended may
+// still take effect, so the history records it.
 func (c *simClients) unknown(op *simOp) {
 	if op.read || !op.taken {
 		c.drop(op)
@@ -185,8 +190,8 @@
 	}
 	c.w.counts["outcomes unknown"]++
 	c.record(op, simResult{unknown: true}, time.Duration(math.MaxInt64))
-	// The call may take effect at any time, so the client goes on under
-	// another name.
+	// The command may take effect at any later time, so the client continues
+	// under a new name.
 	c.names[op.client] = c.next
 	c.next++
 }
@@ -213,7 +218,8 @@
 	c.lostBelow(p, math.MaxUint64)
 }
 
-// lostBelow ends the wait for entries that a snapshot or a crash has hidden.
+// lostBelow ends the wait for entries up to index, whose outcome the process cannot
+// learn because of a snapshot or a crash.
 func (c *simClients) lostBelow(p *simProcess, index uint64) {
 	for at, op := range p.waiters {
 		if at <= index {
@@ -225,7 +231,8 @@
 	}
 }
 
-// registerModel is the sequential register that the history must agree with.
+// registerModel returns the sequential register specification that the history must
+// satisfy.
 func registerModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
