--- a/internal/raft/simulation_members_test.go
+++ b/internal/raft/simulation_members_test.go
@@ -1,7 +1,7 @@
 package raft
 
-// manage is the leader's care for the membership; VMs that are no members ask
-// to join whenever the leader can hear them.
+// manage proposes the next membership change if p leads. A VM that is no member
+// requests to join whenever its messages can reach the leader.
 func (w *world) manage(p *simProcess) {
 	s := p.node.Status()
 	if s.Role != RoleLeader || !s.OwnTermCommitted || s.MembershipIndex > s.Commit {
@@ -35,6 +35,7 @@
 	}
 }
 
+// nameActive reports whether the VM has an active member under another identity.
 func (w *world) nameActive(p *simProcess, s Status, vm *simVM) bool {
 	for _, m := range s.Membership.Members {
 		if m.VM == vm.name && m.ID != vm.disk.id && p.node.Active(m.ID) {
--- a/internal/raft/simulation_network_test.go
+++ b/internal/raft/simulation_network_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// blocked tells whether nothing passes in one direction now.
+// blocked reports whether the link in this direction is cut now.
 func (w *world) blocked(from, to string) bool {
 	return w.cut[[2]string{from, to}] > w.now
 }
 
+// send puts a message in flight, or loses, duplicates or delays it.
 func (w *world) send(m Message) {
 	copies := 1
 	if w.rng.Float64() < w.faults.loss {
@@ -27,12 +28,13 @@
 	}
 }
 
-// cloneMessage copies what the sender might change after the message left.
+// cloneMessage copies the parts of a message that its sender may change later.
 func cloneMessage(m Message) Message {
 	m.Entries = slices.Clone(m.Entries)
 	return m
 }
 
+// deliver moves the messages that are due to their processes, in random order.
 func (w *world) deliver() {
 	var due, rest []simMessage
 	for _, m := range w.wire {
--- a/internal/raft/simulation_test.go
+++ b/internal/raft/simulation_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Timing of a simulated world. Clocks differ by up to simClockDrift in rate,
-// which the lease margin of an eighth covers.
+// Timing of a simulated cluster. The rate of each clock is off by up to
+// simClockDrift. The lease margin of an eighth of the election timeout covers that.
 const (
 	simStep            = 10 * time.Millisecond
 	simElectionTimeout = time.Second
@@ -21,25 +21,26 @@
 	simCompactKeep     = 6
 )
 
-// simDisk is what one VM's data folder holds; a nil disk is an empty folder.
+// simDisk is the content of a VM's data folder. A nil disk is an empty folder.
 type simDisk struct {
 	id    NodeID
 	saved Saved
 }
 
-// simVM is one machine: it outlives its process and its disk.
+// simVM is one machine, which outlives its process and its disk.
 type simVM struct {
 	name string
 	disk *simDisk
 	proc *simProcess
-	// rate and offset make this machine's clock from the world's.
+	// rate and offset derive this machine's clock from the simulated time.
 	rate   float64
 	offset time.Duration
-	upAt   time.Duration
+	// upAt is the time at which a crashed process starts again.
+	upAt time.Duration
 }
 
-// simProcess is one run of a replica on a VM. It persists, sends and applies
-// as the replica package does; a sync takes time, and a crash may come in it.
+// simProcess is one run of a replica on a VM. It persists, sends and applies as the
+// replica package does. A sync takes time, and a crash may interrupt it.
 type simProcess struct {
 	vm    *simVM
 	id    NodeID
@@ -47,23 +48,25 @@
 	state simState
 	inbox []Message
 	calls []func()
-	// pending is a step whose sync is under way until syncDone.
+	// pending is the step whose sync is in progress until syncDone.
 	pending  *Ready
 	syncDone time.Duration
 	nextTick time.Duration
-	frozen   time.Duration
+	// frozen is the time until which the process is suspended.
+	frozen time.Duration
 
 	waiters map[uint64]*simOp
 	reads   map[uint64]*simOp
 
-	// What the process last published, which readers see also while it is frozen.
+	// The fields below hold the state that the process last published. Readers see
+	// it even while the process is frozen.
 	lease    time.Duration
 	fastRead bool
 	term     uint64
 	lead     bool
 }
 
-// simState is a state machine of a few registers.
+// simState is a replicated state machine of a few registers.
 type simState map[string]int
 
 type simCommand struct {
@@ -90,48 +93,51 @@
 	m  Message
 }
 
-// simFaults switches faults and guards; the zero value is a quiet world.
+// simFaults holds the probabilities of faults. The zero value has no faults.
 type simFaults struct {
 	loss, double, slow, slowSync float64
-	// crash, cut, freeze, wipe, remove and transfer are chances for each step.
+	// crash, cut, freeze, wipe, remove and transfer are probabilities per step.
 	crash, cut, freeze, wipe, remove, transfer float64
-	// voterCrash is the chance that a node crashes right after it voted, and
-	// leaderCrash the chance for each step that a leader does.
+	// voterCrash is the probability that a node crashes right after it voted.
+	// leaderCrash is the probability per step that a leader crashes.
 	voterCrash, leaderCrash float64
-	// deafen is the chance for each step that a leader and one other VM stop
-	// hearing each other.
+	// deafen is the probability per step that the links between a leader and one
+	// other VM are cut.
 	deafen float64
 }
 
-// eagerSource draws small numbers only.
+// eagerSource is a random source of small numbers only. It shifts each number right
+// by shift bits.
 type eagerSource struct {
 	rand.Source
 	shift int
 }
 
-// Uint64 returns the next number.
+// Uint64 returns the next number, shifted right.
 func (s eagerSource) Uint64() uint64 { return s.Source.Uint64() >> s.shift }
 
-// world is a whole simulated cluster under one seed.
+// world is a complete simulated cluster, driven by one seed.
 type world struct {
 	rng    *rand.Rand
 	now    time.Duration
 	vms    []*simVM
 	wanted int
 	wire   []simMessage
-	// cut holds the directions, by VM name, in which nothing passes.
+	// cut holds, by sender and receiver VM, the time until which a link is cut.
 	cut map[[2]string]time.Duration
-	// lastLoss is when a disk was last lost.
+	// lastLoss is the time at which a disk was last lost.
 	lastLoss time.Duration
-	// eager halves the spread of the election timeouts that often, so that
-	// nodes start elections just when they may, and against each other.
+	// eager is the number of times that the random spread of election timeouts is
+	// halved. A small spread makes nodes start elections as soon as they may, and
+	// against each other.
 	eager     int
 	tickEvery time.Duration
 	faults    simFaults
-	owner     map[NodeID]string
-	clients   *simClients
-	check     *simChecker
-	counts    map[string]int
+	// owner maps each identity to the name of its VM.
+	owner   map[NodeID]string
+	clients *simClients
+	check   *simChecker
+	counts  map[string]int
 }
 
 func newWorld(seed uint64, vms, wanted int) *world {
@@ -160,7 +166,7 @@
 	return w
 }
 
-// clockRate is any within the drift, or one of the extremes.
+// clockRate returns a random rate within the drift, or one of the two extremes.
 func (w *world) clockRate() float64 {
 	drift := simClockDrift * (2*w.rng.Float64() - 1)
 	if w.rng.IntN(2) == 0 {
@@ -173,7 +179,7 @@
 	return vm.offset + time.Duration(float64(now)*vm.rate)
 }
 
-// found writes what the replica's founding writes.
+// found bootstraps a group of one member on vm, as the replica package does.
 func (w *world) found(vm *simVM) {
 	data, err := EncodeMembership(Membership{Members: []Member{{ID: vm.disk.id, VM: vm.name}}})
 	if err != nil {
@@ -186,7 +192,8 @@
 	w.start(vm)
 }
 
-// start runs a process on what the disk holds; an empty disk gets an identity.
+// start starts a process with the state on the disk. An empty disk gets a new
+// identity.
 func (w *world) start(vm *simVM) {
 	if vm.disk == nil {
 		vm.disk = &simDisk{id: NodeID(w.rng.Uint64() | 1)}
@@ -221,7 +228,7 @@
 	}
 }
 
-// step lets simStep pass for every process, in an order drawn anew.
+// step advances the time by simStep and runs the processes in random order.
 func (w *world) step() {
 	w.now += simStep
 	w.deliver()
@@ -242,8 +249,8 @@
 	w.check.leases()
 }
 
-// run lets one process work. While a sync is under way nothing else happens,
-// as in the replica's one goroutine.
+// run lets one process work. The process does nothing else during a sync, as in the
+// replica package, which uses one goroutine.
 func (w *world) run(p *simProcess) {
 	if p.pending != nil {
 		if w.now < p.syncDone {
@@ -255,7 +262,7 @@
 		}
 	}
 	now := p.vm.clock(w.now)
-	// Messages, calls and ticks come in any order, also after a freeze.
+	// A tick may come before or after calls and messages, also after a freeze.
 	if w.rng.IntN(2) == 0 {
 		w.tick(p, now)
 	}
@@ -282,7 +289,7 @@
 	w.manage(p)
 }
 
-// pump starts the next sync, or carries out a step that needs none.
+// pump starts the sync of the next step, or finishes the step if it needs none.
 func (w *world) pump(p *simProcess) {
 	for range 8 {
 		r := p.node.Ready()
@@ -306,7 +313,7 @@
 	w.publish(p)
 }
 
-// syncTime is short on most occasions; now and then a disk hangs.
+// syncTime returns the duration of a sync. It is usually short, but a disk may hang.
 func (w *world) syncTime() time.Duration {
 	if w.rng.Float64() < w.faults.slowSync {
 		return w.duration(simElectionTimeout)
@@ -314,7 +321,7 @@
 	return w.duration(3 * simStep)
 }
 
-// persist puts a step on the disk, all of it or nothing, as one transaction.
+// persist writes a step to the disk in one atomic transaction.
 func (p *simProcess) persist(r *Ready) {
 	s := &p.vm.disk.saved
 	if r.Snapshot != nil {
@@ -329,7 +336,7 @@
 	s.HardState = r.HardState
 }
 
-// finish ends a sync: then, and only then, messages leave and entries apply.
+// finish ends a sync. Only then does the process send messages and apply entries.
 func (w *world) finish(p *simProcess) {
 	r := p.pending
 	p.pending = nil
@@ -391,6 +398,7 @@
 	w.counts["snapshots"]++
 }
 
+// publish updates the state that readers see.
 func (w *world) publish(p *simProcess) {
 	s := p.node.Status()
 	p.lease = p.node.LeaseExpiry()
