--- a/internal/raft/simulation_faults_test.go
+++ b/internal/raft/simulation_faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// strike lets each fault happen with its chance in this step.
+// strike injects faults for one step, each with its probability.
 func (w *world) strike() {
 	f := w.faults
 	vm := w.vms[w.rng.IntN(len(w.vms))]
@@ -29,14 +29,14 @@
 		w.removeMember(vm)
 	case w.rng.Float64() < f.transfer && vm.proc != nil && vm.proc.pending == nil && vm.proc.frozen <= w.now:
 		if vm.proc.node.TransferLeadership(vm.clock(w.now)) == nil {
-			w.counts["handovers"]++
+			w.counts["leadership transfers"]++
 			w.pump(vm.proc)
 		}
 	}
 }
 
-// crashLeader ends a leader and starts it again at once: terms follow closely,
-// and each leaves entries behind that are not committed.
+// crashLeader crashes a leader and restarts it at once. Terms then follow each
+// other closely, and each leaves uncommitted entries behind.
 func (w *world) crashLeader() {
 	for _, vm := range w.vms {
 		if vm.proc != nil && vm.proc.lead {
@@ -47,8 +47,8 @@
 	}
 }
 
-// deafen cuts a leader off from one other VM only: that one starts elections
-// among voters who still hear the leader.
+// deafen cuts the links between a leader and one other VM. That VM starts elections
+// while the other voters still receive the leader's messages.
 func (w *world) deafen(leader *simVM) {
 	if leader.proc == nil || !leader.proc.lead {
 		return
@@ -59,12 +59,13 @@
 	w.cut[[2]string{other.name, leader.name}] = until
 }
 
+// duration returns a random duration below limit.
 func (w *world) duration(limit time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(limit)))
 }
 
-// crash ends a process. A sync under way is found done or not done at all; the
-// messages that wait for it never leave.
+// crash ends a process. A sync in progress either completes or has no effect. The
+// messages that wait for the sync are never sent.
 func (w *world) crash(vm *simVM) {
 	p := vm.proc
 	if p == nil {
@@ -80,10 +81,10 @@
 	vm.upAt = w.now + w.duration(3*simElectionTimeout)
 }
 
-// strikeCut cuts one direction to one VM, or one VM off from all, both ways
-// or one.
+// strikeCut cuts the links from one VM to a random VM or to all VMs, in one
+// direction or in both.
 func (w *world) strikeCut(vm *simVM) {
-	w.counts["cuts"]++
+	w.counts["link cuts"]++
 	until := w.now + w.duration(6*simElectionTimeout)
 	other := w.vms[w.rng.IntN(len(w.vms))]
 	mode := w.rng.IntN(4)
@@ -98,8 +99,8 @@
 	}
 }
 
-// wipe loses a VM's disk, if under every membership that may be in force
-// enough voters keep theirs: no protocol survives the loss of a majority.
+// wipe loses a VM's disk if a majority of voters keep theirs under every membership
+// that may be in effect. No protocol survives the loss of a majority.
 func (w *world) wipe(vm *simVM) {
 	if vm.disk == nil || !w.mayLose(vm.disk.id) {
 		return
@@ -110,10 +111,13 @@
 	w.lastLoss = w.now
 }
 
-// detectionWindow is how long after a loss the leader may still promote the
-// lost one: freshHeartbeats, stretched by the drift of its clock and a step.
+// detectionWindow is the time after the loss of a member in which the leader may
+// still count it as fresh and promote it. It is freshHeartbeats heartbeat
+// intervals, plus an allowance for clock drift and one step.
 const detectionWindow = freshHeartbeats*simHeartbeat + 10*simStep
 
+// mayLose reports whether every possible membership keeps a majority of intact disks
+// if the disk of lost is lost.
 func (w *world) mayLose(lost NodeID) bool {
 	intact := map[NodeID]bool{}
 	for _, vm := range w.vms {
@@ -135,8 +139,8 @@
 	return true
 }
 
-// possibleMemberships returns the last committed list and each later one in
-// any disk or process, or on its way.
+// possibleMemberships returns the last committed membership, each later one on any
+// disk, in any process or in flight, and those that a leader may propose now.
 func (w *world) possibleMemberships() []Membership {
 	committed := w.check.membership
 	lists := []Membership{committed}
@@ -151,8 +155,8 @@
 			}
 		}
 	}
-	// Four voters don't survive the loss of two. A leader that has not had the
-	// time to miss either may be about to make the fourth a voter.
+	// Four voters cannot survive the loss of two. A leader that has had no time
+	// to detect either loss may be about to promote the fourth.
 	if w.now-w.lastLoss < detectionWindow {
 		for _, m := range committed.Members {
 			m.Learner = false
@@ -177,8 +181,9 @@
 	return lists
 }
 
-// listsWithoutTheSilent returns the lists that a leader may be about to make by
-// removing a voter that is silent: it can't know yet of a loss just now.
+// listsWithoutTheSilent returns the memberships that a leader may be about to
+// propose to remove a silent voter. The leader cannot yet know of a loss that has
+// just happened.
 func (w *world) listsWithoutTheSilent() []Membership {
 	var lists []Membership
 	for _, vm := range w.vms {
@@ -194,8 +199,8 @@
 	return lists
 }
 
-// removeMember is an operator who takes a live member out, and later starts
-// its VM with an empty folder.
+// removeMember acts as an operator who removes a live member. renewRemoved later
+// restarts its VM with an empty data folder.
 func (w *world) removeMember(vm *simVM) {
 	if vm.disk == nil || !w.mayLose(vm.disk.id) {
 		return
@@ -217,7 +222,8 @@
 	}
 }
 
-// renewRemoved starts VMs whose identity was removed with an empty folder.
+// renewRemoved sometimes restarts, with an empty data folder, a VM whose identity
+// was removed.
 func (w *world) renewRemoved() {
 	for _, vm := range w.vms {
 		if vm.proc == nil || vm.disk == nil || w.rng.IntN(100) != 0 {
@@ -242,8 +248,8 @@
 	}
 }
 
-// whole tells whether the group is as it should be without faults: a leader
-// with a lease, the wanted voters, every VM a member, all logs equal.
+// whole reports whether the group is healthy: a leader holds a lease, the number of
+// voters is as wanted, every VM runs a member, and all commit indexes are equal.
 func (w *world) whole() bool {
 	for _, vm := range w.vms {
 		if vm.proc == nil || !vm.proc.lead || vm.proc.lease <= vm.clock(w.now) {
@@ -258,6 +264,7 @@
 	return false
 }
 
+// allFollow reports whether every VM runs a member with the commit index of s.
 func (w *world) allFollow(s Status) bool {
 	return !slices.ContainsFunc(w.vms, func(vm *simVM) bool {
 		if vm.proc == nil {
