--- a/internal/wal/codec.go
+++ b/internal/wal/codec.go
@@ -13,8 +13,9 @@
 	"github.com/citronstep/citronstep/internal/raft"
 )
 
-// A record is the xxHash-64 of its key and body, then the body. The key is
-// included so that a record found under another one's key does not pass.
+// checksumSize is the size in bytes of the checksum at the start of a record. The
+// checksum is the xxHash-64 of the key and the body. It includes the key so that a
+// record stored under the wrong key fails the check.
 const checksumSize = 8
 
 func checksum(key, body []byte) uint64 {
@@ -30,7 +31,8 @@
 	return errors.Trace(b.Put(key, append(record, body...)))
 }
 
-// openRecord returns the body of a record, or tells that it is damaged.
+// openRecord returns the body of a record. It returns false if the checksum does not
+// match.
 func openRecord(key, record []byte) ([]byte, bool) {
 	if len(record) < checksumSize {
 		return nil, false
@@ -118,8 +120,8 @@
 	}, true
 }
 
-// snapshotHeader is the JSON part of a stored snapshot; the state machine's
-// bytes follow it.
+// snapshotHeader is the JSON header of a stored snapshot. The state machine's bytes
+// follow it.
 type snapshotHeader struct {
 	Index      uint64          `json:"index"`
 	Term       uint64          `json:"term"`
@@ -159,10 +161,10 @@
 	return &CorruptError{File: w.path, Record: record, Cause: cause}
 }
 
-// guard turns a panic inside the store into a CorruptError. bbolt panics on a
-// damaged page, and a file cut short shows as a memory fault, because the file
-// is mapped; without the guard either would end the process without a word on
-// what to do.
+// guard runs f and converts a panic in bbolt into a CorruptError. bbolt panics on a
+// damaged page. Because the file is memory-mapped, a truncated file causes a memory
+// fault. Without guard, either would end the process without advice for the
+// operator.
 func (w *WAL) guard(record string, f func() error) (err error) {
 	old := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(old)
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -11,15 +11,15 @@
 	"github.com/citronstep/citronstep/internal/raft"
 )
 
-// readAll reads and checks the whole file: every checksum, that the log has
-// no gap, that terms do not fall and that the commit index is covered.
+// readAll reads and checks the complete file. Every checksum must match, the log must
+// have no gap and no decreasing term, and it must reach the commit index.
 func (w *WAL) readAll(tx *bolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	if meta == nil || tx.Bucket(bucketEntries) == nil {
-		return w.corrupt("file", "a table is missing")
+		return w.corrupt("file", "a bucket is missing")
 	}
 	if !bytes.Equal(meta.Get(keyFormat), formatVersion1) {
-		return w.corrupt("format", "it is not a version that this program knows")
+		return w.corrupt("format", "the version is not supported by this program")
 	}
 	var s raft.Saved
 	readers := []func() error{
@@ -36,19 +36,21 @@
 	}
 	last := s.Base.Index + uint64(len(s.Entries))
 	if s.HardState.Commit > last || s.Snapshot.Index > last {
-		return w.corrupt("entries", fmt.Sprintf("they end at %d, before the commit index %d or the snapshot %d",
+		return w.corrupt("entries", fmt.Sprintf("the log ends at index %d, before the commit index %d or the snapshot index %d",
 			last, s.HardState.Commit, s.Snapshot.Index))
 	}
 	w.saved = s
 	return nil
 }
 
+// readRecord reads and decodes the record under key. It leaves into unchanged if an
+// optional record is absent.
 func readRecord[T any](w *WAL, b *bolt.Bucket, key []byte, required bool,
 	decode func([]byte) (T, bool), into *T) error {
 	record := b.Get(key)
 	if record == nil {
 		if required {
-			return w.corrupt(string(key), "it is missing")
+			return w.corrupt(string(key), "the record is missing")
 		}
 		return nil
 	}
@@ -58,12 +60,13 @@
 	}
 	value, ok := decode(body)
 	if !ok {
-		return w.corrupt(string(key), "it can't be read")
+		return w.corrupt(string(key), "the record cannot be decoded")
 	}
 	*into = value
 	return nil
 }
 
+// readEntries reads all log entries into s and checks them.
 func (w *WAL) readEntries(b *bolt.Bucket, s *raft.Saved) error {
 	next := s.Base.Index + 1
 	term := s.Base.Term
@@ -71,7 +74,7 @@
 	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
 		name := fmt.Sprintf("entry %d", next)
 		if len(key) != 8 || binary.BigEndian.Uint64(key) != next {
-			return w.corrupt(name, "it is missing")
+			return w.corrupt(name, "the record is missing")
 		}
 		body, ok := openRecord(key, record)
 		if !ok {
@@ -79,7 +82,7 @@
 		}
 		e, ok := decodeEntry(next, body)
 		if !ok || e.Term < term {
-			return w.corrupt(name, "it can't be read")
+			return w.corrupt(name, "the record cannot be decoded or its term decreases")
 		}
 		s.Entries = append(s.Entries, e)
 		term = e.Term
@@ -88,8 +91,8 @@
 	return nil
 }
 
-// appendEntries writes entries and drops any that were stored from the first
-// one's index on.
+// appendEntries writes entries. It first deletes all stored entries from the index of
+// the first one on.
 func appendEntries(tx *bolt.Tx, entries []raft.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -98,7 +101,7 @@
 		return errors.Trace(err)
 	}
 	b := tx.Bucket(bucketEntries)
-	// Entries only ever go to the end, so full pages save space.
+	// Entries are only appended at the end, so full pages save space.
 	b.FillPercent = 1
 	for _, e := range entries {
 		if err := putRecord(b, entryKey(e.Index), encodeEntry(e)); err != nil {
@@ -108,6 +111,7 @@
 	return nil
 }
 
+// deleteFrom deletes the entries from index on.
 func deleteFrom(tx *bolt.Tx, index uint64) error {
 	cursor := tx.Bucket(bucketEntries).Cursor()
 	for key, _ := cursor.Seek(entryKey(index)); key != nil; key, _ = cursor.Seek(entryKey(index)) {
@@ -118,6 +122,7 @@
 	return nil
 }
 
+// deleteThrough deletes the entries up to and including index.
 func deleteThrough(tx *bolt.Tx, index uint64) error {
 	cursor := tx.Bucket(bucketEntries).Cursor()
 	for key, _ := cursor.First(); key != nil; key, _ = cursor.First() {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,10 +1,10 @@
-// Package wal keeps the durable side of one consensus replica: its identity,
-// hard state, log entries and snapshot, in one file of its data folder.
+// Package wal stores the durable state of one consensus replica in one file of its
+// data folder: its identity, hard state, log entries and snapshot.
 //
-// Every write is one bbolt transaction, synced before the call returns. Every
-// record carries a checksum; a record that does not match it, or a log with a
-// gap, is reported as a CorruptError and never skipped, because the records
-// may be committed ones that this replica has vouched for.
+// Every write is one bbolt transaction, synced before the call returns. Every record
+// has a checksum. A record that does not match its checksum, or a gap in the log, is
+// reported as a CorruptError and never skipped: the damaged entries may be committed
+// ones that this replica has acknowledged.
 package wal
 
 import (
@@ -21,10 +21,10 @@
 	"github.com/citronstep/citronstep/internal/raft"
 )
 
-// FileName is the file inside the data folder.
+// FileName is the name of the file in the data folder.
 const FileName = "consensus.db"
 
-// lockTimeout is how long Open waits for another process to close the file.
+// lockTimeout is the time that Open waits for another process to close the file.
 const lockTimeout = time.Second
 
 const (
@@ -38,17 +38,17 @@
 // ErrClosed is returned by a write after Close.
 const ErrClosed = errors.ConstError("the data folder is closed")
 
-// CorruptError says that a data folder can't be trusted any more.
+// CorruptError is returned for a data folder whose content is damaged.
 type CorruptError struct {
 	// File is the damaged file.
 	File string
-	// Record is what was being read.
+	// Record names the part of the file that was being read.
 	Record string
-	// Cause is what was wrong with it.
+	// Cause describes the damage.
 	Cause string
 }
 
-// Error names the file, the record and what an operator does about it.
+// Error returns the file, the record, the cause and the steps for an operator.
 func (e *CorruptError) Error() string {
 	return e.File + " is damaged (" + e.Record + ": " + e.Cause + "). " +
 		"Nothing was dropped or repaired. Move the data folder away and start the process " +
@@ -59,9 +59,11 @@
 // Identity names a replica and the cluster it belongs to.
 type Identity struct {
 	Node raft.NodeID
-	// Cluster is zero until the replica has founded or joined one.
+	// Cluster is zero until the replica has founded (bootstrapped) or joined a
+	// cluster.
 	Cluster uint64
-	// Removed is set once the replica has learnt that it is no member any more.
+	// Removed is set once the replica has learnt that it was removed from the
+	// membership.
 	Removed bool
 }
 
@@ -85,9 +87,12 @@
 	saved    raft.Saved
 }
 
-// Open opens the data folder, or makes it with a new random identity. It returns
-// ErrNoRoom if the disk has no room for that. The waiter is asked when a later
-// write finds none; nil gives such writes up.
+// Open opens the data folder, or creates it with a new random identity. The waiter
+// decides whether to retry a later write that fails because the file cannot grow. A
+// nil waiter abandons such writes.
+//
+// Open returns ErrNoRoom if the file cannot grow, ErrLocked if another process has
+// the folder open, and a CorruptError if the file is damaged.
 func Open(folder string, waiter Waiter) (*WAL, error) {
 	w, err := open(folder, waiter)
 	if isNoRoom(err) {
@@ -99,7 +104,7 @@
 func open(folder string, waiter Waiter) (*WAL, error) {
 	path := filepath.Join(folder, FileName)
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return nil, errors.Annotatef(err, "making the data folder %s", folder)
+		return nil, errors.Annotatef(err, "creating the data folder %s", folder)
 	}
 	w := &WAL{path: path, waiter: waiter}
 	if err := w.guard("file", w.openFile); err != nil {
@@ -115,7 +120,7 @@
 func (w *WAL) openFile() error {
 	if _, err := os.Stat(w.path); os.IsNotExist(err) {
 		if err := makeFile(w.path); err != nil {
-			return errors.Annotatef(err, "making %s", w.path)
+			return errors.Annotatef(err, "creating %s", w.path)
 		}
 	}
 	db, err := bolt.Open(w.path, fileMode, &bolt.Options{Timeout: lockTimeout})
@@ -134,16 +139,17 @@
 	return nil
 }
 
-// newSuffix ends the name of a file that is being made.
+// newSuffix is the suffix of a file whose creation is not complete.
 const newSuffix = ".new"
 
-// makeFile makes an empty store under another name and gives it its own once it is
-// whole.
+// makeFile creates an empty store under a temporary name and renames it once it is
+// complete.
 //
-// Failure: the disk fills, or the power fails, while the first pages are written.
-// A file that is cut short there holds nothing yet, but can't be told from one
-// that was damaged later. The name and the file must outlast a crash together, or
-// the replica would come back without the votes it has answered with.
+// This guards against a full disk or a power failure while the first pages are
+// written. The truncated file would hold nothing yet, but could not be distinguished
+// from one that was damaged later. makeFile also syncs the folder, so that the name
+// and the file survive a crash together. Otherwise the replica could restart without
+// the votes that it has sent.
 func makeFile(path string) error {
 	unfinished := path + newSuffix
 	if err := os.Remove(unfinished); err != nil && !os.IsNotExist(err) {
@@ -162,6 +168,7 @@
 	return errors.Trace(syncFolder(filepath.Dir(path)))
 }
 
+// syncFolder syncs the folder and its parent.
 func syncFolder(folder string) error {
 	for _, name := range []string{folder, filepath.Dir(folder)} {
 		f, err := os.Open(name)
@@ -177,8 +184,8 @@
 	return nil
 }
 
-// load reads everything, and gives a new file its identity. A file that is
-// not new is only read, so that a damaged one stays as it was found.
+// load initialises a new file and reads its content. It only reads an existing file,
+// so that a damaged one stays unchanged.
 func (w *WAL) load() error {
 	fresh := false
 	err := w.db.View(func(tx *bolt.Tx) error {
@@ -187,7 +194,7 @@
 			return errors.Trace(err)
 		}
 		if info.Size() < tx.Size() {
-			return w.corrupt("file", "it is shorter than its header says")
+			return w.corrupt("file", "the file is shorter than its header states")
 		}
 		fresh = tx.Bucket(bucketMeta) == nil
 		return nil
@@ -203,6 +210,7 @@
 	return errors.Trace(w.db.View(w.readAll))
 }
 
+// initialise writes the format and a new random identity to an empty file.
 func (w *WAL) initialise(tx *bolt.Tx) error {
 	meta, err := tx.CreateBucket(bucketMeta)
 	if err != nil {
@@ -221,7 +229,7 @@
 	return putRecord(meta, keyIdentity, encodeIdentity(Identity{Node: raft.NodeID(id)}))
 }
 
-// RandomID returns a random number other than zero, from the system's source.
+// RandomID returns a random number other than zero from the system's secure source.
 func RandomID() (uint64, error) {
 	var b [8]byte
 	for {
@@ -234,18 +242,19 @@
 	}
 }
 
-// Identity returns the replica's identity.
+// Identity returns the replica's current identity.
 func (w *WAL) Identity() Identity { return w.identity }
 
-// Saved returns the state as of Open. The snapshot and entries are handed
-// over: the WAL keeps no copy after the first call.
+// Saved returns the state as of Open. The WAL keeps no copy of it, so a second call
+// returns the zero value.
 func (w *WAL) Saved() raft.Saved {
 	s := w.saved
 	w.saved = raft.Saved{}
 	return s
 }
 
-// SetIdentity records the cluster, or that the replica was removed.
+// SetIdentity persists the identity, after the replica has joined a cluster or was
+// removed from it.
 func (w *WAL) SetIdentity(id Identity) error {
 	err := w.update(func(tx *bolt.Tx) error {
 		return putRecord(tx.Bucket(bucketMeta), keyIdentity, encodeIdentity(id))
@@ -257,9 +266,9 @@
 	return nil
 }
 
-// Save persists what a step asks for in one synced transaction: the snapshot
-// that replaces the log if there is one, then the entries, which replace any
-// from the first one's index on, and the hard state.
+// Save persists r in one synced transaction, if r.MustPersist is set. A snapshot
+// replaces the complete log. The entries replace all stored entries from the index of
+// the first one on. The hard state is always written.
 func (w *WAL) Save(r raft.Ready) error {
 	if !r.MustPersist {
 		return nil
@@ -281,8 +290,8 @@
 	}))
 }
 
-// Found writes the first membership of a new cluster, as a committed entry,
-// together with the cluster's id.
+// Found bootstraps a new cluster: it persists the first membership as a committed
+// entry, together with the identity that names the cluster.
 func (w *WAL) Found(id Identity, first raft.Entry) error {
 	err := w.update(func(tx *bolt.Tx) error {
 		if err := appendEntries(tx, []raft.Entry{first}); err != nil {
@@ -302,7 +311,7 @@
 	return nil
 }
 
-// Compact persists a snapshot and drops the entries up to and including base.
+// Compact persists a snapshot and deletes the entries up to and including base.
 func (w *WAL) Compact(s raft.Snapshot, base raft.Position) error {
 	return errors.Trace(w.update(func(tx *bolt.Tx) error {
 		if err := w.putSnapshot(tx, s, base); err != nil {
