--- a/internal/wal/room.go
+++ b/internal/wal/room.go
@@ -8,25 +8,25 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// ErrNoRoom says that the disk took no more bytes. What was written before it is
-// whole, and the write that failed may be tried again.
-const ErrNoRoom = errors.ConstError("the disk takes no more bytes")
+// ErrNoRoom is returned when a write fails because the data file cannot grow. All
+// earlier writes are intact, and the failed write may be retried.
+const ErrNoRoom = errors.ConstError("the data file cannot grow: the disk is full, or a quota or file size limit is reached")
 
-// Waiter waits for room on the disk.
+// Waiter waits for free disk space.
 type Waiter interface {
-	// NoRoom is called after a write found no room. It returns true to try the
-	// same write again, after a while of its own choice, and false to give it up.
+	// NoRoom is called after a write failed with ErrNoRoom. It may block before it
+	// returns. It returns true to retry the write and false to abandon it.
 	NoRoom(err error) (again bool)
-	// Room is called once a write that had found none has been made.
+	// Room is called once a write succeeds after NoRoom was called for it.
 	Room()
 }
 
-// noRoomCauses are what a system answers when a file can't grow: the disk, the
-// user's quota, or the limit of a file's size.
+// noRoomCauses are the system errors for a file that cannot grow: the disk is full,
+// or the user's quota or the file size limit is reached.
 var noRoomCauses = []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG}
 
-// isNoRoom tells whether a write failed for want of room. The store passes some of
-// these errors on as text alone.
+// isNoRoom reports whether a write failed because the file cannot grow. It also
+// compares the text, because bbolt returns some of these errors as text only.
 func isNoRoom(err error) bool {
 	if err == nil {
 		return false
@@ -39,16 +39,18 @@
 	return false
 }
 
-// update runs f in one transaction that is synced before update returns. While
-// the disk has no room it tries again for as long as the waiter says.
+// update runs f in one transaction that is synced before update returns. While the
+// file cannot grow, it retries the transaction until the waiter abandons it.
 //
-// Failure: the disk fills in the middle of a transaction. A replica that stops for
-// it ends its process, though nothing is lost: the store writes a transaction's
-// pages beside the old ones and its header last, so the file holds the state before
-// it, or after it if only the sync failed. Each transaction here sets what it
-// writes, whatever stood there, so to run it again is right in both cases. The file
-// is opened anew first, so that nothing in memory speaks of pages that were never
-// written.
+// The retry guards against a disk that fills during a transaction. A replica that
+// stopped there would end its process although nothing is lost. bbolt writes the
+// pages of a transaction beside the old ones and its header last. The file therefore
+// holds the state before the transaction, or after it if only the sync failed. A
+// retry is correct in both cases, because each transaction here overwrites its
+// records regardless of their previous content.
+//
+// Before a retry, update reopens the file, so that nothing in memory refers to pages
+// that were never written.
 func (w *WAL) update(f func(tx *bolt.Tx) error) error {
 	for waited := false; ; waited = true {
 		err := w.updateOnce(f)
@@ -68,7 +70,7 @@
 	}
 }
 
-// reopen opens the file anew.
+// reopen closes the file and opens it again.
 func (w *WAL) reopen() error {
 	if err := w.guard("close", w.db.Close); err != nil {
 		return errors.Annotatef(err, "closing %s", w.path)
