--- a/internal/wal/room_test.go
+++ b/internal/wal/room_test.go
@@ -14,8 +14,8 @@
 	"github.com/citronstep/citronstep/internal/raft"
 )
 
-// smallDisk lets files of this process grow up to a size, and gives way after a
-// few tries.
+// smallDisk limits the file size of this process, and lifts the limit after a few
+// failed writes. It is a Waiter.
 type smallDisk struct {
 	t            *testing.T
 	old          syscall.Rlimit
@@ -23,15 +23,15 @@
 	regained     int
 }
 
-// shrink makes every write beyond bytes fail, as on a disk that takes no more.
+// shrink makes every write beyond bytes fail, as on a full disk.
 func (d *smallDisk) shrink(bytes uint64) {
 	assert.NilError(d.t, syscall.Getrlimit(syscall.RLIMIT_FSIZE, &d.old))
 	assert.NilError(d.t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: bytes, Max: d.old.Max}))
 	d.tries = 0
 }
 
-// inChild runs a test in a process of its own, whose files alone are bounded: go
-// test itself writes files. It returns true in that process.
+// inChild runs the test in a child process, so that the file size limit does not
+// apply to files that go test itself writes. It returns true in the child.
 func inChild(t *testing.T) bool {
 	t.Helper()
 	const mark = "CITRONSTEP_SMALL_DISK"
@@ -45,9 +45,10 @@
 	return false
 }
 
+// grow lifts the file size limit.
 func (d *smallDisk) grow() { assert.NilError(d.t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &d.old)) }
 
-// NoRoom gives way after some tries.
+// NoRoom lifts the limit after some calls and always asks for a retry.
 func (d *smallDisk) NoRoom(err error) bool {
 	assert.Assert(d.t, errors.Is(err, ErrNoRoom))
 	d.tries++
@@ -57,10 +58,10 @@
 	return true
 }
 
-// Room counts the waits that ended.
+// Room counts the waits that ended in success.
 func (d *smallDisk) Room() { d.regained++ }
 
-// writes are the kinds of write, each on a folder with 40 entries.
+// writes holds one write of each kind, for a folder with 40 entries.
 var writes = map[string]func(w *WAL) error{
 	"identity": func(w *WAL) error {
 		id := w.Identity()
@@ -80,10 +81,10 @@
 	},
 }
 
-// The disk takes no more bytes, from the first page of a transaction on or from one
-// in its middle. The replica's process ended, was started again, and ended at its
-// next write; now the write waits, and what is read back afterwards is exactly
-// what the same write leaves behind on a disk with room.
+// Guards against a replica that stops on a full disk. The disk fills at the first or
+// at a later page of a transaction. The process used to exit, and after a restart it
+// exited again at the next write. The write must wait, and the content read back must
+// equal that of the same write on a disk with free space.
 func TestAWriteWaitsForRoom(t *testing.T) {
 	if !inChild(t) {
 		return
@@ -102,7 +103,8 @@
 	assert.Assert(t, waits > 40, "%d", waits)
 }
 
-// after returns what a folder holds after a write that found the disk small.
+// after returns the content of a folder after a write on a disk limited by d, or
+// without a limit if d is nil.
 func after(t *testing.T, write func(*WAL) error, d *smallDisk, room uint64) string {
 	t.Helper()
 	folder := written(t)
@@ -130,8 +132,8 @@
 	return fmt.Sprintf("%d %+v %+v %+v", id.Cluster, s.HardState, s.Base, s.Snapshot.Index) + fmt.Sprint(len(s.Snapshot.Data), len(s.Entries))
 }
 
-// A write is given up while the disk is full, as the process is told to stop. What
-// was acknowledged before it must be read back whole.
+// Guards against damage by an abandoned write. The disk is full and the process has
+// to stop, so the write is abandoned. All entries acknowledged before must be intact.
 func TestAWriteThatIsGivenUpLeavesWhatWasThere(t *testing.T) {
 	if !inChild(t) {
 		return
@@ -155,8 +157,9 @@
 	}
 }
 
-// A process starts for the first time while its disk is full. It must learn that
-// there is no room, not that its folder is damaged, and start well once there is.
+// Guards against a full disk reported as damage. A process starts for the first time
+// on a full disk. Open must return ErrNoRoom, not a CorruptError, and succeed once
+// the disk has free space.
 func TestAFolderThatFindsNoRoomIsNotDamaged(t *testing.T) {
 	if !inChild(t) {
 		return
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -21,7 +21,7 @@
 	return w
 }
 
-// save persists the entries from..to of one term.
+// save persists the entries with indexes from to to, inclusive, all of one term.
 func save(t *testing.T, w *WAL, term, from, to uint64) {
 	t.Helper()
 	var entries []raft.Entry
@@ -32,7 +32,7 @@
 	assert.NilError(t, w.Save(raft.Ready{MustPersist: true, Entries: entries, HardState: hard}))
 }
 
-// written makes a folder with 40 entries and returns it, closed.
+// written creates a data folder with 40 entries, closes it and returns its path.
 func written(t *testing.T) string {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "data")
@@ -42,8 +42,8 @@
 	return folder
 }
 
-// Story: a control VM restarts. It comes back under its identity, with its
-// vote, log and snapshot; a rewritten end of the log replaces the old one.
+// A reopened folder must have the same identity, vote, log and snapshot as before a
+// restart. Rewritten entries at the end of the log must replace the old ones.
 func TestReopen(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	w := openAt(t, folder)
@@ -80,8 +80,8 @@
 	assert.Equal(t, w.Saved().Base, raft.Position{Index: 100, Term: 5})
 }
 
-// mustBeCorrupt checks that a damaged folder is refused with the file's name
-// and what to do, and is left as it is.
+// mustBeCorrupt checks that Open rejects a damaged folder with a CorruptError that
+// names the file and advises the operator, and that the file is unchanged.
 func mustBeCorrupt(t *testing.T, folder string) {
 	t.Helper()
 	path := filepath.Join(folder, FileName)
@@ -100,9 +100,9 @@
 	assert.Assert(t, bytes.Equal(before, after))
 }
 
-// Story: a disk returns one wrong byte in an entry that this replica has
-// acknowledged. Dropping the entry, or the end of the log, would let a
-// committed write vanish without a word.
+// Guards against silent loss of a committed write. The disk returns one wrong byte in
+// an entry that this replica has acknowledged. Dropping that entry, or the log from
+// there on, could lose a committed write without notice.
 func TestWrongByte(t *testing.T) {
 	folder := written(t)
 	path := filepath.Join(folder, FileName)
@@ -114,8 +114,8 @@
 	mustBeCorrupt(t, folder)
 }
 
-// Story: a full or failing disk cut the file short. The end is gone, and
-// reading there would end the process with a memory fault.
+// Guards against a crash on a truncated file, left by a full or failing disk. A read
+// of the missing end would end the process with a memory fault.
 func TestFileCutShort(t *testing.T) {
 	for _, part := range []int64{2, 4, 20} {
 		folder := written(t)
@@ -127,7 +127,7 @@
 	}
 }
 
-// Story: the file's head was overwritten with zeros.
+// Guards against a file whose header pages were overwritten with zeros.
 func TestHeadOverwritten(t *testing.T) {
 	folder := written(t)
 	path := filepath.Join(folder, FileName)
@@ -138,8 +138,8 @@
 	mustBeCorrupt(t, folder)
 }
 
-// Story: entries below the commit index are missing, in the middle or at the
-// end, though each record that is there is sound.
+// Guards against missing entries at or below the commit index, at the start, in the
+// middle or at the end of the log. Each remaining record is intact.
 func TestMissingEntries(t *testing.T) {
 	for _, index := range []uint64{1, 20, 40} {
 		folder := written(t)
@@ -152,8 +152,8 @@
 	}
 }
 
-// Story: the process dies in the middle of a write. bbolt's transaction shows
-// all of it or nothing; here the transaction fails after half of the entries.
+// Guards against a partial write after a crash. A bbolt transaction is atomic. Here
+// it fails after half of its changes, and none of them may be visible.
 func TestHalfWrittenStepIsNotThere(t *testing.T) {
 	folder := written(t)
 	w := openAt(t, folder)
