--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,9 +1,10 @@
-// Package record holds the at-most-once records of non-idempotent requests.
+// Package record stores the records that make non-idempotent requests run at most
+// once.
 //
-// A request is claimed here, on a majority of the control replicas, before
-// its first byte is sent to a backend server. While the record or its
-// tombstone lives, no other claim of the same key is granted, so the request
-// runs at most once whatever entries, leaders or callers do.
+// An entry claims a request before it sends the first byte to a backend server. A
+// majority of the control replicas must accept the claim. While the record or its
+// tombstone exists, no other claim of the same key is granted. The request therefore
+// runs at most once, regardless of failures or retries of entries, leaders or callers.
 package record
 
 import (
@@ -14,11 +15,12 @@
 	"github.com/juju/errors"
 )
 
-// State is where a claimed request stands.
+// State is the state of a claimed request.
 type State string
 
-// The states of a record. Claimed may have run; Done has its answer; Unknown
-// was claimed by an entry that never told the outcome.
+// The states of a record. A Claimed request may have run. A Done request has run and
+// has an answer, which may no longer be kept. An Unknown request was claimed, but its
+// entry reported no outcome in time.
 const (
 	Claimed State = "claimed"
 	Done    State = "done"
@@ -27,39 +29,42 @@
 
 // Limits of the table.
 const (
-	// AnswerLifetimeMillis is how long an answer is kept for resends.
+	// AnswerLifetimeMillis is the time for which an answer is kept for resends.
 	AnswerLifetimeMillis = 10 * 60 * 1000
-	// TombstoneLifetimeMillis is how long a key is remembered after its answer
-	// is gone. A resend later than that runs anew: the operators' page says so.
+	// TombstoneLifetimeMillis is the time for which a key is kept after its request
+	// ended, also when the answer is no longer kept. A later resend runs again, which
+	// the operators' documentation states.
 	TombstoneLifetimeMillis = 24 * 60 * 60 * 1000
-	// MaxAnswerBytes bounds one kept answer; a longer one is kept as a
-	// tombstone at once, and a resend learns that the request ran.
+	// MaxAnswerBytes is the size limit of one kept answer. A longer answer is not
+	// kept: the record becomes a tombstone at once, and a resend learns only that the
+	// request ran.
 	MaxAnswerBytes = 256 << 10
-	// MaxAnswersBytes bounds all kept answers; the oldest become tombstones.
+	// MaxAnswersBytes is the size limit of all kept answers. Beyond it, the records
+	// with the oldest answers become tombstones.
 	MaxAnswersBytes = 32 << 20
-	// MaxRecords bounds the table. When it is full of live records, claims are
-	// refused as not run, rather than a tombstone dropped before its time.
+	// MaxRecords is the most records in the table. A full table refuses claims as
+	// not run. It does not drop a tombstone before the end of its lifetime.
 	//
-	// A snapshot of that many is encoded in a part of the election timeout
-	// (docs/CAPACITY.md).
+	// A snapshot of this many records is encoded in a fraction of the election
+	// timeout (docs/CAPACITY.md).
 	MaxRecords = 100_000
-	// WorkspaceParts is the part of the table, one in so many, that one
-	// workspace may fill.
+	// WorkspaceParts limits one workspace to MaxRecords/WorkspaceParts records.
 	WorkspaceParts = 2
-	// MaxStepMillis is how far one Expire moves the table's clock: twice the
-	// time between two of them, so that the clock catches up after an outage.
+	// MaxStepMillis is the most by which one Expire advances the table's clock. It is
+	// twice the time between two Expires, so that the clock catches up after an
+	// outage.
 	MaxStepMillis = 10_000
 )
 
-// Answer is what the caller got.
+// Answer is the answer that the caller received.
 type Answer struct {
 	Status int `json:"status"`
-	// Header is a plain service's header.
+	// Header holds the header fields of a plain service's answer.
 	Header map[string][]string `json:"header,omitempty"`
 	Body   []byte              `json:"body,omitempty"`
 }
 
-// size is what the answer takes, in bytes.
+// size returns the size of the answer's header and body in bytes.
 func (a *Answer) size() int {
 	n := len(a.Body)
 	for name, values := range a.Header {
@@ -73,20 +78,23 @@
 
 // Record is one claimed request.
 type Record struct {
-	// Key is the workspace and its idempotency key.
+	// Key is the workspace, a slash and the idempotency key.
 	Key string `json:"key"`
-	// Body is the hash of the request's body: a key reused for another
-	// request is refused.
+	// Body is the hash of the request's body. A claim of the same key with another
+	// body is refused.
 	Body    string  `json:"body"`
 	Entry   string  `json:"entry"`
 	Attempt string  `json:"attempt"`
 	State   State   `json:"state"`
 	Answer  *Answer `json:"answer,omitempty"`
-	// DeadlineMillis is when a claim without an outcome becomes Unknown.
+	// DeadlineMillis is the time, on the table's clock, after which a claim without an
+	// outcome becomes Unknown.
 	DeadlineMillis int64 `json:"deadline_ms"`
-	// EndedMillis is when the record reached Done or Unknown.
+	// EndedMillis is the time, on the table's clock, at which the record became Done
+	// or Unknown.
 	EndedMillis int64 `json:"ended_ms,omitempty"`
-	// look is when Expire looks at the record next.
+	// look is the time, on the table's clock in milliseconds, of the next check by
+	// Expire.
 	look int64
 }
 
@@ -95,20 +103,22 @@
 type Table struct {
 	records map[string]*Record
 	// ended lists the keys that still hold an answer, oldest first.
-	ended  []string
+	ended []string
+	// answer is the size in bytes of all kept answers.
 	answer int
-	// due orders the records by when Expire has to look at them next: a claim
-	// at its deadline, a tombstone at the end of its lifetime. Expire looks at
-	// those alone; visiting all of a full table would hold up the log.
+	// due orders the records by the time of their next check: a claim at its
+	// deadline, a tombstone at the end of its lifetime. Expire visits only the records
+	// that are due. A visit of all records of a full table would delay the log.
 	due dueHeap
-	// clock is what lifetimes are counted in, in milliseconds; 0 before the
-	// first Expire.
+	// clock is the table's clock, in milliseconds, against which deadlines and
+	// lifetimes are checked. It is zero before the first Expire.
 	//
-	// Failure: a leader whose clock is a day ahead expires every record at
-	// once, and resends of what has run are run again. The table's clock moves
-	// by MaxStepMillis an Expire at most and never back, whoever leads.
+	// Each Expire advances it by at most MaxStepMillis and never moves it back,
+	// whichever replica leads. This guards against a leader whose clock is a day
+	// ahead. With the leader's clock, every record would expire at once, and resent
+	// requests would run again.
 	clock int64
-	// held counts the records of each workspace.
+	// held holds the number of records of each workspace.
 	held map[string]int
 }
 
@@ -117,7 +127,7 @@
 	return &Table{records: make(map[string]*Record), held: make(map[string]int)}
 }
 
-// Command is one change of the table; one field is set.
+// Command is one change of the table. Exactly one field is set.
 type Command struct {
 	Claim   *Claim   `json:"claim,omitempty"`
 	Finish  *Finish  `json:"finish,omitempty"`
@@ -125,7 +135,7 @@
 	Expire  *Expire  `json:"expire,omitempty"`
 }
 
-// Claim asks to run a request.
+// Claim requests permission to run a request. Its times are on the sender's clock.
 type Claim struct {
 	Key            string `json:"key"`
 	Body           string `json:"body"`
@@ -135,8 +145,8 @@
 	NowMillis      int64  `json:"now_ms"`
 }
 
-// Finish records the answer of the attempt that holds the claim, or, with no
-// answer, that its outcome is unknown.
+// Finish records the answer of the attempt that holds the claim. A nil Answer means
+// that the outcome is unknown.
 type Finish struct {
 	Key       string  `json:"key"`
 	Attempt   string  `json:"attempt"`
@@ -144,42 +154,45 @@
 	NowMillis int64   `json:"now_ms"`
 }
 
-// Abandon gives a claim back. The entry sends it only when surely nothing was
-// sent to a backend server, or the backend server said it did not start.
+// Abandon releases a claim. The entry sends it only if it sent nothing to a backend
+// server, or if the backend server reported that it did not start the request.
 type Abandon struct {
 	Key     string `json:"key"`
 	Attempt string `json:"attempt"`
 }
 
-// Expire turns overdue claims into Unknown, old answers into tombstones, and
-// drops old tombstones.
+// Expire advances the table's clock. Claims past their deadline become Unknown,
+// records with expired answers become tombstones, and expired tombstones are removed.
 type Expire struct {
 	NowMillis int64 `json:"now_ms"`
 }
 
-// Outcome is the result of a Claim.
+// Outcome is the result of a Command.
 type Outcome struct {
-	// Granted says that this attempt, and no other, may dispatch.
+	// Granted is set if a Claim, Finish or Abandon took effect. After a Claim, this
+	// attempt and no other may send the request to a backend server.
 	Granted bool `json:"granted"`
-	// Full says that the table has no room; nothing was recorded.
+	// Full is set if the table or the workspace's part of it is full. Nothing was
+	// recorded.
 	Full bool `json:"full,omitempty"`
-	// Reused says that the key belongs to another body.
+	// Reused is set if the key was claimed with another body.
 	Reused bool    `json:"reused,omitempty"`
 	State  State   `json:"state,omitempty"`
 	Entry  string  `json:"entry,omitempty"`
 	Answer *Answer `json:"answer,omitempty"`
 }
 
-// ErrMalformed is returned for bytes that are no command or snapshot.
+// ErrMalformed is returned by Decode for data that is not a valid snapshot.
 const ErrMalformed = errors.ConstError("malformed record data")
 
-// Encode returns a command as it is written to the log.
+// Encode returns the command as log entry data.
 func Encode(c Command) ([]byte, error) {
 	data, err := json.Marshal(c)
 	return data, errors.Trace(err)
 }
 
-// Apply applies one command and returns its Outcome as JSON.
+// Apply applies one command and returns its Outcome as JSON. It returns nil for data
+// that is not a valid command.
 func (t *Table) Apply(encoded []byte) []byte {
 	var c Command
 	if err := json.Unmarshal(encoded, &c); err != nil {
@@ -223,14 +236,15 @@
 	if r.Body != c.Body {
 		return Outcome{Reused: true}
 	}
-	// The log may hold one claim twice: the entry resent it after a lost
-	// answer. The attempt that holds the claim still holds it.
+	// The log may hold a claim twice, because the entry sent it again after a lost
+	// answer. The attempt then still holds the claim.
 	granted := r.State == Claimed && r.Attempt == c.Attempt
 	return Outcome{Granted: granted, State: r.State, Entry: r.Entry, Answer: r.Answer}
 }
 
-// finish accepts the outcome of the claiming attempt alone. A late answer of a
-// claim that became Unknown is still the true one, and is taken.
+// finish accepts an outcome only from the attempt that holds the claim. It also
+// accepts a late answer for a claim that became Unknown, because that answer is still
+// correct.
 func (t *Table) finish(f Finish) Outcome {
 	r, ok := t.records[f.Key]
 	if !ok || r.Attempt != f.Attempt || r.State == Done {
@@ -299,7 +313,8 @@
 	t.schedule(r)
 }
 
-// advance moves the table's clock towards the leader's and returns it.
+// advance moves the table's clock towards the leader's, in milliseconds, and returns
+// it.
 func (t *Table) advance(leaders int64) int64 {
 	if t.clock == 0 {
 		t.clock = leaders
@@ -308,7 +323,7 @@
 	return t.clock
 }
 
-// now returns the table's clock, or the sender's before the first Expire.
+// now returns the table's clock, or the sender's clock before the first Expire.
 func (t *Table) now(senders int64) int64 {
 	if t.clock == 0 {
 		return senders
@@ -316,8 +331,8 @@
 	return t.clock
 }
 
-// full tells whether there is no room for a key. A workspace that fills its
-// part is refused before it takes the room of all others.
+// full reports whether the table has no capacity for a new key. A workspace that has
+// used its part is refused, so that it cannot use up the capacity of all others.
 func (t *Table) full(key string) bool {
 	return len(t.records) >= MaxRecords || t.held[workspaceOf(key)] >= MaxRecords/WorkspaceParts
 }
@@ -342,13 +357,14 @@
 	}
 }
 
-// schedule makes Expire look at the record again when it is due.
+// schedule adds the record's next check to the due heap.
 func (t *Table) schedule(r *Record) {
 	r.look = r.nextLook()
 	t.due.add(r.look, r.Key)
 }
 
-// nextLook is when the record's state changes by time alone.
+// nextLook returns the time after which the record's state changes without a command:
+// the deadline of a claim or the end of a tombstone's lifetime, in milliseconds.
 func (r *Record) nextLook() int64 {
 	if r.State == Claimed {
 		return r.DeadlineMillis
@@ -368,6 +384,7 @@
 // Len returns the number of records, tombstones included.
 func (t *Table) Len() int { return len(t.records) }
 
+// snapshot is the JSON form of a Table.
 type snapshot struct {
 	Records []*Record `json:"records"`
 	Ended   []string  `json:"ended"`
@@ -384,7 +401,7 @@
 	return data, errors.Trace(err)
 }
 
-// Decode returns the table that a snapshot holds.
+// Decode returns the table stored in a snapshot.
 func Decode(data []byte) (*Table, error) {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
