--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -18,7 +18,8 @@
 	return out
 }
 
-// doInSteps lets an Expire come as often as its time asks, as the leader does.
+// doInSteps applies c. For an Expire it first applies the earlier Expires that a leader
+// would have sent, because one Expire advances the clock only by MaxStepMillis.
 func doInSteps(t *testing.T, table *Table, c Command) {
 	t.Helper()
 	if c.Expire == nil {
@@ -31,8 +32,9 @@
 	do(t, table, c)
 }
 
-// A new leader's clock is a day ahead. It expires what ran an hour ago, and a
-// resent transfer note runs a second time.
+// Guards against a request that runs twice because of a wrong clock. A new leader's
+// clock is a day ahead. If its clock expired the record of a request that has just
+// run, a resend would run the request again.
 func TestALeadersWrongClockForgetsNothing(t *testing.T) {
 	table := NewTable()
 	do(t, table, Command{Expire: &Expire{1000}})
@@ -46,7 +48,8 @@
 	assert.Equal(t, out.State, Done)
 }
 
-// One workspace sends new keys without end. The others must still get theirs.
+// Guards against a workspace that sends new keys without end. Claims of other
+// workspaces must still be granted.
 func TestOneWorkspaceCantFillTheTable(t *testing.T) {
 	table := NewTable()
 	for i := range MaxRecords {
@@ -61,8 +64,9 @@
 	return Command{Claim: &Claim{Key: key, Body: "b", Entry: "e", Attempt: attempt, DeadlineMillis: now + 100, NowMillis: now}}
 }
 
-// A caller sends one transfer note to two entries at once. Both ask for the
-// claim; the log orders them. The note must run for one of them alone.
+// Guards against a request that runs on two entries. A caller sends one request to two
+// entries at once, and both claim it. The log orders the claims, and only one of the
+// two attempts may run the request.
 func TestOneClaimOfAKeyIsGranted(t *testing.T) {
 	table := NewTable()
 	assert.Assert(t, do(t, table, claim("k", "a", 0)).Granted)
@@ -79,22 +83,22 @@
 		name  string
 		then  []Command
 		state State
-		// granted says that a resend may run.
+		// granted is set if a resend may run. answered is set if it gets an answer.
 		granted, answered bool
 	}{
-		{"nothing", nil, Claimed, false, false},
-		{"given back", []Command{{Abandon: &Abandon{"k", "a"}}}, Claimed, true, false},
-		{"given back by another attempt", []Command{{Abandon: &Abandon{"k", "x"}}}, Claimed, false, false},
+		{"no command", nil, Claimed, false, false},
+		{"abandoned", []Command{{Abandon: &Abandon{"k", "a"}}}, Claimed, true, false},
+		{"abandoned by another attempt", []Command{{Abandon: &Abandon{"k", "x"}}}, Claimed, false, false},
 		{"answered", []Command{{Finish: &Finish{"k", "a", answer, 1}}}, Done, false, true},
 		{"answered by another attempt", []Command{{Finish: &Finish{"k", "x", answer, 1}}}, Claimed, false, false},
-		{"answered, then given back", []Command{{Finish: &Finish{"k", "a", answer, 1}}, {Abandon: &Abandon{"k", "a"}}}, Done, false, true},
+		{"answered, then abandoned", []Command{{Finish: &Finish{"k", "a", answer, 1}}, {Abandon: &Abandon{"k", "a"}}}, Done, false, true},
 		{"outcome unknown", []Command{{Finish: &Finish{"k", "a", nil, 1}}}, Unknown, false, false},
-		{"its entry died", []Command{{Expire: &Expire{101}}}, Unknown, false, false},
-		{"its entry was only slow", []Command{{Expire: &Expire{101}}, {Finish: &Finish{"k", "a", answer, 102}}}, Done, false, true},
-		{"given back after its deadline", []Command{{Expire: &Expire{101}}, {Abandon: &Abandon{"k", "a"}}}, Unknown, false, false},
-		{"too long to keep", []Command{{Finish: &Finish{"k", "a", long, 1}}}, Done, false, false},
-		{"answer forgotten", []Command{{Finish: &Finish{"k", "a", answer, 1}}, {Expire: &Expire{AnswerLifetimeMillis + 2}}}, Done, false, false},
-		{"tombstone forgotten", []Command{{Finish: &Finish{"k", "a", answer, 1}}, {Expire: &Expire{TombstoneLifetimeMillis + 2}}}, Claimed, true, false},
+		{"entry reports nothing before the deadline", []Command{{Expire: &Expire{101}}}, Unknown, false, false},
+		{"entry answers after the deadline", []Command{{Expire: &Expire{101}}, {Finish: &Finish{"k", "a", answer, 102}}}, Done, false, true},
+		{"abandoned after the deadline", []Command{{Expire: &Expire{101}}, {Abandon: &Abandon{"k", "a"}}}, Unknown, false, false},
+		{"answer too long to keep", []Command{{Finish: &Finish{"k", "a", long, 1}}}, Done, false, false},
+		{"answer expired", []Command{{Finish: &Finish{"k", "a", answer, 1}}, {Expire: &Expire{AnswerLifetimeMillis + 2}}}, Done, false, false},
+		{"tombstone expired", []Command{{Finish: &Finish{"k", "a", answer, 1}}, {Expire: &Expire{TombstoneLifetimeMillis + 2}}}, Claimed, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := NewTable()
@@ -110,8 +114,8 @@
 	}
 }
 
-// A drafting job reuses the key of one ledger for another. The answer of the
-// first must not be given for the second.
+// Guards against an answer to the wrong request. A caller reuses a key for a request
+// with another body, which must not get the answer of the first request.
 func TestAKeyIsBoundToItsBody(t *testing.T) {
 	table := NewTable()
 	do(t, table, claim("k", "a", 0))
@@ -133,9 +137,9 @@
 	assert.Assert(t, do(t, table, claim(strconv.Itoa(keys-1), "b", 2)).Answer != nil)
 }
 
-// Random commands keep two promises: a key is granted to one attempt at a
-// time, and once it is Done or Unknown it is granted to none while its
-// tombstone lives. A table restored from a snapshot answers alike.
+// Checks two invariants under random commands. A key is granted to one attempt at a
+// time. Once its record is Done or Unknown, the key is granted to no attempt while the
+// tombstone exists. A table restored from a snapshot must behave alike.
 func TestRandomCommandsGrantAtMostOnce(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
