--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -12,35 +12,35 @@
 //
 // A forced call skips the pre-vote and starts the election at once.
 func (n *Node) startPreVote(forced bool) {
-	n.resetElection()
+	n.resetElectionTimer()
 	n.leader = 0
 	if n.removed || !n.membership.IsVoter(n.cfg.ID) {
 		return
 	}
 	n.role = RolePreCandidate
-	n.scheduleRetry()
+	n.scheduleElectionRetry()
 	n.votes = map[NodeID]bool{n.cfg.ID: true}
 	if forced || n.votesWon() {
 		n.startElection(forced)
 		return
 	}
-	n.askForVotes(MessagePreVote, n.hard.Term+1, false)
+	n.requestVotes(MessagePreVote, n.hard.Term+1, false)
 }
 
-// retryParts divides the election timeout to give the shortest delay before an
+// retryDivisor divides the election timeout to give the shortest delay before an
 // unsuccessful candidate retries. The longest delay is twice the shortest.
 //
 // A first attempt often fails because the voters' promises have a moment left to
 // run, or because it competes with another candidate. A quarter of the timeout
 // spans many round trips. A delay of a whole timeout would double the time
 // without a leader.
-const retryParts = 4
+const retryDivisor = 4
 
-// scheduleRetry sets the next election attempt to a random time within the retry
+// scheduleElectionRetry sets the next election attempt to a random time within the retry
 // range.
-func (n *Node) scheduleRetry() {
-	least := n.cfg.ElectionTimeout / retryParts
-	n.electionDue = n.now + least + time.Duration(n.cfg.Rand.Int64N(int64(least)))
+func (n *Node) scheduleElectionRetry() {
+	minDelay := n.cfg.ElectionTimeout / retryDivisor
+	n.electionDue = n.now + minDelay + time.Duration(n.cfg.Rand.Int64N(int64(minDelay)))
 }
 
 // startElection enters a new term, votes for this node and requests the other
@@ -51,15 +51,15 @@
 	n.role = RoleCandidate
 	n.leader = 0
 	n.votes = map[NodeID]bool{n.cfg.ID: true}
-	n.scheduleRetry()
+	n.scheduleElectionRetry()
 	if n.votesWon() {
 		n.becomeLeader()
 		return
 	}
-	n.askForVotes(MessageVote, n.hard.Term, forced)
+	n.requestVotes(MessageVote, n.hard.Term, forced)
 }
 
-func (n *Node) askForVotes(t MessageType, term uint64, forced bool) {
+func (n *Node) requestVotes(t MessageType, term uint64, forced bool) {
 	last := n.log.last()
 	for _, id := range n.membership.Voters() {
 		if id == n.cfg.ID {
@@ -82,15 +82,15 @@
 	return granted >= n.membership.Quorum()
 }
 
-// upToDate reports whether the candidate's log is at least as up to date as the
+// isUpToDate reports whether the candidate's log is at least as up to date as the
 // local log, so that it holds every entry that may be committed.
-func (n *Node) upToDate(m Message) bool {
+func (n *Node) isUpToDate(m Message) bool {
 	last := n.log.last()
 	return m.LogTerm > last.Term || (m.LogTerm == last.Term && m.Index >= last.Index)
 }
 
 func (n *Node) handlePreVote(m Message) {
-	grant := m.Term > n.hard.Term && !n.promised() && n.upToDate(m)
+	grant := m.Term > n.hard.Term && !n.mustWithholdVote() && n.isUpToDate(m)
 	reply := Message{Type: MessagePreVoteReply, To: m.From, Reject: !grant}
 	if grant {
 		reply.Term = m.Term
@@ -102,8 +102,8 @@
 	// enterTerm checks the vote promise only for a message of a later term. This
 	// node may already be in the candidate's term because of another message,
 	// while its leader's lease still runs.
-	free := n.hard.Vote == 0 && n.leader == 0 && (m.Forced || !n.promised())
-	grant := (free || n.hard.Vote == m.From) && n.upToDate(m)
+	mayVote := n.hard.Vote == 0 && n.leader == 0 && (m.Forced || !n.mustWithholdVote())
+	grant := (mayVote || n.hard.Vote == m.From) && n.isUpToDate(m)
 	if grant && !n.recordVote(m.From) {
 		return
 	}
@@ -120,7 +120,7 @@
 		return false
 	}
 	n.hard.Vote = candidate
-	n.resetElection()
+	n.resetElectionTimer()
 	return true
 }
 
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -36,13 +36,13 @@
 	// removed is set once this node learns that its removal is committed.
 	removed bool
 
-	// heardAt is the time at which this node last received a message from a
+	// lastLeaderContact is the time at which this node last received a message from a
 	// leader, led, or started. It grants no vote for an ElectionTimeout after
 	// that: the leader's lease depends on this promise. The start counts because
 	// a restarted node does not know what it received before.
-	heardAt     time.Duration
-	electionDue time.Duration
-	votes       map[NodeID]bool
+	lastLeaderContact time.Duration
+	electionDue       time.Duration
+	votes             map[NodeID]bool
 
 	// The fields below are used only by a leader and reset when it is elected.
 	progress    map[NodeID]*progress
@@ -77,7 +77,7 @@
 	if cfg.MaxUncommitted == 0 {
 		cfg.MaxUncommitted = defaultMaxUncommitted
 	}
-	n := &Node{cfg: cfg, now: now, heardAt: now, hard: saved.HardState, savedHard: saved.HardState}
+	n := &Node{cfg: cfg, now: now, lastLeaderContact: now, hard: saved.HardState, savedHard: saved.HardState}
 	n.log = raftLog{snapshot: saved.Snapshot, base: saved.Base, entries: saved.Entries}
 	n.log.stable = n.log.lastIndex()
 	n.log.applied = saved.Snapshot.Index
@@ -89,7 +89,7 @@
 		return nil, errors.Trace(err)
 	}
 	n.removed = n.membership.IsRemoved(cfg.ID)
-	n.resetElection()
+	n.resetElectionTimer()
 	if v := n.membership.Voters(); len(v) == 1 && v[0] == cfg.ID {
 		// No other node can hold this node's vote promise, so it need not wait.
 		n.electionDue = now
@@ -116,9 +116,9 @@
 	n.now = max(n.now, now)
 }
 
-// resetElection sets the next election to a random time, one to two election
+// resetElectionTimer sets the next election to a random time, one to two election
 // timeouts from now.
-func (n *Node) resetElection() {
+func (n *Node) resetElectionTimer() {
 	spread := time.Duration(n.cfg.Rand.Int64N(int64(n.cfg.ElectionTimeout)))
 	n.electionDue = n.now + n.cfg.ElectionTimeout + spread
 }
@@ -159,7 +159,7 @@
 			return true
 		}
 	case MessageVote:
-		if !m.Forced && n.promised() {
+		if !m.Forced && n.mustWithholdVote() {
 			return false
 		}
 	}
@@ -167,13 +167,13 @@
 	return true
 }
 
-// promised reports whether this node has promised not to vote: it leads, or it
+// mustWithholdVote reports whether this node has promised not to vote: it leads, or it
 // received a message from a leader, led or started less than an election timeout
 // ago. The leader's lease ends before a majority's promises do. The promise also
 // prevents a node that was partitioned, or removed without knowing it, from
 // deposing a working leader.
-func (n *Node) promised() bool {
-	return n.role == RoleLeader || n.now-n.heardAt < n.cfg.ElectionTimeout
+func (n *Node) mustWithholdVote() bool {
+	return n.role == RoleLeader || n.now-n.lastLeaderContact < n.cfg.ElectionTimeout
 }
 
 func (n *Node) dispatch(m Message) {
@@ -238,7 +238,7 @@
 	if n.role == RoleLeader {
 		// This node counted itself in the quorum for its lease, so it makes the
 		// same vote promise that it would have made to another leader.
-		n.heardAt = n.now
+		n.lastLeaderContact = n.now
 	}
 	if term > n.hard.Term {
 		n.hard.Term = term
@@ -250,7 +250,7 @@
 	n.progress = nil
 	n.pendingReads = nil
 	n.transfer = transfer{}
-	n.resetElection()
+	n.resetElectionTimer()
 }
 
 // send queues a message for the next Ready.
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -124,7 +124,7 @@
 		return
 	}
 	n.becomeFollower(n.hard.Term, m.From)
-	n.heardAt = n.now
+	n.lastLeaderContact = n.now
 	switch m.Type {
 	case MessageAppend:
 		n.handleAppend(m)
