--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -164,8 +164,8 @@
 	}
 	n.progress[n.cfg.ID].match = n.log.stable
 	n.heartbeatDue = n.now
-	n.openingIndex = n.appendOwn(EntryCommand, nil).Index
-	n.beat()
+	n.termStartIndex = n.appendOwn(EntryCommand, nil).Index
+	n.broadcastHeartbeat()
 }
 
 // handleTimeoutNow starts an election at once, as the target of a leadership
--- a/internal/raft/guards_test.go
+++ b/internal/raft/guards_test.go
@@ -41,7 +41,7 @@
 	n.log.entries = append(n.log.entries[:1:1], Entry{Term: n.hard.Term - 1, Index: 2}, Entry{Term: n.hard.Term, Index: 3})
 	n.log.committed = 1
 	n.log.applied = 1
-	n.openingIndex = 3
+	n.termStartIndex = 3
 	reply := Message{Type: MessageAppendReply, Group: 1, From: b.others(n)[0], To: n.cfg.ID, Term: n.hard.Term, Index: 2}
 	for id := range n.progress {
 		n.progress[id].match = 0
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -18,12 +18,12 @@
 
 // transfer is a leadership transfer in progress. The zero value means none.
 type transfer struct {
-	target NodeID
-	due    time.Duration
-	// told is set when the leader sends MessageTimeoutNow. From then on the
+	target   NodeID
+	deadline time.Duration
+	// timeoutNowSent is set when the leader sends MessageTimeoutNow. From then on the
 	// leader has no lease in this term. The message may arrive at any later
 	// time, and the target's election ignores the voters' promises.
-	told bool
+	timeoutNowSent bool
 }
 
 // nthHighest returns the n-th highest of values, counted from 1. It sorts values.
@@ -59,7 +59,7 @@
 // Before that entry is committed, the leader may not know every entry that earlier
 // leaders committed. Before it is applied, the state machine may lack some of them.
 func (n *Node) LeaseExpiry() time.Duration {
-	if n.role != RoleLeader || n.transfer.told || n.log.applied < n.openingIndex {
+	if n.role != RoleLeader || n.transfer.timeoutNowSent || n.log.applied < n.termStartIndex {
 		return 0
 	}
 	acked := n.quorumAckedAt()
@@ -71,14 +71,14 @@
 
 // Active reports whether a member answered within the last election timeout.
 func (n *Node) Active(id NodeID) bool {
-	return n.answeredWithin(id, n.cfg.ElectionTimeout)
+	return n.ackedWithin(id, n.cfg.ElectionTimeout)
 }
 
 // Fresh reports whether a member answered within the last freshHeartbeats
 // heartbeat intervals. A membership change that needs the member's vote requires
 // this.
 func (n *Node) Fresh(id NodeID) bool {
-	return n.answeredWithin(id, freshHeartbeats*n.cfg.HeartbeatInterval)
+	return n.ackedWithin(id, freshHeartbeats*n.cfg.HeartbeatInterval)
 }
 
 // SilentFor returns the time since a member last answered this leader, or since
@@ -92,7 +92,7 @@
 	return n.now - max(p.ackedAt, n.leaderSince)
 }
 
-func (n *Node) answeredWithin(id NodeID, limit time.Duration) bool {
+func (n *Node) ackedWithin(id NodeID, limit time.Duration) bool {
 	if id == n.cfg.ID {
 		return true
 	}
@@ -101,7 +101,7 @@
 }
 
 func (n *Node) ownTermCommitted() bool {
-	return n.role == RoleLeader && n.log.committed >= n.openingIndex
+	return n.role == RoleLeader && n.log.committed >= n.termStartIndex
 }
 
 // tickLeader checks the quorum and the leadership transfer, and sends heartbeats
@@ -114,20 +114,20 @@
 		n.becomeFollower(n.hard.Term, 0)
 		return
 	}
-	if n.transfer.target != 0 && n.now >= n.transfer.due {
-		n.endTransfer()
+	if n.transfer.target != 0 && n.now >= n.transfer.deadline {
+		n.abortTransfer()
 		return
 	}
 	if n.now >= n.heartbeatDue {
-		n.beat()
+		n.broadcastHeartbeat()
 	}
 }
 
-// endTransfer aborts a leadership transfer that exceeded its time limit. If the
+// abortTransfer aborts a leadership transfer that exceeded its time limit. If the
 // leader has sent MessageTimeoutNow, it steps down: it cannot hold a lease again
 // in this term.
-func (n *Node) endTransfer() {
-	if n.transfer.told {
+func (n *Node) abortTransfer() {
+	if n.transfer.timeoutNowSent {
 		n.becomeFollower(n.hard.Term, 0)
 		return
 	}
@@ -149,7 +149,7 @@
 		return errors.Trace(ErrNotReady)
 	}
 	n.pendingReads = append(n.pendingReads, pendingRead{id: id, index: n.log.committed, round: n.round + 1})
-	n.roundWanted = true
+	n.needsNewRound = true
 	return nil
 }
 
@@ -201,23 +201,23 @@
 	if target == 0 {
 		return errors.Trace(ErrNoTransferTarget)
 	}
-	n.transfer = transfer{target: target, due: n.now + n.cfg.ElectionTimeout}
-	n.maybeHandOver()
+	n.transfer = transfer{target: target, deadline: n.now + n.cfg.ElectionTimeout}
+	n.maybeSendTimeoutNow()
 	return nil
 }
 
-// maybeHandOver sends MessageTimeoutNow to the transfer target once the target
+// maybeSendTimeoutNow sends MessageTimeoutNow to the transfer target once the target
 // holds the complete log.
-func (n *Node) maybeHandOver() {
+func (n *Node) maybeSendTimeoutNow() {
 	t := n.transfer.target
-	if t == 0 || n.transfer.told {
+	if t == 0 || n.transfer.timeoutNowSent {
 		return
 	}
 	p := n.progress[t]
 	if p == nil || p.match < n.log.lastIndex() {
 		return
 	}
-	n.transfer.told = true
+	n.transfer.timeoutNowSent = true
 	n.send(Message{Type: MessageTimeoutNow, To: t})
 }
 
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -47,15 +47,15 @@
 	// The fields below are used only by a leader and reset when it is elected.
 	progress    map[NodeID]*progress
 	leaderSince time.Duration
-	// openingIndex is the index of the empty entry that began the leader's term.
-	openingIndex uint64
-	heartbeatDue time.Duration
+	// termStartIndex is the index of the empty entry that began the leader's term.
+	termStartIndex uint64
+	heartbeatDue   time.Duration
 	// round numbers the heartbeats that the leader broadcast in this term.
 	round uint64
-	// roundWanted is set while a pending read needs a new round.
-	roundWanted  bool
-	pendingReads []pendingRead
-	transfer     transfer
+	// needsNewRound is set while a pending read needs a new round.
+	needsNewRound bool
+	pendingReads  []pendingRead
+	transfer      transfer
 
 	messages        []Message
 	pendingSnapshot *Snapshot
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -32,10 +32,10 @@
 	return &progress{next: next, probing: true, ackedAt: never}
 }
 
-// beat starts a new heartbeat round and sends a heartbeat to every other member.
-func (n *Node) beat() {
+// broadcastHeartbeat starts a new heartbeat round and sends a heartbeat to every other member.
+func (n *Node) broadcastHeartbeat() {
 	n.round++
-	n.roundWanted = false
+	n.needsNewRound = false
 	n.heartbeatDue = n.now + n.cfg.HeartbeatInterval
 	for _, member := range n.membership.Members {
 		if member.ID == n.cfg.ID {
@@ -56,8 +56,8 @@
 	if n.role != RoleLeader {
 		return
 	}
-	if n.roundWanted {
-		n.beat()
+	if n.needsNewRound {
+		n.broadcastHeartbeat()
 		n.confirmReads()
 	}
 	for _, member := range n.membership.Members {
@@ -234,7 +234,7 @@
 		p.next = max(p.next, p.match+1)
 	}
 	n.maybeCommit()
-	n.maybeHandOver()
+	n.maybeSendTimeoutNow()
 }
 
 func (n *Node) handleReject(m Message, p *progress) {
