--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -164,7 +164,7 @@
 	}
 	n.progress[n.cfg.ID].match = n.log.stable
 	n.heartbeatDue = n.now
-	n.termStartIndex = n.appendOwn(EntryCommand, nil).Index
+	n.termStartIndex = n.appendEntry(EntryCommand, nil).Index
 	n.broadcastHeartbeat()
 }
 
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -46,9 +46,9 @@
 	return ok && term == p.Term
 }
 
-// after returns the entries that follow index. Their data is at most maxBytes in
+// entriesAfter returns the entries that follow index. Their data is at most maxBytes in
 // total, except that a first entry of any size is included.
-func (l *raftLog) after(index uint64, maxBytes int) []Entry {
+func (l *raftLog) entriesAfter(index uint64, maxBytes int) []Entry {
 	if index >= l.lastIndex() {
 		return nil
 	}
@@ -63,8 +63,8 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// between returns the entries in (from, to].
-func (l *raftLog) between(from, to uint64) []Entry {
+// entriesBetween returns the entries in (from, to].
+func (l *raftLog) entriesBetween(from, to uint64) []Entry {
 	if to <= from {
 		return nil
 	}
@@ -139,10 +139,10 @@
 	l.base = Position{Index: index, Term: term}
 }
 
-// hintFor returns the highest index at or below p.Index whose term is at most
+// conflictHint returns the highest index at or below p.Index whose term is at most
 // p.Term. No index between the result and p.Index can match, so the leader need
 // not try one.
-func (l *raftLog) hintFor(p Position) uint64 {
+func (l *raftLog) conflictHint(p Position) uint64 {
 	index := min(p.Index, l.lastIndex())
 	for index > l.base.Index {
 		term, _ := l.term(index)
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -187,7 +187,7 @@
 // change of voters that could leave no responsive majority. Errors of Propose
 // apply as well.
 func (n *Node) ProposeMembership(next Membership) (Position, error) {
-	if err := n.checkProposer(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return Position{}, errors.Trace(err)
 	}
 	if !n.ownTermCommitted() {
@@ -206,7 +206,7 @@
 	if err != nil {
 		return Position{}, errors.Trace(err)
 	}
-	return n.appendOwn(EntryMembership, data), nil
+	return n.appendEntry(EntryMembership, data), nil
 }
 
 // reloadMembership sets the membership from the last EntryMembership in the log,
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -134,11 +134,11 @@
 		n.handleRemoved(m)
 		return
 	}
-	if n.refuseStranger(m) {
+	if n.refuseRemovedSender(m) {
 		return
 	}
 	if m.Term < n.hard.Term {
-		n.answerOldTerm(m)
+		n.replyStaleTerm(m)
 		return
 	}
 	if m.Term > n.hard.Term && !n.enterTerm(m) {
@@ -185,7 +185,7 @@
 	case MessagePreVoteReply, MessageVoteReply:
 		n.handleVoteReply(m)
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
-		n.handleFromLeader(m)
+		n.handleLeaderMessage(m)
 	case MessageAppendReply:
 		n.handleAppendReply(m)
 	case MessageHeartbeatReply:
@@ -195,9 +195,9 @@
 	}
 }
 
-// answerOldTerm sends the current term to a sender in an earlier term, so that a
+// replyStaleTerm sends the current term to a sender in an earlier term, so that a
 // stale leader or candidate steps down.
-func (n *Node) answerOldTerm(m Message) {
+func (n *Node) replyStaleTerm(m Message) {
 	switch m.Type {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		n.send(Message{Type: MessageAppendReply, To: m.From, Reject: true, Index: m.Index})
@@ -206,11 +206,11 @@
 	}
 }
 
-// refuseStranger reports whether the sender's removal is committed, in which case
+// refuseRemovedSender reports whether the sender's removal is committed, in which case
 // the message is dropped. It notifies a removed candidate of its removal.
 // Otherwise the candidate would request votes forever, because no leader sends the
 // log to a removed member.
-func (n *Node) refuseStranger(m Message) bool {
+func (n *Node) refuseRemovedSender(m Message) bool {
 	if !n.membership.IsRemoved(m.From) || n.membershipIndex > n.log.committed {
 		return false
 	}
@@ -270,13 +270,13 @@
 // It returns ErrNotLeader on a node that does not lead, ErrTransferring during a
 // leadership transfer, and ErrBusy when MaxUncommitted entries are uncommitted.
 func (n *Node) Propose(data []byte) (Position, error) {
-	if err := n.checkProposer(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return Position{}, errors.Trace(err)
 	}
-	return n.appendOwn(EntryCommand, data), nil
+	return n.appendEntry(EntryCommand, data), nil
 }
 
-func (n *Node) checkProposer() error {
+func (n *Node) checkCanPropose() error {
 	if n.role != RoleLeader {
 		return ErrNotLeader
 	}
@@ -291,8 +291,8 @@
 	return nil
 }
 
-// appendOwn appends an entry of the leader's current term.
-func (n *Node) appendOwn(t EntryType, data []byte) Position {
+// appendEntry appends an entry of the leader's current term.
+func (n *Node) appendEntry(t EntryType, data []byte) Position {
 	p := Position{Index: n.log.lastIndex() + 1, Term: n.hard.Term}
 	n.log.entries = append(n.log.entries, Entry{Term: p.Term, Index: p.Index, Type: t, Data: data})
 	if t == EntryMembership {
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -9,20 +9,20 @@
 // Ready returns the work that has accumulated since the last Advance. The driver
 // must call Advance with the result before it calls any other method.
 func (n *Node) Ready() Ready {
-	n.flush()
+	n.replicate()
 	n.hard.Commit = n.log.committed
 	r := Ready{
 		HardState: n.hard,
 		Snapshot:  n.pendingSnapshot,
-		Entries:   n.log.between(n.log.stable, n.log.lastIndex()),
+		Entries:   n.log.entriesBetween(n.log.stable, n.log.lastIndex()),
 		Messages:  n.messages,
-		Committed: n.log.between(n.log.applied, n.log.committed),
+		Committed: n.log.entriesBetween(n.log.applied, n.log.committed),
 		Reads:     n.reads,
 	}
 	// A change of the commit index alone needs no sync: a restarted node learns
 	// the index again from a majority.
-	spoken := n.hard.Term != n.savedHard.Term || n.hard.Vote != n.savedHard.Vote
-	r.MustPersist = spoken || r.Snapshot != nil || len(r.Entries) > 0
+	termOrVoteChanged := n.hard.Term != n.savedHard.Term || n.hard.Vote != n.savedHard.Vote
+	r.MustPersist = termOrVoteChanged || r.Snapshot != nil || len(r.Entries) > 0
 	return r
 }
 
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -15,9 +15,9 @@
 	// probing is set until an append matches the member's log. Until then the
 	// leader sends one append at a time.
 	probing bool
-	// asked is set while a probe has no answer. A heartbeat clears it, so that a
+	// probeInFlight is set while a probe has no answer. A heartbeat clears it, so that a
 	// lost probe is sent again.
-	asked bool
+	probeInFlight bool
 	// snapshotUntil is the time at which an unanswered snapshot is sent again. It
 	// is zero if no snapshot is in flight.
 	snapshotUntil time.Duration
@@ -42,7 +42,7 @@
 			continue
 		}
 		p := n.progress[member.ID]
-		p.asked = false
+		p.probeInFlight = false
 		n.send(Message{
 			Type: MessageHeartbeat, To: member.ID, SentAt: n.now, Round: n.round,
 			Commit: min(p.match, n.log.committed),
@@ -50,9 +50,9 @@
 	}
 }
 
-// flush sends each member the entries that it lacks. It runs once for each Ready,
+// replicate sends each member the entries that it lacks. It runs once for each Ready,
 // so one append carries all entries proposed since the last Ready.
-func (n *Node) flush() {
+func (n *Node) replicate() {
 	if n.role != RoleLeader {
 		return
 	}
@@ -75,7 +75,7 @@
 	if p.snapshotUntil != 0 && n.now < p.snapshotUntil {
 		return
 	}
-	if p.probing && p.asked {
+	if p.probing && p.probeInFlight {
 		return
 	}
 	previous := p.next - 1
@@ -87,7 +87,7 @@
 	if !p.probing && previous-p.match >= n.cfg.MaxInflight && !probe {
 		return
 	}
-	entries := n.log.after(previous, n.cfg.MaxBatchBytes)
+	entries := n.log.entriesAfter(previous, n.cfg.MaxBatchBytes)
 	if len(entries) == 0 && !probe {
 		return
 	}
@@ -96,7 +96,7 @@
 		Commit: n.log.committed, SentAt: n.now, Round: n.round,
 	})
 	if p.probing {
-		p.asked = true
+		p.probeInFlight = true
 		return
 	}
 	p.next += uint64(len(entries))
@@ -107,19 +107,19 @@
 	if snapshot.Index == 0 {
 		return
 	}
-	p.snapshotUntil = n.now + snapshotRetry*n.cfg.ElectionTimeout
+	p.snapshotUntil = n.now + snapshotRetryTimeouts*n.cfg.ElectionTimeout
 	n.send(Message{Type: MessageSnapshot, To: to, Snapshot: &snapshot, SentAt: n.now, Round: n.round})
 }
 
-// snapshotRetry is the number of election timeouts after which an unanswered
+// snapshotRetryTimeouts is the number of election timeouts after which an unanswered
 // snapshot is sent again. It leaves time for a large snapshot on a slow link, which
 // a second copy would only slow down further.
-const snapshotRetry = 4
+const snapshotRetryTimeouts = 4
 
-// handleFromLeader handles an append, heartbeat or snapshot of the current term.
-func (n *Node) handleFromLeader(m Message) {
-	known := n.leader == 0 || n.leader == m.From
-	if !invariant.Check(n.role != RoleLeader && known, "one leader in a term",
+// handleLeaderMessage handles an append, heartbeat or snapshot of the current term.
+func (n *Node) handleLeaderMessage(m Message) {
+	noOtherLeader := n.leader == 0 || n.leader == m.From
+	if !invariant.Check(n.role != RoleLeader && noOtherLeader, "one leader in a term",
 		"term %d: leaders %x and %x", n.hard.Term, uint64(n.leader), uint64(m.From)) {
 		return
 	}
@@ -136,7 +136,7 @@
 	}
 }
 
-func (n *Node) replyAppend(m Message, match uint64) {
+func (n *Node) sendAppendReply(m Message, match uint64) {
 	n.send(Message{Type: MessageAppendReply, To: m.From, Index: match, SentAt: m.SentAt, Round: m.Round})
 }
 
@@ -145,13 +145,13 @@
 	if previous.Index < n.log.committed {
 		// Committed entries are the same on all nodes. A delayed append may refer
 		// to entries that were compacted, so it is not compared with the log.
-		n.replyAppend(m, n.log.committed)
+		n.sendAppendReply(m, n.log.committed)
 		return
 	}
 	if !n.log.matches(previous) {
 		n.send(Message{
 			Type: MessageAppendReply, To: m.From, Reject: true, Index: m.Index,
-			Hint: n.log.hintFor(previous), SentAt: m.SentAt, Round: m.Round,
+			Hint: n.log.conflictHint(previous), SentAt: m.SentAt, Round: m.Round,
 		})
 		return
 	}
@@ -164,30 +164,30 @@
 	}
 	last := m.Index + uint64(len(m.Entries))
 	n.log.commitTo(min(m.Commit, last))
-	n.replyAppend(m, last)
+	n.sendAppendReply(m, last)
 }
 
 func (n *Node) handleSnapshot(m Message) {
 	s := *m.Snapshot
 	if s.Index <= n.log.committed {
-		n.replyAppend(m, n.log.committed)
+		n.sendAppendReply(m, n.log.committed)
 		return
 	}
 	if n.log.matches(Position{Index: s.Index, Term: s.Term}) {
 		n.log.commitTo(s.Index)
-		n.replyAppend(m, s.Index)
+		n.sendAppendReply(m, s.Index)
 		return
 	}
 	n.log.restore(s)
 	n.pendingSnapshot = &s
 	n.useMembership(s.Membership, s.Index, s.Term)
-	n.replyAppend(m, s.Index)
+	n.sendAppendReply(m, s.Index)
 }
 
-// acknowledge records a member's answer, which renews the lease and confirms
+// recordAck records a member's answer, which renews the lease and confirms
 // reads. It returns the member's progress, or nil if this node does not lead or the
 // sender is no member.
-func (n *Node) acknowledge(m Message) *progress {
+func (n *Node) recordAck(m Message) *progress {
 	if n.role != RoleLeader {
 		return nil
 	}
@@ -204,7 +204,7 @@
 }
 
 func (n *Node) handleHeartbeatReply(m Message) {
-	p := n.acknowledge(m)
+	p := n.recordAck(m)
 	if p == nil {
 		return
 	}
@@ -214,19 +214,19 @@
 }
 
 func (n *Node) handleAppendReply(m Message) {
-	p := n.acknowledge(m)
+	p := n.recordAck(m)
 	if p == nil {
 		return
 	}
 	if m.Reject {
-		n.handleReject(m, p)
+		n.handleAppendReject(m, p)
 		return
 	}
 	if !invariant.Check(m.Index <= n.log.lastIndex(), "log matching",
 		"member %x matches at %d past the last index %d", uint64(m.From), m.Index, n.log.lastIndex()) {
 		return
 	}
-	p.asked = false
+	p.probeInFlight = false
 	p.snapshotUntil = 0
 	if m.Index >= p.match {
 		p.probing = false
@@ -237,11 +237,11 @@
 	n.maybeSendTimeoutNow()
 }
 
-func (n *Node) handleReject(m Message, p *progress) {
+func (n *Node) handleAppendReject(m Message, p *progress) {
 	if m.Index <= p.match {
 		return // a stale answer: a later append has already matched
 	}
-	p.asked = false
+	p.probeInFlight = false
 	p.probing = true
 	p.next = max(p.match+1, min(m.Index, m.Hint+1))
 }
