--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -74,11 +74,11 @@
 	return n.ackedWithin(id, n.cfg.ElectionTimeout)
 }
 
-// Fresh reports whether a member answered within the last freshHeartbeats
-// heartbeat intervals. A membership change that needs the member's vote requires
-// this.
+// Fresh reports whether a member answered within the last few heartbeat intervals,
+// see freshHeartbeatIntervals. A membership change that needs the member's vote
+// requires this.
 func (n *Node) Fresh(id NodeID) bool {
-	return n.ackedWithin(id, freshHeartbeats*n.cfg.HeartbeatInterval)
+	return n.ackedWithin(id, freshHeartbeatIntervals*n.cfg.HeartbeatInterval)
 }
 
 // SilentFor returns the time since a member last answered this leader, or since
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -7,10 +7,10 @@
 	"github.com/juju/errors"
 )
 
-// maxRemoved is the most removed identities that a Membership keeps. Each takes 8
+// maxRemovedIDs is the most removed identities that a Membership keeps. Each takes 8
 // bytes, and one is added only when a VM loses its disk or an operator removes a
 // member.
-const maxRemoved = 1024
+const maxRemovedIDs = 1024
 
 // Member is one replica of the group.
 type Member struct {
@@ -102,7 +102,7 @@
 	next := m.clone()
 	next.Members = slices.DeleteFunc(next.Members, func(member Member) bool { return member.ID == id })
 	next.Removed = append(next.Removed, id)
-	if excess := len(next.Removed) - maxRemoved; excess > 0 {
+	if excess := len(next.Removed) - maxRemovedIDs; excess > 0 {
 		next.Removed = next.Removed[excess:]
 	}
 	return next
@@ -112,9 +112,9 @@
 	return Membership{Members: slices.Clone(m.Members), Removed: slices.Clone(m.Removed)}
 }
 
-// votersChanged returns the number of identities that are voters in exactly one of
+// countVoterChanges returns the number of identities that are voters in exactly one of
 // the two lists.
-func votersChanged(a, b Membership) int {
+func countVoterChanges(a, b Membership) int {
 	changed := 0
 	for _, id := range a.Voters() {
 		if !b.IsVoter(id) {
@@ -129,13 +129,13 @@
 	return changed
 }
 
-// checkChange returns ErrInvalidChange unless next is a single-step change of the
+// checkMembershipChange returns ErrInvalidChange unless next is a single-step change of the
 // current list.
 //
 // Majorities of two lists that differ in one voter always overlap. If two voters
 // were exchanged at once, two disjoint majorities could each elect a leader.
-func (n *Node) checkChange(next Membership) error {
-	if votersChanged(n.membership, next) > 1 {
+func (n *Node) checkMembershipChange(next Membership) error {
+	if countVoterChanges(n.membership, next) > 1 {
 		return errors.Annotate(ErrInvalidChange, "more than one voter differs")
 	}
 	if !next.IsVoter(n.cfg.ID) {
@@ -151,10 +151,10 @@
 	return nil
 }
 
-// freshHeartbeats is the number of heartbeat intervals for which an answer counts
+// freshHeartbeatIntervals is the number of heartbeat intervals for which an answer counts
 // as recent when a membership change is checked. It allows for one lost and one
 // late answer.
-const freshHeartbeats = 3
+const freshHeartbeatIntervals = 3
 
 // keepsMajority reports whether enough voters of next have answered recently to
 // commit entries under next. Without this check, a second loss just after a
@@ -196,10 +196,10 @@
 	if n.membershipIndex > n.log.committed {
 		return Position{}, errors.Trace(ErrChangePending)
 	}
-	if err := n.checkChange(next); err != nil {
+	if err := n.checkMembershipChange(next); err != nil {
 		return Position{}, errors.Trace(err)
 	}
-	if votersChanged(n.membership, next) > 0 && !n.keepsMajority(next) {
+	if countVoterChanges(n.membership, next) > 0 && !n.keepsMajority(next) {
 		return Position{}, errors.Trace(ErrUnsafeChange)
 	}
 	data, err := EncodeMembership(next)
@@ -228,16 +228,16 @@
 		if err != nil {
 			return errors.Trace(err)
 		}
-		n.useMembership(m, entry.Index, entry.Term)
+		n.setMembership(m, entry.Index, entry.Term)
 		return nil
 	}
-	n.useMembership(n.log.snapshot.Membership, n.log.snapshot.Index, n.log.snapshot.Term)
+	n.setMembership(n.log.snapshot.Membership, n.log.snapshot.Index, n.log.snapshot.Term)
 	return nil
 }
 
-// useMembership sets the membership and, on a leader, adds and removes the
+// setMembership sets the membership and, on a leader, adds and removes the
 // progress of members to match it.
-func (n *Node) useMembership(m Membership, index, term uint64) {
+func (n *Node) setMembership(m Membership, index, term uint64) {
 	n.membership = m
 	n.membershipIndex = index
 	n.membershipTerm = term
--- a/internal/raft/plan.go
+++ b/internal/raft/next_membership.go
@@ -23,31 +23,31 @@
 // NextMembership returns the one membership change to make now and the reason for
 // it. The reason is empty if no change is needed.
 func NextMembership(v MembershipView) (Membership, string) {
-	if id, ok := replacedMember(v); ok {
+	if id, ok := supersededMember(v); ok {
 		return v.Membership.Without(id), "the VM of a member rejoins with an empty disk under a new identity"
 	}
-	for _, wants := range v.Joins {
-		present, ok := v.Membership.Find(wants.ID)
-		if !ok && !nameTaken(v, wants) && !v.Membership.IsRemoved(wants.ID) {
-			wants.Learner = true
-			return v.Membership.With(wants), "a new replica joins as learner"
+	for _, request := range v.Joins {
+		present, ok := v.Membership.Find(request.ID)
+		if !ok && !isVMListed(v, request) && !v.Membership.IsRemoved(request.ID) {
+			request.Learner = true
+			return v.Membership.With(request), "a new replica joins as learner"
 		}
-		wants.Learner = present.Learner
-		if ok && wants != present {
-			return v.Membership.With(wants), "a replica moved to another address"
+		request.Learner = present.Learner
+		if ok && request != present {
+			return v.Membership.With(request), "a replica moved to another address"
 		}
 	}
-	if id, ok := silentVoter(v); ok {
+	if id, ok := silentVoterToReplace(v); ok {
 		return v.Membership.Without(id), "a voter has not answered for the replacement period and a learner can replace it"
 	}
-	if learner, ok := promotable(v); ok {
+	if learner, ok := learnerToPromote(v); ok {
 		learner.Learner = false
 		return v.Membership.With(learner), "a learner has caught up and the group needs another voter"
 	}
 	return Membership{}, ""
 }
 
-// replacedMember returns an inactive member whose VM requests to join under
+// supersededMember returns an inactive member whose VM requests to join under
 // another identity.
 //
 // The VM has lost its disk, and with it the record of its votes and acknowledged
@@ -57,16 +57,16 @@
 // The removal does not reduce fault tolerance: the old identity no longer answers,
 // and ProposeMembership rejects the change unless a majority of the shorter list
 // answers.
-func replacedMember(v MembershipView) (NodeID, bool) {
-	for _, wants := range v.Joins {
+func supersededMember(v MembershipView) (NodeID, bool) {
+	for _, request := range v.Joins {
 		// A join request is kept for some time after its sender became a member
 		// or was removed. Such a stale request replaces no member.
-		_, present := v.Membership.Find(wants.ID)
-		if present || v.Membership.IsRemoved(wants.ID) {
+		_, present := v.Membership.Find(request.ID)
+		if present || v.Membership.IsRemoved(request.ID) {
 			continue
 		}
 		for _, m := range v.Membership.Members {
-			if m.VM == wants.VM && m.ID != wants.ID && m.ID != v.Self && !v.Active[m.ID] {
+			if m.VM == request.VM && m.ID != request.ID && m.ID != v.Self && !v.Active[m.ID] {
 				return m.ID, true
 			}
 		}
@@ -74,21 +74,21 @@
 	return 0, false
 }
 
-// nameTaken reports whether the VM of a join request is a member under another
+// isVMListed reports whether the VM of a join request is a member under another
 // identity.
-func nameTaken(v MembershipView, wants Member) bool {
+func isVMListed(v MembershipView, request Member) bool {
 	for _, m := range v.Membership.Members {
-		if m.VM == wants.VM && m.ID != wants.ID {
+		if m.VM == request.VM && m.ID != request.ID {
 			return true
 		}
 	}
 	return false
 }
 
-// promotable returns the learner to promote, if there are fewer voters than
+// learnerToPromote returns the learner to promote, if there are fewer voters than
 // wanted. It chooses an active, caught-up learner in the data centre with the
 // fewest voters, so that the loss of a data centre costs as few voters as possible.
-func promotable(v MembershipView) (Member, bool) {
+func learnerToPromote(v MembershipView) (Member, bool) {
 	perCentre := map[string]int{}
 	voters := 0
 	for _, m := range v.Membership.Members {
@@ -100,18 +100,18 @@
 	if voters >= v.Wanted {
 		return Member{}, false
 	}
-	return readyLearner(v, perCentre)
+	return findReadyLearner(v, perCentre)
 }
 
-// silentVoter returns a silent voter that a ready learner can replace. Without
+// silentVoterToReplace returns a silent voter that a ready learner can replace. Without
 // such a learner, removing the voter would only shorten the list. With one, the
 // group regains its failure tolerance without an operator, for example at night.
 //
 // All other voters must have answered recently. The silent voter may only be
 // partitioned, with its disk intact. If another voter is lost for good, the group
 // may need the silent one back to reach a majority.
-func silentVoter(v MembershipView) (NodeID, bool) {
-	if _, ok := readyLearner(v, nil); !ok {
+func silentVoterToReplace(v MembershipView) (NodeID, bool) {
+	if _, ok := findReadyLearner(v, nil); !ok {
 		return 0, false
 	}
 	var silent NodeID
@@ -127,9 +127,9 @@
 	return silent, silent != 0
 }
 
-// readyLearner returns an active, caught-up learner from the data centre with the
+// findReadyLearner returns an active, caught-up learner from the data centre with the
 // fewest voters according to perCentre.
-func readyLearner(v MembershipView, perCentre map[string]int) (Member, bool) {
+func findReadyLearner(v MembershipView, perCentre map[string]int) (Member, bool) {
 	var best Member
 	found := false
 	for _, m := range v.Membership.Members {
--- a/internal/raft/random_test.go
+++ b/internal/raft/random_test.go
@@ -30,7 +30,7 @@
 //
 // 23607: two of five voters were lost within 0.3 s, and a third was only
 // partitioned. The leader removed the third as silent, so its return no longer gave
-// a majority. silentVoter now requires a fresh answer from all other voters.
+// a majority. silentVoterToReplace now requires a fresh answer from all other voters.
 var faultSeeds = []uint64{5784, 2397, 23607}
 
 const (
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -180,7 +180,7 @@
 	}
 	n.log.restore(s)
 	n.pendingSnapshot = &s
-	n.useMembership(s.Membership, s.Index, s.Term)
+	n.setMembership(s.Membership, s.Index, s.Term)
 	n.sendAppendReply(m, s.Index)
 }
 
--- a/internal/raft/simulation_faults_test.go
+++ b/internal/raft/simulation_faults_test.go
@@ -112,9 +112,9 @@
 }
 
 // detectionWindow is the time after the loss of a member in which the leader may
-// still count it as fresh and promote it. It is freshHeartbeats heartbeat
-// intervals, plus an allowance for clock drift and one step.
-const detectionWindow = freshHeartbeats*simHeartbeat + 10*simStep
+// still count it as fresh and promote it. It is
+// freshHeartbeatIntervals, plus an allowance for clock drift and one step.
+const detectionWindow = freshHeartbeatIntervals*simHeartbeat + 10*simStep
 
 // mayLose reports whether every possible membership keeps a majority of intact disks
 // if the disk of lost is lost.
