--- a/internal/raft/directed_test.go
+++ b/internal/raft/directed_test.go
@@ -9,25 +9,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// bench is a small group of nodes with identical clocks and a network without
+// testGroup is a small group of nodes with identical clocks and a network without
 // delay, for tests that need one exact order of events.
-type bench struct {
+type testGroup struct {
 	t     *testing.T
 	now   time.Duration
 	nodes map[NodeID]*Node
 	order []NodeID
 	// down holds the nodes that neither send nor receive.
 	down map[NodeID]bool
-	// holds holds the message types that are collected in held and not delivered.
-	holds map[MessageType]bool
-	held  []Message
-	reads []Read
+	// heldTypes holds the message types that are collected in heldMessages instead of delivered.
+	heldTypes    map[MessageType]bool
+	heldMessages []Message
+	reads        []Read
 }
 
-func newBench(t *testing.T, voters, learners int) *bench {
+func newTestGroup(t *testing.T, voters, learners int) *testGroup {
 	t.Helper()
-	b := &bench{
-		t: t, now: time.Hour, nodes: map[NodeID]*Node{}, down: map[NodeID]bool{}, holds: map[MessageType]bool{},
+	b := &testGroup{
+		t: t, now: time.Hour, nodes: map[NodeID]*Node{}, down: map[NodeID]bool{}, heldTypes: map[MessageType]bool{},
 	}
 	var m Membership
 	for id := NodeID(1); id <= NodeID(voters+learners); id++ {
@@ -51,8 +51,8 @@
 	return b
 }
 
-// settle delivers messages until none are left.
-func (b *bench) settle() {
+// deliverAll delivers messages until none are left.
+func (b *testGroup) deliverAll() {
 	for moved := true; moved; {
 		moved = false
 		for _, id := range b.order {
@@ -70,9 +70,9 @@
 	}
 }
 
-func (b *bench) deliver(m Message) {
-	if b.holds[m.Type] {
-		b.held = append(b.held, m)
+func (b *testGroup) deliver(m Message) {
+	if b.heldTypes[m.Type] {
+		b.heldMessages = append(b.heldMessages, m)
 		return
 	}
 	if !b.down[m.From] && !b.down[m.To] && b.nodes[m.To] != nil {
@@ -80,8 +80,8 @@
 	}
 }
 
-// pass advances the clock by d in steps of 50 ms and ticks the nodes that are up.
-func (b *bench) pass(d time.Duration) {
+// advance advances the clock by d in steps of 50 ms and ticks the nodes that are up.
+func (b *testGroup) advance(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.now += 50 * time.Millisecond
 		for _, id := range b.order {
@@ -89,15 +89,15 @@
 				b.nodes[id].Tick(b.now)
 			}
 		}
-		b.settle()
+		b.deliverAll()
 	}
 }
 
 // leader advances the clock until a node that is up leads, and returns that node.
-func (b *bench) leader() *Node {
+func (b *testGroup) leader() *Node {
 	b.t.Helper()
 	for range 200 {
-		b.pass(50 * time.Millisecond)
+		b.advance(50 * time.Millisecond)
 		for _, id := range b.order {
 			if n := b.nodes[id]; n.role == RoleLeader && !b.down[id] {
 				return n
@@ -108,7 +108,7 @@
 	return nil
 }
 
-func (b *bench) others(n *Node) []NodeID {
+func (b *testGroup) peersOf(n *Node) []NodeID {
 	var ids []NodeID
 	for _, id := range b.order {
 		if id != n.cfg.ID {
@@ -123,18 +123,18 @@
 // lost too before it has answered. Two of four voters are no majority, although two
 // of three were, and the group stays down.
 func TestFourthVoterNeedsAllToAnswer(t *testing.T) {
-	b := newBench(t, 3, 1)
+	b := newTestGroup(t, 3, 1)
 	n := b.leader()
-	lost := b.others(n)[0]
+	lost := b.peersOf(n)[0]
 	b.down[lost] = true
-	b.pass(400 * time.Millisecond)
+	b.advance(400 * time.Millisecond)
 	learner, _ := n.membership.Find(4)
 	learner.Learner = false
 	_, err := n.ProposeMembership(n.membership.With(learner))
 	assert.Assert(t, errors.Is(err, ErrUnsafeChange), "%v", err)
 
 	b.down[lost] = false
-	b.pass(400 * time.Millisecond)
+	b.advance(400 * time.Millisecond)
 	_, err = n.ProposeMembership(n.membership.With(learner))
 	assert.NilError(t, err)
 }
@@ -143,18 +143,18 @@
 // old leader committed and answered, but does not yet know that it is committed. A
 // read at this point would return the state before that write.
 func TestNoReadBeforeAnEntryOfTheOwnTerm(t *testing.T) {
-	b := newBench(t, 3, 0)
-	b.holds[MessageAppend] = true
+	b := newTestGroup(t, 3, 0)
+	b.heldTypes[MessageAppend] = true
 	n := b.leader()
 	assert.Assert(t, errors.Is(n.ReadIndex(b.now, 1), ErrNotReady))
 	assert.Equal(t, n.LeaseExpiry(), time.Duration(0))
-	_, err := n.ProposeMembership(n.membership.Without(b.others(n)[0]))
+	_, err := n.ProposeMembership(n.membership.Without(b.peersOf(n)[0]))
 	assert.Assert(t, errors.Is(err, ErrNotReady), "%v", err)
 
-	b.holds[MessageAppend] = false
-	b.pass(200 * time.Millisecond)
+	b.heldTypes[MessageAppend] = false
+	b.advance(200 * time.Millisecond)
 	assert.NilError(t, n.ReadIndex(b.now, 1))
-	b.settle()
+	b.deliverAll()
 	assert.Equal(t, len(b.reads), 1)
 	assert.Assert(t, n.LeaseExpiry() > b.now)
 }
@@ -163,10 +163,10 @@
 // entries of its predecessors are committed but has not applied them yet. With a
 // lease, it would grant leases to others based on a state that is long out of date.
 func TestNoLeaseBeforeTheEntriesOfEarlierLeadersAreApplied(t *testing.T) {
-	b := newBench(t, 3, 0)
-	b.holds[MessageAppendReply] = true
+	b := newTestGroup(t, 3, 0)
+	b.heldTypes[MessageAppendReply] = true
 	n := b.leader()
-	for _, m := range b.held {
+	for _, m := range b.heldMessages {
 		if m.To == n.cfg.ID {
 			n.Step(b.now, m)
 		}
@@ -174,8 +174,8 @@
 	assert.Assert(t, n.ownTermCommitted())
 	assert.Equal(t, n.LeaseExpiry(), time.Duration(0))
 
-	b.holds[MessageAppendReply] = false
-	b.settle()
+	b.heldTypes[MessageAppendReply] = false
+	b.deliverAll()
 	assert.Assert(t, n.LeaseExpiry() > b.now)
 }
 
@@ -183,9 +183,9 @@
 // until another node leads. When it resumes, a caller requests its lease and a
 // read before it has handled any message.
 func TestFrozenLeaderHasNoLease(t *testing.T) {
-	b := newBench(t, 3, 0)
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	frozen := n.cfg.ID
 	assert.Assert(t, n.LeaseExpiry() > b.now)
 	b.down[frozen] = true
@@ -195,7 +195,7 @@
 
 	assert.NilError(t, n.ReadIndex(b.now, 1))
 	b.down[frozen] = false
-	b.pass(time.Second)
+	b.advance(time.Second)
 	assert.Equal(t, len(b.reads), 0)
 	assert.Equal(t, n.role, RoleFollower)
 }
@@ -205,11 +205,11 @@
 // then requests its vote. The vote would break the promise on which the current
 // leader's lease depends, and a second leader would serve while the first one still
 // answers reads.
-func TestPromiseHoldsInTheCandidatesTerm(t *testing.T) {
-	b := newBench(t, 3, 0)
+func TestVotePromiseHoldsInTheCandidatesTerm(t *testing.T) {
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
-	b.pass(200 * time.Millisecond)
-	others := b.others(n)
+	b.advance(200 * time.Millisecond)
+	others := b.peersOf(n)
 	voter := b.nodes[others[0]]
 	term := voter.hard.Term + 1
 	voter.Step(b.now, Message{Type: MessagePreVoteReply, Group: 1, From: others[1], To: others[0], Term: term, Reject: true})
@@ -225,40 +225,40 @@
 // stop. The successor's election does not wait for vote promises. The old leader's
 // lease must therefore end when it sends MessageTimeoutNow.
 func TestHandoverEndsTheLease(t *testing.T) {
-	b := newBench(t, 3, 0)
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
-	b.pass(200 * time.Millisecond)
-	b.holds[MessageTimeoutNow] = true
+	b.advance(200 * time.Millisecond)
+	b.heldTypes[MessageTimeoutNow] = true
 	assert.NilError(t, n.TransferLeadership(b.now))
 	assert.Equal(t, n.LeaseExpiry(), time.Duration(0))
 	_, err := n.Propose([]byte("x"))
 	assert.Assert(t, errors.Is(err, ErrTransferring))
-	b.settle()
-	assert.Equal(t, len(b.held), 1)
+	b.deliverAll()
+	assert.Equal(t, len(b.heldMessages), 1)
 
-	b.holds[MessageTimeoutNow] = false
-	b.deliver(b.held[0])
-	b.settle()
-	assert.Equal(t, b.nodes[b.held[0].To].role, RoleLeader)
+	b.heldTypes[MessageTimeoutNow] = false
+	b.deliver(b.heldMessages[0])
+	b.deliverAll()
+	assert.Equal(t, b.nodes[b.heldMessages[0].To].role, RoleLeader)
 	assert.Equal(t, n.role, RoleFollower)
 }
 
 // Guards against a removed member that requests votes forever. A member is removed
 // while it is partitioned. When it returns and requests votes, it is notified of its
 // removal and stops.
-func TestRemovedMemberIsTold(t *testing.T) {
-	b := newBench(t, 3, 0)
+func TestRemovedMemberIsNotified(t *testing.T) {
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
-	b.pass(200 * time.Millisecond)
-	gone := b.others(n)[0]
-	b.down[gone] = true
-	_, err := n.ProposeMembership(n.membership.Without(gone))
+	b.advance(200 * time.Millisecond)
+	removed := b.peersOf(n)[0]
+	b.down[removed] = true
+	_, err := n.ProposeMembership(n.membership.Without(removed))
 	assert.NilError(t, err)
-	b.pass(3 * time.Second)
+	b.advance(3 * time.Second)
 	term := n.hard.Term
-	b.down[gone] = false
-	b.pass(3 * time.Second)
-	assert.Assert(t, b.nodes[gone].Status().Removed)
+	b.down[removed] = false
+	b.advance(3 * time.Second)
+	assert.Assert(t, b.nodes[removed].Status().Removed)
 	assert.Equal(t, n.role, RoleLeader)
 	assert.Equal(t, n.hard.Term, term)
 }
@@ -267,10 +267,10 @@
 // at once. Either an exchange of two voters in one step or a second change before
 // the first is committed could cause them.
 func TestOneMembershipChangeAtATime(t *testing.T) {
-	b := newBench(t, 3, 0)
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
-	b.pass(200 * time.Millisecond)
-	others := b.others(n)
+	b.advance(200 * time.Millisecond)
+	others := b.peersOf(n)
 	two := n.membership.Without(others[0]).With(Member{ID: 9, VM: "z"})
 	_, err := n.ProposeMembership(two)
 	assert.Assert(t, errors.Is(err, ErrInvalidChange), "%v", err)
@@ -285,32 +285,32 @@
 // follower restarts, or the leader steps down because of a later term. Both counted
 // in the majority for the lease. If either voted at once for the isolated follower,
 // a second leader would write while the lease still runs.
-func TestPromiseOutlastsRestartAndStepDown(t *testing.T) {
-	b := newBench(t, 3, 0)
+func TestVotePromiseOutlastsRestartAndStepDown(t *testing.T) {
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
-	b.pass(200 * time.Millisecond)
-	others := b.others(n)
-	deaf := others[0]
+	b.advance(200 * time.Millisecond)
+	others := b.peersOf(n)
+	isolated := others[0]
 	term := n.hard.Term + 1
 	last := n.log.last()
-	ask := func(to NodeID) Message {
+	voteRequest := func(to NodeID) Message {
 		return Message{
-			Type: MessageVote, Group: 1, From: deaf, To: to, Term: term, Index: last.Index, LogTerm: last.Term,
+			Type: MessageVote, Group: 1, From: isolated, To: to, Term: term, Index: last.Index, LogTerm: last.Term,
 		}
 	}
 	old := b.nodes[others[1]]
 	saved := Saved{HardState: old.hard, Entries: old.log.entries}
 	restarted, err := New(old.cfg, saved, b.now)
 	assert.NilError(t, err)
-	restarted.Step(b.now, ask(restarted.cfg.ID))
+	restarted.Step(b.now, voteRequest(restarted.cfg.ID))
 	assert.Equal(t, restarted.hard, saved.HardState)
 
 	n.Step(b.now, Message{
-		Type: MessageAppendReply, Group: 1, From: deaf, To: n.cfg.ID, Term: term, Reject: true,
+		Type: MessageAppendReply, Group: 1, From: isolated, To: n.cfg.ID, Term: term, Reject: true,
 	})
 	assert.Equal(t, n.role, RoleFollower)
-	n.Step(b.now, ask(n.cfg.ID))
+	n.Step(b.now, voteRequest(n.cfg.ID))
 	assert.Equal(t, n.hard.Vote, NodeID(0))
-	n.Step(b.now+2*time.Second, ask(n.cfg.ID))
-	assert.Equal(t, n.hard.Vote, deaf)
+	n.Step(b.now+2*time.Second, voteRequest(n.cfg.ID))
+	assert.Equal(t, n.hard.Vote, isolated)
 }
--- a/internal/raft/guards_test.go
+++ b/internal/raft/guards_test.go
@@ -13,7 +13,7 @@
 // Guards against two leaders in one term: a node votes, crashes before the vote is
 // synced, and votes for another candidate of the same term.
 func TestVoteIsPersistedBeforeItIsSent(t *testing.T) {
-	b := newBench(t, 3, 0)
+	b := newTestGroup(t, 3, 0)
 	b.now += 2 * time.Second
 	n := b.nodes[1]
 	// Enter the term first, so that the vote is the only change to persist.
@@ -35,14 +35,14 @@
 // Guards against the loss of a committed entry. A leader replicates an entry of an
 // earlier term to a majority and commits it by counting. The leader crashes. A node
 // with an entry of a term in between at the same index wins and overwrites it.
-func TestEarlierTermsCommitOnlyWithTheOwn(t *testing.T) {
-	b := newBench(t, 3, 0)
+func TestEarlierTermsCommitOnlyWithTheCurrent(t *testing.T) {
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
 	n.log.entries = append(n.log.entries[:1:1], Entry{Term: n.hard.Term - 1, Index: 2}, Entry{Term: n.hard.Term, Index: 3})
 	n.log.committed = 1
 	n.log.applied = 1
 	n.termStartIndex = 3
-	reply := Message{Type: MessageAppendReply, Group: 1, From: b.others(n)[0], To: n.cfg.ID, Term: n.hard.Term, Index: 2}
+	reply := Message{Type: MessageAppendReply, Group: 1, From: b.peersOf(n)[0], To: n.cfg.ID, Term: n.hard.Term, Index: 2}
 	for id := range n.progress {
 		n.progress[id].match = 0
 	}
@@ -58,11 +58,11 @@
 // heartbeat is still in flight. If it confirmed a later read, the old leader would
 // answer that read after the new leader has committed a write.
 func TestReadNeedsARoundThatBeganAfterIt(t *testing.T) {
-	b := newBench(t, 3, 0)
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	late := Message{
-		Type: MessageHeartbeatReply, Group: 1, From: b.others(n)[0], To: n.cfg.ID,
+		Type: MessageHeartbeatReply, Group: 1, From: b.peersOf(n)[0], To: n.cfg.ID,
 		Term: n.hard.Term, SentAt: b.now, Round: n.round,
 	}
 	assert.NilError(t, n.ReadIndex(b.now, 1))
@@ -80,8 +80,8 @@
 // Guards against votes from non-voters. Replicas that returned with an empty disk
 // are not voters yet and answer a candidate. Two such answers must not count as a
 // majority of three.
-func TestOnlyVotersCount(t *testing.T) {
-	b := newBench(t, 3, 2)
+func TestOnlyVotersCountTowardsMajority(t *testing.T) {
+	b := newTestGroup(t, 3, 2)
 	n := b.nodes[1]
 	n.startElection(false)
 	for _, id := range []NodeID{4, 5, 99} {
@@ -95,10 +95,10 @@
 // Guards against a lease that outlasts the vote promises. If the leader's clock
 // runs 5% slow and the voters' clocks 5% fast, a lease of the same nominal length
 // would end after the promises.
-func TestLeaseIsShorterThanThePromise(t *testing.T) {
-	b := newBench(t, 3, 0)
+func TestLeaseIsShorterThanTheVotePromise(t *testing.T) {
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
-	b.pass(500 * time.Millisecond)
+	b.advance(500 * time.Millisecond)
 	promise := n.quorumAckedAt() + n.cfg.ElectionTimeout
 	assert.Equal(t, n.LeaseExpiry(), promise-n.cfg.LeaseMargin)
 	slow := float64(n.cfg.ElectionTimeout-n.cfg.LeaseMargin) / (1 - simClockDrift)
@@ -109,18 +109,18 @@
 // Guards against a partitioned node that continues to lead. Callers that reach it
 // would wait forever, and operators would see two leaders.
 func TestLeaderWithoutAQuorumStepsDown(t *testing.T) {
-	b := newBench(t, 3, 0)
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
-	b.pass(300 * time.Millisecond)
-	for _, id := range b.others(n) {
+	b.advance(300 * time.Millisecond)
+	for _, id := range b.peersOf(n) {
 		b.down[id] = true
 	}
-	b.pass(n.cfg.ElectionTimeout / 2)
+	b.advance(n.cfg.ElectionTimeout / 2)
 	assert.Equal(t, n.role, RoleLeader)
-	b.pass(n.cfg.ElectionTimeout)
+	b.advance(n.cfg.ElectionTimeout)
 	assert.Assert(t, n.role != RoleLeader)
 	term := n.hard.Term
-	b.pass(5 * time.Second)
+	b.advance(5 * time.Second)
 	assert.Equal(t, n.hard.Term, term, "pre-votes start no new terms")
 }
 
@@ -129,14 +129,14 @@
 // would continue after the vote promises, which count from the sending of the
 // answer, have ended.
 func TestLateAnswerDoesNotRenewTheLease(t *testing.T) {
-	b := newBench(t, 3, 0)
+	b := newTestGroup(t, 3, 0)
 	n := b.leader()
-	b.pass(500 * time.Millisecond)
+	b.advance(500 * time.Millisecond)
 	sent := b.now
-	others := b.others(n)
+	others := b.peersOf(n)
 	b.down[others[0]] = true
 	b.down[others[1]] = true
-	b.pass(600 * time.Millisecond)
+	b.advance(600 * time.Millisecond)
 	before := n.LeaseExpiry()
 	n.Step(b.now, Message{
 		Type: MessageHeartbeatReply, Group: 1, From: others[0], To: n.cfg.ID,
--- a/internal/raft/next_membership_test.go
+++ b/internal/raft/next_membership_test.go
@@ -25,7 +25,7 @@
 // still held the first request. The new identity had not answered yet, so the
 // leader removed it as the replaced member. The VM could never return under that
 // identity.
-func TestStaleJoinReplacesNobody(t *testing.T) {
+func TestStaleJoinReplacesNoMember(t *testing.T) {
 	v := sampleView()
 	v.Membership = v.Membership.Without(2)
 	v.Membership = v.Membership.With(Member{ID: 22, VM: "b", DataCentre: "y", Address: "2", Learner: true})
@@ -93,7 +93,7 @@
 // Guards against the loss of the majority while a spare is available. A voter's VM
 // is lost for good, and a fourth control VM is a learner. If a second voter is lost
 // before the learner is promoted, the group has no majority.
-func TestSpareTakesTheSilentVotersPlace(t *testing.T) {
+func TestLearnerReplacesSilentVoter(t *testing.T) {
 	v := sampleView()
 	v.Silent = map[NodeID]bool{3: true}
 	v.Fresh = map[NodeID]bool{1: true, 2: true}
