--- a/internal/raft/measure_test.go
+++ b/internal/raft/measure_test.go
@@ -35,21 +35,21 @@
 // process holds a lease.
 func newLeaderAfterCrash(t *testing.T, seed uint64, voters int) time.Duration {
 	t.Helper()
-	w := newWorld(seed, voters, voters)
-	w.until(healTime, w.whole)
-	w.until(w.duration(simElectionTimeout), func() bool { return false })
+	w := newSimCluster(seed, voters, voters)
+	w.runUntil(healTime, w.isHealthy)
+	w.runUntil(w.duration(simElectionTimeout), func() bool { return false })
 	var old *simVM
 	for _, vm := range w.vms {
-		if vm.proc.lead {
+		if vm.proc.isLeader {
 			old = vm
 		}
 	}
 	w.crash(old)
-	old.upAt = w.now + time.Hour
+	old.restartAt = w.now + time.Hour
 	start := w.now
-	w.until(healTime, func() bool {
+	w.runUntil(healTime, func() bool {
 		return slices.ContainsFunc(w.vms, func(vm *simVM) bool {
-			return vm.proc != nil && vm.proc.lead && vm.proc.lease > vm.clock(w.now)
+			return vm.proc != nil && vm.proc.isLeader && vm.proc.lease > vm.clock(w.now)
 		})
 	})
 	return w.now - start
--- a/internal/raft/random_test.go
+++ b/internal/raft/random_test.go
@@ -114,58 +114,58 @@
 	if seed%3 == 0 {
 		wanted = 5
 	}
-	w := newWorld(seed, wanted+int(seed%2), wanted)
+	w := newSimCluster(seed, wanted+int(seed%2), wanted)
 	defer func() {
 		if cause := recover(); cause != nil {
 			problem = fmt.Sprintf("%v\n%v", cause, w)
 		}
 	}()
 	counts = w.counts
-	w.until(healTime, w.whole)
-	if !w.whole() {
+	w.runUntil(healTime, w.isHealthy)
+	if !w.isHealthy() {
 		return counts, "the group did not become healthy at the start\n" + w.String()
 	}
-	w.faults = drawFaults(w)
-	w.clients.pause = []int{simFastClients, 20, 200}[w.rng.IntN(3)]
+	w.faults = randomFaults(w)
+	w.clients.pause = []int{simFastPause, 20, 200}[w.rng.IntN(3)]
 	for end := w.now + chaosTime; w.now < end; {
-		w.strike()
-		w.renewRemoved()
+		w.injectFaults()
+		w.restartRemoved()
 		w.step()
 	}
-	return counts, w.settle()
+	return counts, w.checkRecovery()
 }
 
-// drawFaults chooses the fault probabilities of a run at random, so that a single
+// randomFaults chooses the fault probabilities of a run at random, so that a single
 // kind of fault dominates in some seeds.
-func drawFaults(w *world) simFaults {
+func randomFaults(w *simCluster) simFaults {
 	chance := func(highest float64) float64 { return highest * w.rng.Float64() * w.rng.Float64() }
 	return simFaults{
-		loss: chance(0.3), double: chance(0.2), slow: chance(0.2), slowSync: chance(0.2),
+		loss: chance(0.3), duplicate: chance(0.2), delay: chance(0.2), slowSync: chance(0.2),
 		crash: chance(0.02), cut: chance(0.03), freeze: chance(0.02),
-		wipe: chance(0.02), remove: chance(0.005), transfer: chance(0.01),
-		voterCrash: chance(0.6), leaderCrash: chance(0.03), deafen: chance(0.05),
+		diskLoss: chance(0.02), remove: chance(0.005), transfer: chance(0.01),
+		voterCrash: chance(0.6), leaderCrash: chance(0.03), leaderLinkCut: chance(0.05),
 	}
 }
 
-// until runs steps until done returns true or the time limit is reached.
-func (w *world) until(limit time.Duration, done func() bool) {
+// runUntil runs steps until done returns true or the time limit is reached.
+func (w *simCluster) runUntil(limit time.Duration, done func() bool) {
 	for end := w.now + limit; w.now < end && !done(); {
-		w.renewRemoved()
+		w.restartRemoved()
 		w.step()
 	}
 }
 
-// settle ends the faults. It checks that the group recovers and answers again, and
+// checkRecovery ends the faults. It checks that the group recovers and answers again, and
 // that the history of all answers is linearizable.
-func (w *world) settle() string {
-	w.heal()
-	w.until(healTime, w.whole)
-	if !w.whole() {
+func (w *simCluster) checkRecovery() string {
+	w.endFaults()
+	w.runUntil(healTime, w.isHealthy)
+	if !w.isHealthy() {
 		return "the group did not become healthy after the faults\n" + w.String()
 	}
 	before := w.clients.answers
-	w.clients.pause = simFastClients
-	w.until(healTime, func() bool { return w.clients.answers > before+20 })
+	w.clients.pause = simFastPause
+	w.runUntil(healTime, func() bool { return w.clients.answers > before+20 })
 	if w.clients.answers <= before+20 {
 		return "clients get no answers after the faults\n" + w.String()
 	}
--- a/internal/raft/simulation_check_test.go
+++ b/internal/raft/simulation_check_test.go
@@ -8,7 +8,7 @@
 // simChecker checks the invariants of the complete group, which no single node can
 // check.
 type simChecker struct {
-	w *world
+	w *simCluster
 	// leaders holds the only leader of each term.
 	leaders map[uint64]NodeID
 	votes   map[simBallot]NodeID
@@ -26,11 +26,11 @@
 }
 
 // simViolation is the panic value for an invariant violation in the simulation.
-type simViolation struct{ what string }
+type simViolation struct{ detail string }
 
-func (v simViolation) Error() string { return v.what }
+func (v simViolation) Error() string { return v.detail }
 
-func newSimChecker(w *world) *simChecker {
+func newSimChecker(w *simCluster) *simChecker {
 	return &simChecker{
 		w: w, leaders: map[uint64]NodeID{}, votes: map[simBallot]NodeID{}, committed: map[uint64]Entry{},
 	}
@@ -40,8 +40,8 @@
 	panic(simViolation{fmt.Sprintf(format, args...)})
 }
 
-// message checks that each identity grants at most one vote per term.
-func (c *simChecker) message(p *simProcess, m Message) {
+// checkVote checks that each identity grants at most one vote per term.
+func (c *simChecker) checkVote(p *simProcess, m Message) {
 	if m.Type != MessageVoteReply || m.Reject || m.To != p.id {
 		return
 	}
@@ -52,8 +52,8 @@
 	c.votes[b] = p.id
 }
 
-// node checks, after each step of a process, that a term has only one leader.
-func (c *simChecker) node(p *simProcess) {
+// checkLeader checks, after each step of a process, that a term has only one leader.
+func (c *simChecker) checkLeader(p *simProcess) {
 	s := p.node.Status()
 	if s.Role != RoleLeader {
 		return
@@ -67,13 +67,13 @@
 	}
 	c.leaders[s.Term] = p.id
 	c.w.counts["leaders"]++
-	c.complete(p, s)
+	c.checkLeaderLog(p, s)
 }
 
-// complete checks that a new leader holds every applied entry of an earlier term.
+// checkLeaderLog checks that a new leader holds every applied entry of an earlier term.
 // A node may learn that it won only after a leader of a later term was elected. It
 // then lacks the later leader's entries, but it can commit nothing.
-func (c *simChecker) complete(p *simProcess, s Status) {
+func (c *simChecker) checkLeaderLog(p *simProcess, s Status) {
 	for index := s.FirstIndex; index <= c.lastCommitted; index++ {
 		if c.committed[index].Term >= s.Term {
 			return
@@ -85,8 +85,8 @@
 	}
 }
 
-// applied checks that all nodes apply the same entry at each index.
-func (c *simChecker) applied(p *simProcess, e Entry) {
+// checkApplied checks that all nodes apply the same entry at each index.
+func (c *simChecker) checkApplied(p *simProcess, e Entry) {
 	old, ok := c.committed[e.Index]
 	if ok && (old.Term != e.Term || !bytes.Equal(old.Data, e.Data)) {
 		c.fail("%x applies an entry %d that differs from the one applied before", uint64(p.id), e.Index)
@@ -110,9 +110,9 @@
 	c.membershipIndex = e.Index
 }
 
-// leases checks that no process leads a later term while another one, frozen or
+// checkLeases checks that no process leads a later term while another one, frozen or
 // not, holds a lease on its own clock.
-func (c *simChecker) leases() {
+func (c *simChecker) checkLeases() {
 	for _, vm := range c.w.vms {
 		p := vm.proc
 		if p == nil || p.lease <= vm.clock(c.w.now) {
--- a/internal/raft/simulation_clients_test.go
+++ b/internal/raft/simulation_clients_test.go
@@ -10,8 +10,8 @@
 
 const (
 	simClientCount = 3
-	simPatience    = 2 * simElectionTimeout
-	simFastClients = 4
+	simCallTimeout = 2 * simElectionTimeout
+	simFastPause   = 4
 )
 
 // simOp is one operation of a client.
@@ -22,9 +22,9 @@
 	call    time.Duration
 	term    uint64
 	open    bool
-	// taken is set once a leader has appended the command, which may then take
+	// appended is set once a leader has appended the command, which may then take
 	// effect.
-	taken bool
+	appended bool
 }
 
 // simResult is the result that a client received: the value of a read, or in ok
@@ -38,7 +38,7 @@
 // simClients call the registers and record the history for the linearizability
 // check.
 type simClients struct {
-	w       *world
+	w       *simCluster
 	current []*simOp
 	names   []int
 	next    int
@@ -51,8 +51,8 @@
 	pause int
 }
 
-func newSimClients(w *world) *simClients {
-	c := &simClients{w: w, current: make([]*simOp, simClientCount), pause: simFastClients}
+func newSimClients(w *simCluster) *simClients {
+	c := &simClients{w: w, current: make([]*simOp, simClientCount), pause: simFastPause}
 	for range simClientCount {
 		c.names = append(c.names, c.next)
 		c.next++
@@ -69,8 +69,8 @@
 			}
 			continue
 		}
-		if c.w.now-op.call > simPatience {
-			c.unknown(op)
+		if c.w.now-op.call > simCallTimeout {
+			c.endUnknown(op)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 // leader.
 func (c *simClients) begin(i int) {
 	p := c.w.vms[c.w.rng.IntN(len(c.w.vms))].proc
-	if p == nil || !p.lead {
+	if p == nil || !p.isLeader {
 		return
 	}
 	c.value++
@@ -117,7 +117,7 @@
 		c.drop(op)
 		return
 	}
-	op.taken = true
+	op.appended = true
 	op.term = at.Term
 	p.waiters[at.Index] = op
 }
@@ -152,9 +152,9 @@
 	c.finish(op, simResult{value: p.state[op.command.Key]})
 }
 
-// applied returns a function that answers the caller of an applied entry, or nil if
+// answerFor returns a function that answers the caller of an applied entry, or nil if
 // no caller waits. The process calls it at the end of the step.
-func (c *simClients) applied(p *simProcess, e Entry, ok bool) func() {
+func (c *simClients) answerFor(p *simProcess, e Entry, ok bool) func() {
 	op := p.waiters[e.Index]
 	if op == nil {
 		return nil
@@ -181,10 +181,10 @@
 	c.answers++
 }
 
-// unknown ends an operation without an answer. A command that was appended may
+// endUnknown ends an operation without an answer. A command that was appended may
 // still take effect, so the history records it.
-func (c *simClients) unknown(op *simOp) {
-	if op.read || !op.taken {
+func (c *simClients) endUnknown(op *simOp) {
+	if op.read || !op.appended {
 		c.drop(op)
 		return
 	}
@@ -204,7 +204,7 @@
 	})
 }
 
-func (c *simClients) leadershipLost(p *simProcess) {
+func (c *simClients) dropReads(p *simProcess) {
 	for id, op := range p.reads {
 		delete(p.reads, id)
 		if op.open {
@@ -214,18 +214,18 @@
 }
 
 func (c *simClients) processLost(p *simProcess) {
-	c.leadershipLost(p)
-	c.lostBelow(p, math.MaxUint64)
+	c.dropReads(p)
+	c.endWaitersThrough(p, math.MaxUint64)
 }
 
-// lostBelow ends the wait for entries up to index, whose outcome the process cannot
+// endWaitersThrough ends the wait for entries up to index, whose outcome the process cannot
 // learn because of a snapshot or a crash.
-func (c *simClients) lostBelow(p *simProcess, index uint64) {
+func (c *simClients) endWaitersThrough(p *simProcess, index uint64) {
 	for at, op := range p.waiters {
 		if at <= index {
 			delete(p.waiters, at)
 			if op.open {
-				c.unknown(op)
+				c.endUnknown(op)
 			}
 		}
 	}
--- a/internal/raft/simulation_faults_test.go
+++ b/internal/raft/simulation_faults_test.go
@@ -5,68 +5,68 @@
 	"time"
 )
 
-// strike injects faults for one step, each with its probability.
-func (w *world) strike() {
+// injectFaults injects faults for one step, each with its probability.
+func (w *simCluster) injectFaults() {
 	f := w.faults
 	vm := w.vms[w.rng.IntN(len(w.vms))]
 	if w.rng.Float64() < f.leaderCrash {
 		w.crashLeader()
 	}
-	if w.rng.Float64() < f.deafen {
-		w.deafen(vm)
+	if w.rng.Float64() < f.leaderLinkCut {
+		w.cutLeaderLink(vm)
 	}
 	switch {
 	case w.rng.Float64() < f.crash:
 		w.crash(vm)
 	case w.rng.Float64() < f.freeze && vm.proc != nil:
 		w.counts["freezes"]++
-		vm.proc.frozen = w.now + w.duration(4*simElectionTimeout)
+		vm.proc.frozenUntil = w.now + w.duration(4*simElectionTimeout)
 	case w.rng.Float64() < f.cut:
-		w.strikeCut(vm)
-	case w.rng.Float64() < f.wipe:
-		w.wipe(vm)
+		w.cutLinks(vm)
+	case w.rng.Float64() < f.diskLoss:
+		w.loseDisk(vm)
 	case w.rng.Float64() < f.remove:
 		w.removeMember(vm)
-	case w.rng.Float64() < f.transfer && vm.proc != nil && vm.proc.pending == nil && vm.proc.frozen <= w.now:
+	case w.rng.Float64() < f.transfer && vm.proc != nil && vm.proc.pending == nil && vm.proc.frozenUntil <= w.now:
 		if vm.proc.node.TransferLeadership(vm.clock(w.now)) == nil {
 			w.counts["leadership transfers"]++
-			w.pump(vm.proc)
+			w.processReady(vm.proc)
 		}
 	}
 }
 
 // crashLeader crashes a leader and restarts it at once. Terms then follow each
 // other closely, and each leaves uncommitted entries behind.
-func (w *world) crashLeader() {
+func (w *simCluster) crashLeader() {
 	for _, vm := range w.vms {
-		if vm.proc != nil && vm.proc.lead {
+		if vm.proc != nil && vm.proc.isLeader {
 			w.crash(vm)
-			vm.upAt = w.now
+			vm.restartAt = w.now
 			return
 		}
 	}
 }
 
-// deafen cuts the links between a leader and one other VM. That VM starts elections
+// cutLeaderLink cuts the links between a leader and one other VM. That VM starts elections
 // while the other voters still receive the leader's messages.
-func (w *world) deafen(leader *simVM) {
-	if leader.proc == nil || !leader.proc.lead {
+func (w *simCluster) cutLeaderLink(leader *simVM) {
+	if leader.proc == nil || !leader.proc.isLeader {
 		return
 	}
 	other := w.vms[w.rng.IntN(len(w.vms))]
 	until := w.now + w.duration(4*simElectionTimeout)
-	w.cut[[2]string{leader.name, other.name}] = until
-	w.cut[[2]string{other.name, leader.name}] = until
+	w.cutUntil[[2]string{leader.name, other.name}] = until
+	w.cutUntil[[2]string{other.name, leader.name}] = until
 }
 
 // duration returns a random duration below limit.
-func (w *world) duration(limit time.Duration) time.Duration {
+func (w *simCluster) duration(limit time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(limit)))
 }
 
 // crash ends a process. A sync in progress either completes or has no effect. The
 // messages that wait for the sync are never sent.
-func (w *world) crash(vm *simVM) {
+func (w *simCluster) crash(vm *simVM) {
 	p := vm.proc
 	if p == nil {
 		return
@@ -78,12 +78,12 @@
 	}
 	w.clients.processLost(p)
 	vm.proc = nil
-	vm.upAt = w.now + w.duration(3*simElectionTimeout)
+	vm.restartAt = w.now + w.duration(3*simElectionTimeout)
 }
 
-// strikeCut cuts the links from one VM to a random VM or to all VMs, in one
+// cutLinks cuts the links from one VM to a random VM or to all VMs, in one
 // direction or in both.
-func (w *world) strikeCut(vm *simVM) {
+func (w *simCluster) cutLinks(vm *simVM) {
 	w.counts["link cuts"]++
 	until := w.now + w.duration(6*simElectionTimeout)
 	other := w.vms[w.rng.IntN(len(w.vms))]
@@ -92,17 +92,17 @@
 		if mode < 2 && o != other {
 			continue
 		}
-		w.cut[[2]string{vm.name, o.name}] = until
+		w.cutUntil[[2]string{vm.name, o.name}] = until
 		if mode == 1 || mode == 3 {
-			w.cut[[2]string{o.name, vm.name}] = until
+			w.cutUntil[[2]string{o.name, vm.name}] = until
 		}
 	}
 }
 
-// wipe loses a VM's disk if a majority of voters keep theirs under every membership
+// loseDisk loses a VM's disk if a majority of voters keep theirs under every membership
 // that may be in effect. No protocol survives the loss of a majority.
-func (w *world) wipe(vm *simVM) {
-	if vm.disk == nil || !w.mayLose(vm.disk.id) {
+func (w *simCluster) loseDisk(vm *simVM) {
+	if vm.disk == nil || !w.canLose(vm.disk.id) {
 		return
 	}
 	w.counts["lost disks"]++
@@ -116,9 +116,9 @@
 // freshHeartbeatIntervals, plus an allowance for clock drift and one step.
 const detectionWindow = freshHeartbeatIntervals*simHeartbeat + 10*simStep
 
-// mayLose reports whether every possible membership keeps a majority of intact disks
+// canLose reports whether every possible membership keeps a majority of intact disks
 // if the disk of lost is lost.
-func (w *world) mayLose(lost NodeID) bool {
+func (w *simCluster) canLose(lost NodeID) bool {
 	intact := map[NodeID]bool{}
 	for _, vm := range w.vms {
 		if vm.disk != nil && vm.disk.id != lost {
@@ -141,12 +141,12 @@
 
 // possibleMemberships returns the last committed membership, each later one on any
 // disk, in any process or in flight, and those that a leader may propose now.
-func (w *world) possibleMemberships() []Membership {
-	committed := w.check.membership
+func (w *simCluster) possibleMemberships() []Membership {
+	committed := w.checker.membership
 	lists := []Membership{committed}
 	add := func(entries []Entry) {
 		for _, e := range entries {
-			if e.Type == EntryMembership && e.Index > w.check.membershipIndex {
+			if e.Type == EntryMembership && e.Index > w.checker.membershipIndex {
 				m, err := DecodeMembership(e.Data)
 				if err != nil {
 					panic(err)
@@ -163,7 +163,7 @@
 			lists = append(lists, committed.With(m))
 		}
 	}
-	lists = append(lists, w.listsWithoutTheSilent()...)
+	lists = append(lists, w.membershipsWithoutSilentVoter()...)
 	for _, vm := range w.vms {
 		if vm.disk != nil {
 			add(vm.disk.saved.Entries)
@@ -175,39 +175,39 @@
 			}
 		}
 	}
-	for _, m := range w.wire {
+	for _, m := range w.inFlight {
 		add(m.m.Entries)
 	}
 	return lists
 }
 
-// listsWithoutTheSilent returns the memberships that a leader may be about to
+// membershipsWithoutSilentVoter returns the memberships that a leader may be about to
 // propose to remove a silent voter. The leader cannot yet know of a loss that has
 // just happened.
-func (w *world) listsWithoutTheSilent() []Membership {
+func (w *simCluster) membershipsWithoutSilentVoter() []Membership {
 	var lists []Membership
 	for _, vm := range w.vms {
-		if vm.proc == nil || !vm.proc.lead {
+		if vm.proc == nil || !vm.proc.isLeader {
 			continue
 		}
-		for _, id := range w.check.membership.Voters() {
+		for _, id := range w.checker.membership.Voters() {
 			if vm.proc.node.SilentFor(id) > simReplaceAfter-detectionWindow {
-				lists = append(lists, w.check.membership.Without(id))
+				lists = append(lists, w.checker.membership.Without(id))
 			}
 		}
 	}
 	return lists
 }
 
-// removeMember acts as an operator who removes a live member. renewRemoved later
+// removeMember acts as an operator who removes a live member. restartRemoved later
 // restarts its VM with an empty data folder.
-func (w *world) removeMember(vm *simVM) {
-	if vm.disk == nil || !w.mayLose(vm.disk.id) {
+func (w *simCluster) removeMember(vm *simVM) {
+	if vm.disk == nil || !w.canLose(vm.disk.id) {
 		return
 	}
 	for _, other := range w.vms {
 		p := other.proc
-		if p == nil || other == vm || p.frozen > w.now || p.pending != nil || !p.lead {
+		if p == nil || other == vm || p.frozenUntil > w.now || p.pending != nil || !p.isLeader {
 			continue
 		}
 		s := p.node.Status()
@@ -216,43 +216,43 @@
 		}
 		if _, err := p.node.ProposeMembership(s.Membership.Without(vm.disk.id)); err == nil {
 			w.counts["operator removals"]++
-			w.pump(p)
+			w.processReady(p)
 		}
 		return
 	}
 }
 
-// renewRemoved sometimes restarts, with an empty data folder, a VM whose identity
+// restartRemoved sometimes restarts, with an empty data folder, a VM whose identity
 // was removed.
-func (w *world) renewRemoved() {
+func (w *simCluster) restartRemoved() {
 	for _, vm := range w.vms {
 		if vm.proc == nil || vm.disk == nil || w.rng.IntN(100) != 0 {
 			continue
 		}
-		if w.check.membership.IsRemoved(vm.disk.id) && w.mayLose(vm.disk.id) {
+		if w.checker.membership.IsRemoved(vm.disk.id) && w.canLose(vm.disk.id) {
 			w.crash(vm)
 			vm.disk = nil
 		}
 	}
 }
 
-// heal ends all faults.
-func (w *world) heal() {
+// endFaults ends all faults.
+func (w *simCluster) endFaults() {
 	w.faults = simFaults{}
-	clear(w.cut)
+	clear(w.cutUntil)
 	for _, vm := range w.vms {
-		vm.upAt = 0
+		vm.restartAt = 0
 		if vm.proc != nil {
-			vm.proc.frozen = 0
+			vm.proc.frozenUntil = 0
 		}
 	}
 }
 
-// whole reports whether the group is healthy: a leader holds a lease, the number of
+// isHealthy reports whether the group is healthy: a leader holds a lease, the number of
 // voters is as wanted, every VM runs a member, and all commit indexes are equal.
-func (w *world) whole() bool {
+func (w *simCluster) isHealthy() bool {
 	for _, vm := range w.vms {
-		if vm.proc == nil || !vm.proc.lead || vm.proc.lease <= vm.clock(w.now) {
+		if vm.proc == nil || !vm.proc.isLeader || vm.proc.lease <= vm.clock(w.now) {
 			continue
 		}
 		s := vm.proc.node.Status()
@@ -265,7 +265,7 @@
 }
 
 // allFollow reports whether every VM runs a member with the commit index of s.
-func (w *world) allFollow(s Status) bool {
+func (w *simCluster) allFollow(s Status) bool {
 	return !slices.ContainsFunc(w.vms, func(vm *simVM) bool {
 		if vm.proc == nil {
 			return true
--- a/internal/raft/simulation_members_test.go
+++ b/internal/raft/simulation_members_test.go
@@ -1,8 +1,8 @@
 package raft
 
-// manage proposes the next membership change if p leads. A VM that is no member
+// manageMembership proposes the next membership change if p leads. A VM that is no member
 // requests to join whenever its messages can reach the leader.
-func (w *world) manage(p *simProcess) {
+func (w *simCluster) manageMembership(p *simProcess) {
 	s := p.node.Status()
 	if s.Role != RoleLeader || !s.OwnTermCommitted || s.MembershipIndex > s.Commit {
 		return
@@ -13,10 +13,10 @@
 		Fresh: map[NodeID]bool{},
 	}
 	for _, vm := range w.vms {
-		if vm.proc == nil || vm.proc.frozen > w.now || w.blocked(vm.name, p.vm.name) {
+		if vm.proc == nil || vm.proc.frozenUntil > w.now || w.blocked(vm.name, p.vm.name) {
 			continue
 		}
-		if m, ok := s.Membership.Find(vm.disk.id); !ok && !w.nameActive(p, s, vm) {
+		if m, ok := s.Membership.Find(vm.disk.id); !ok && !w.hasActiveMember(p, s, vm) {
 			v.Joins = append(v.Joins, Member{ID: vm.disk.id, VM: vm.name, DataCentre: m.DataCentre})
 		}
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-// nameActive reports whether the VM has an active member under another identity.
-func (w *world) nameActive(p *simProcess, s Status, vm *simVM) bool {
+// hasActiveMember reports whether the VM has an active member under another identity.
+func (w *simCluster) hasActiveMember(p *simProcess, s Status, vm *simVM) bool {
 	for _, m := range s.Membership.Members {
 		if m.VM == vm.name && m.ID != vm.disk.id && p.node.Active(m.ID) {
 			return true
--- a/internal/raft/simulation_test.go
+++ b/internal/raft/simulation_test.go
@@ -35,8 +35,8 @@
 	// rate and offset derive this machine's clock from the simulated time.
 	rate   float64
 	offset time.Duration
-	// upAt is the time at which a crashed process starts again.
-	upAt time.Duration
+	// restartAt is the time at which a crashed process starts again.
+	restartAt time.Duration
 }
 
 // simProcess is one run of a replica on a VM. It persists, sends and applies as the
@@ -52,8 +52,8 @@
 	pending  *Ready
 	syncDone time.Duration
 	nextTick time.Duration
-	// frozen is the time until which the process is suspended.
-	frozen time.Duration
+	// frozenUntil is the time until which the process is suspended.
+	frozenUntil time.Duration
 
 	waiters map[uint64]*simOp
 	reads   map[uint64]*simOp
@@ -63,7 +63,7 @@
 	lease    time.Duration
 	fastRead bool
 	term     uint64
-	lead     bool
+	isLeader bool
 }
 
 // simState is a replicated state machine of a few registers.
@@ -95,63 +95,63 @@
 
 // simFaults holds the probabilities of faults. The zero value has no faults.
 type simFaults struct {
-	loss, double, slow, slowSync float64
-	// crash, cut, freeze, wipe, remove and transfer are probabilities per step.
-	crash, cut, freeze, wipe, remove, transfer float64
+	loss, duplicate, delay, slowSync float64
+	// crash, cut, freeze, diskLoss, remove and transfer are probabilities per step.
+	crash, cut, freeze, diskLoss, remove, transfer float64
 	// voterCrash is the probability that a node crashes right after it voted.
 	// leaderCrash is the probability per step that a leader crashes.
 	voterCrash, leaderCrash float64
-	// deafen is the probability per step that the links between a leader and one
+	// leaderLinkCut is the probability per step that the links between a leader and one
 	// other VM are cut.
-	deafen float64
+	leaderLinkCut float64
 }
 
-// eagerSource is a random source of small numbers only. It shifts each number right
+// smallNumberSource is a random source of small numbers only. It shifts each number right
 // by shift bits.
-type eagerSource struct {
+type smallNumberSource struct {
 	rand.Source
 	shift int
 }
 
 // Uint64 returns the next number, shifted right.
-func (s eagerSource) Uint64() uint64 { return s.Source.Uint64() >> s.shift }
+func (s smallNumberSource) Uint64() uint64 { return s.Source.Uint64() >> s.shift }
 
-// world is a complete simulated cluster, driven by one seed.
-type world struct {
-	rng    *rand.Rand
-	now    time.Duration
-	vms    []*simVM
-	wanted int
-	wire   []simMessage
-	// cut holds, by sender and receiver VM, the time until which a link is cut.
-	cut map[[2]string]time.Duration
+// simCluster is a complete simulated cluster, driven by one seed.
+type simCluster struct {
+	rng      *rand.Rand
+	now      time.Duration
+	vms      []*simVM
+	wanted   int
+	inFlight []simMessage
+	// cutUntil holds, by sender and receiver VM, the time until which a link is cut.
+	cutUntil map[[2]string]time.Duration
 	// lastLoss is the time at which a disk was last lost.
 	lastLoss time.Duration
-	// eager is the number of times that the random spread of election timeouts is
+	// electionSpreadShift is the number of times that the random spread of election timeouts is
 	// halved. A small spread makes nodes start elections as soon as they may, and
 	// against each other.
-	eager     int
-	tickEvery time.Duration
-	faults    simFaults
+	electionSpreadShift int
+	tickEvery           time.Duration
+	faults              simFaults
 	// owner maps each identity to the name of its VM.
 	owner   map[NodeID]string
 	clients *simClients
-	check   *simChecker
+	checker *simChecker
 	counts  map[string]int
 }
 
-func newWorld(seed uint64, vms, wanted int) *world {
-	w := &world{
-		rng:    rand.New(rand.NewPCG(seed, 1)),
-		now:    time.Hour,
-		wanted: wanted,
-		cut:    map[[2]string]time.Duration{},
-		owner:  map[NodeID]string{},
-		counts: map[string]int{},
-	}
-	w.check = newSimChecker(w)
+func newSimCluster(seed uint64, vms, wanted int) *simCluster {
+	w := &simCluster{
+		rng:      rand.New(rand.NewPCG(seed, 1)),
+		now:      time.Hour,
+		wanted:   wanted,
+		cutUntil: map[[2]string]time.Duration{},
+		owner:    map[NodeID]string{},
+		counts:   map[string]int{},
+	}
+	w.checker = newSimChecker(w)
 	w.clients = newSimClients(w)
-	w.eager = int(seed % 4 * 2)
+	w.electionSpreadShift = int(seed % 4 * 2)
 	w.tickEvery = time.Duration(1+seed%2*4) * simStep
 	for i := range vms {
 		vm := &simVM{
@@ -162,12 +162,12 @@
 		w.vms = append(w.vms, vm)
 		w.start(vm)
 	}
-	w.found(w.vms[0])
+	w.bootstrap(w.vms[0])
 	return w
 }
 
 // clockRate returns a random rate within the drift, or one of the two extremes.
-func (w *world) clockRate() float64 {
+func (w *simCluster) clockRate() float64 {
 	drift := simClockDrift * (2*w.rng.Float64() - 1)
 	if w.rng.IntN(2) == 0 {
 		drift = math.Copysign(simClockDrift, drift)
@@ -179,8 +179,8 @@
 	return vm.offset + time.Duration(float64(now)*vm.rate)
 }
 
-// found bootstraps a group of one member on vm, as the replica package does.
-func (w *world) found(vm *simVM) {
+// bootstrap bootstraps a group of one member on vm, as the replica package does.
+func (w *simCluster) bootstrap(vm *simVM) {
 	data, err := EncodeMembership(Membership{Members: []Member{{ID: vm.disk.id, VM: vm.name}}})
 	if err != nil {
 		panic(err)
@@ -194,7 +194,7 @@
 
 // start starts a process with the state on the disk. An empty disk gets a new
 // identity.
-func (w *world) start(vm *simVM) {
+func (w *simCluster) start(vm *simVM) {
 	if vm.disk == nil {
 		vm.disk = &simDisk{id: NodeID(w.rng.Uint64() | 1)}
 		w.owner[vm.disk.id] = vm.name
@@ -211,7 +211,7 @@
 	node, err := New(Config{
 		ID: p.id, Group: 1, ElectionTimeout: simElectionTimeout, HeartbeatInterval: simHeartbeat,
 		LeaseMargin: simElectionTimeout / 8, MaxBatchBytes: 256, MaxInflight: 64,
-		Rand: rand.New(eagerSource{rand.NewPCG(w.rng.Uint64(), 2), w.eager}),
+		Rand: rand.New(smallNumberSource{rand.NewPCG(w.rng.Uint64(), 2), w.electionSpreadShift}),
 	}, saved, vm.clock(w.now))
 	if err != nil {
 		panic(err)
@@ -229,29 +229,29 @@
 }
 
 // step advances the time by simStep and runs the processes in random order.
-func (w *world) step() {
+func (w *simCluster) step() {
 	w.now += simStep
 	w.deliver()
 	order := w.rng.Perm(len(w.vms))
 	for _, i := range order {
 		vm := w.vms[i]
 		if vm.proc == nil {
-			if w.now >= vm.upAt {
+			if w.now >= vm.restartAt {
 				w.start(vm)
 			}
 			continue
 		}
-		if vm.proc.frozen <= w.now {
-			w.run(vm.proc)
+		if vm.proc.frozenUntil <= w.now {
+			w.runProcess(vm.proc)
 		}
 	}
 	w.clients.step()
-	w.check.leases()
+	w.checker.checkLeases()
 }
 
-// run lets one process work. The process does nothing else during a sync, as in the
+// runProcess lets one process work. The process does nothing else during a sync, as in the
 // replica package, which uses one goroutine.
-func (w *world) run(p *simProcess) {
+func (w *simCluster) runProcess(p *simProcess) {
 	if p.pending != nil {
 		if w.now < p.syncDone {
 			return
@@ -272,28 +272,28 @@
 		call()
 	}
 	for _, m := range p.inbox {
-		w.check.message(p, m)
+		w.checker.checkVote(p, m)
 		p.node.Step(now, m)
 	}
 	p.inbox = nil
 	w.tick(p, now)
-	w.pump(p)
+	w.processReady(p)
 }
 
-func (w *world) tick(p *simProcess, now time.Duration) {
+func (w *simCluster) tick(p *simProcess, now time.Duration) {
 	if w.now < p.nextTick {
 		return
 	}
 	p.nextTick = w.now + w.tickEvery
 	p.node.Tick(now)
-	w.manage(p)
+	w.manageMembership(p)
 }
 
-// pump starts the sync of the next step, or finishes the step if it needs none.
-func (w *world) pump(p *simProcess) {
+// processReady starts the sync of the next step, or finishes the step if it needs none.
+func (w *simCluster) processReady(p *simProcess) {
 	for range 8 {
 		r := p.node.Ready()
-		w.check.node(p)
+		w.checker.checkLeader(p)
 		if r.Empty() {
 			break
 		}
@@ -314,7 +314,7 @@
 }
 
 // syncTime returns the duration of a sync. It is usually short, but a disk may hang.
-func (w *world) syncTime() time.Duration {
+func (w *simCluster) syncTime() time.Duration {
 	if w.rng.Float64() < w.faults.slowSync {
 		return w.duration(simElectionTimeout)
 	}
@@ -337,7 +337,7 @@
 }
 
 // finish ends a sync. Only then does the process send messages and apply entries.
-func (w *world) finish(p *simProcess) {
+func (w *simCluster) finish(p *simProcess) {
 	r := p.pending
 	p.pending = nil
 	if r.MustPersist {
@@ -348,22 +348,22 @@
 		w.send(m)
 		if m.Type == MessageVoteReply && !m.Reject && w.rng.Float64() < w.faults.voterCrash {
 			w.crash(p.vm)
-			p.vm.upAt = w.now
+			p.vm.restartAt = w.now
 			return
 		}
 	}
 	if r.Snapshot != nil {
 		p.restore(r.Snapshot.Data)
-		w.clients.lostBelow(p, r.Snapshot.Index)
+		w.clients.endWaitersThrough(p, r.Snapshot.Index)
 	}
 	var done []func()
 	for _, e := range r.Committed {
-		w.check.applied(p, e)
+		w.checker.checkApplied(p, e)
 		ok := true
 		if e.Type == EntryCommand && len(e.Data) > 0 {
 			ok = p.state.apply(e.Data)
 		}
-		if f := w.clients.applied(p, e, ok); f != nil {
+		if f := w.clients.answerFor(p, e, ok); f != nil {
 			done = append(done, f)
 		}
 	}
@@ -378,7 +378,7 @@
 	}
 }
 
-func (w *world) compact(p *simProcess) {
+func (w *simCluster) compact(p *simProcess) {
 	s := p.node.Status()
 	if s.Applied-s.SnapshotIndex < simCompactEvery {
 		return
@@ -399,18 +399,18 @@
 }
 
 // publish updates the state that readers see.
-func (w *world) publish(p *simProcess) {
+func (w *simCluster) publish(p *simProcess) {
 	s := p.node.Status()
 	p.lease = p.node.LeaseExpiry()
 	p.fastRead = s.OwnTermCommitted && s.Applied >= s.Commit
 	p.term = s.Term
-	p.lead = s.Role == RoleLeader
-	if !p.lead {
-		w.clients.leadershipLost(p)
+	p.isLeader = s.Role == RoleLeader
+	if !p.isLeader {
+		w.clients.dropReads(p)
 	}
 }
 
-func (w *world) String() string {
+func (w *simCluster) String() string {
 	text := fmt.Sprintf("at %v\n", w.now-time.Hour)
 	for _, vm := range w.vms {
 		if vm.proc == nil {
