--- a/internal/wal/codec.go
+++ b/internal/wal/codec.go
@@ -31,9 +31,9 @@
 	return errors.Trace(b.Put(key, append(record, body...)))
 }
 
-// openRecord returns the body of a record. It returns false if the checksum does not
+// verifyRecord returns the body of a record. It returns false if the checksum does not
 // match.
-func openRecord(key, record []byte) ([]byte, bool) {
+func verifyRecord(key, record []byte) ([]byte, bool) {
 	if len(record) < checksumSize {
 		return nil, false
 	}
@@ -157,20 +157,21 @@
 	return raft.Snapshot{Index: h.Index, Term: h.Term, Membership: h.Membership, Data: data}, true
 }
 
-func (w *WAL) corrupt(record, cause string) error {
+// corruptError returns a CorruptError for a part of the file.
+func (w *WAL) corruptError(record, cause string) error {
 	return &CorruptError{File: w.path, Record: record, Cause: cause}
 }
 
-// guard runs f and converts a panic in bbolt into a CorruptError. bbolt panics on a
-// damaged page. Because the file is memory-mapped, a truncated file causes a memory
-// fault. Without guard, either would end the process without advice for the
+// catchCorruption runs f and converts a panic in bbolt into a CorruptError. bbolt
+// panics on a damaged page. Because the file is memory-mapped, a truncated file causes
+// a memory fault. Either would otherwise end the process without advice for the
 // operator.
-func (w *WAL) guard(record string, f func() error) (err error) {
+func (w *WAL) catchCorruption(record string, f func() error) (err error) {
 	old := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(old)
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = w.corrupt(record, fmt.Sprint(cause))
+			err = w.corruptError(record, fmt.Sprint(cause))
 		}
 	}()
 	return f()
--- a/internal/wal/room.go
+++ b/internal/wal/no_space.go
@@ -21,17 +21,17 @@
 	Room()
 }
 
-// noRoomCauses are the system errors for a file that cannot grow: the disk is full,
+// noSpaceErrnos are the system errors for a file that cannot grow: the disk is full,
 // or the user's quota or the file size limit is reached.
-var noRoomCauses = []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG}
+var noSpaceErrnos = []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG}
 
-// isNoRoom reports whether a write failed because the file cannot grow. It also
+// isNoSpace reports whether a write failed because the file cannot grow. It also
 // compares the text, because bbolt returns some of these errors as text only.
-func isNoRoom(err error) bool {
+func isNoSpace(err error) bool {
 	if err == nil {
 		return false
 	}
-	for _, cause := range noRoomCauses {
+	for _, cause := range noSpaceErrnos {
 		if errors.Is(err, cause) || strings.Contains(err.Error(), cause.Error()) {
 			return true
 		}
@@ -57,7 +57,7 @@
 		if err == nil && waited {
 			w.waiter.Room()
 		}
-		if !isNoRoom(err) {
+		if !isNoSpace(err) {
 			return err
 		}
 		err = errors.Annotate(ErrNoRoom, err.Error())
@@ -72,8 +72,8 @@
 
 // reopen closes the file and opens it again.
 func (w *WAL) reopen() error {
-	if err := w.guard("close", w.db.Close); err != nil {
+	if err := w.catchCorruption("close", w.db.Close); err != nil {
 		return errors.Annotatef(err, "closing %s", w.path)
 	}
-	return errors.Trace(w.guard("file", w.openFile))
+	return errors.Trace(w.catchCorruption("file", w.openFile))
 }
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -16,10 +16,10 @@
 func (w *WAL) readAll(tx *bolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	if meta == nil || tx.Bucket(bucketEntries) == nil {
-		return w.corrupt("file", "a bucket is missing")
+		return w.corruptError("file", "a bucket is missing")
 	}
 	if !bytes.Equal(meta.Get(keyFormat), formatVersion1) {
-		return w.corrupt("format", "the version is not supported by this program")
+		return w.corruptError("format", "the version is not supported by this program")
 	}
 	var s raft.Saved
 	readers := []func() error{
@@ -36,7 +36,7 @@
 	}
 	last := s.Base.Index + uint64(len(s.Entries))
 	if s.HardState.Commit > last || s.Snapshot.Index > last {
-		return w.corrupt("entries", fmt.Sprintf("the log ends at index %d, before the commit index %d or the snapshot index %d",
+		return w.corruptError("entries", fmt.Sprintf("the log ends at index %d, before the commit index %d or the snapshot index %d",
 			last, s.HardState.Commit, s.Snapshot.Index))
 	}
 	w.saved = s
@@ -50,17 +50,17 @@
 	record := b.Get(key)
 	if record == nil {
 		if required {
-			return w.corrupt(string(key), "the record is missing")
+			return w.corruptError(string(key), "the record is missing")
 		}
 		return nil
 	}
-	body, ok := openRecord(key, record)
+	body, ok := verifyRecord(key, record)
 	if !ok {
-		return w.corrupt(string(key), "the checksum does not match")
+		return w.corruptError(string(key), "the checksum does not match")
 	}
 	value, ok := decode(body)
 	if !ok {
-		return w.corrupt(string(key), "the record cannot be decoded")
+		return w.corruptError(string(key), "the record cannot be decoded")
 	}
 	*into = value
 	return nil
@@ -74,15 +74,15 @@
 	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
 		name := fmt.Sprintf("entry %d", next)
 		if len(key) != 8 || binary.BigEndian.Uint64(key) != next {
-			return w.corrupt(name, "the record is missing")
+			return w.corruptError(name, "the record is missing")
 		}
-		body, ok := openRecord(key, record)
+		body, ok := verifyRecord(key, record)
 		if !ok {
-			return w.corrupt(name, "the checksum does not match")
+			return w.corruptError(name, "the checksum does not match")
 		}
 		e, ok := decodeEntry(next, body)
 		if !ok || e.Term < term {
-			return w.corrupt(name, "the record cannot be decoded or its term decreases")
+			return w.corruptError(name, "the record cannot be decoded or its term decreases")
 		}
 		s.Entries = append(s.Entries, e)
 		term = e.Term
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -95,7 +95,7 @@
 // the folder open, and a CorruptError if the file is damaged.
 func Open(folder string, waiter Waiter) (*WAL, error) {
 	w, err := open(folder, waiter)
-	if isNoRoom(err) {
+	if isNoSpace(err) {
 		return nil, errors.Annotate(ErrNoRoom, err.Error())
 	}
 	return w, errors.Trace(err)
@@ -107,11 +107,11 @@
 		return nil, errors.Annotatef(err, "creating the data folder %s", folder)
 	}
 	w := &WAL{path: path, waiter: waiter}
-	if err := w.guard("file", w.openFile); err != nil {
+	if err := w.catchCorruption("file", w.openFile); err != nil {
 		return nil, errors.Trace(err)
 	}
-	if err := w.guard("contents", w.load); err != nil {
-		_ = w.guard("close", w.db.Close)
+	if err := w.catchCorruption("contents", w.load); err != nil {
+		_ = w.catchCorruption("close", w.db.Close)
 		return nil, errors.Trace(err)
 	}
 	return w, nil
@@ -119,7 +119,7 @@
 
 func (w *WAL) openFile() error {
 	if _, err := os.Stat(w.path); os.IsNotExist(err) {
-		if err := makeFile(w.path); err != nil {
+		if err := createFile(w.path); err != nil {
 			return errors.Annotatef(err, "creating %s", w.path)
 		}
 	}
@@ -129,29 +129,29 @@
 		return errors.Annotate(ErrLocked, w.path)
 	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum),
 		errors.Is(err, berrors.ErrVersionMismatch):
-		return w.corrupt("file header", err.Error())
-	case isNoRoom(err), os.IsPermission(err):
+		return w.corruptError("file header", err.Error())
+	case isNoSpace(err), os.IsPermission(err):
 		return errors.Annotatef(err, "opening %s", w.path)
 	case err != nil:
-		return w.corrupt("file header", err.Error())
+		return w.corruptError("file header", err.Error())
 	}
 	w.db = db
 	return nil
 }
 
-// newSuffix is the suffix of a file whose creation is not complete.
-const newSuffix = ".new"
+// unfinishedSuffix is the suffix of a file whose creation is not complete.
+const unfinishedSuffix = ".new"
 
-// makeFile creates an empty store under a temporary name and renames it once it is
+// createFile creates an empty store under a temporary name and renames it once it is
 // complete.
 //
 // This guards against a full disk or a power failure while the first pages are
 // written. The truncated file would hold nothing yet, but could not be distinguished
-// from one that was damaged later. makeFile also syncs the folder, so that the name
+// from one that was damaged later. createFile also syncs the folder, so that the name
 // and the file survive a crash together. Otherwise the replica could restart without
 // the votes that it has sent.
-func makeFile(path string) error {
-	unfinished := path + newSuffix
+func createFile(path string) error {
+	unfinished := path + unfinishedSuffix
 	if err := os.Remove(unfinished); err != nil && !os.IsNotExist(err) {
 		return errors.Trace(err)
 	}
@@ -187,22 +187,22 @@
 // load initialises a new file and reads its content. It only reads an existing file,
 // so that a damaged one stays unchanged.
 func (w *WAL) load() error {
-	fresh := false
+	isNew := false
 	err := w.db.View(func(tx *bolt.Tx) error {
 		info, err := os.Stat(w.path)
 		if err != nil {
 			return errors.Trace(err)
 		}
 		if info.Size() < tx.Size() {
-			return w.corrupt("file", "the file is shorter than its header states")
+			return w.corruptError("file", "the file is shorter than its header states")
 		}
-		fresh = tx.Bucket(bucketMeta) == nil
+		isNew = tx.Bucket(bucketMeta) == nil
 		return nil
 	})
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if fresh {
+	if isNew {
 		if err := w.db.Update(w.initialise); err != nil {
 			return errors.Trace(err)
 		}
@@ -335,7 +335,7 @@
 
 // updateOnce runs f in one transaction that is synced before it returns.
 func (w *WAL) updateOnce(f func(tx *bolt.Tx) error) error {
-	return w.guard("write", func() error {
+	return w.catchCorruption("write", func() error {
 		err := w.db.Update(f)
 		if errors.Is(err, berrors.ErrDatabaseNotOpen) {
 			return errors.Trace(ErrClosed)
