--- a/internal/wal/no_space_test.go
+++ b/internal/wal/no_space_test.go
@@ -17,17 +17,17 @@
 // smallDisk limits the file size of this process, and lifts the limit after a few
 // failed writes. It is a Waiter.
 type smallDisk struct {
-	t            *testing.T
-	old          syscall.Rlimit
-	tries, after int
-	regained     int
+	t                   *testing.T
+	old                 syscall.Rlimit
+	attempts, liftAfter int
+	regained            int
 }
 
-// shrink makes every write beyond bytes fail, as on a full disk.
-func (d *smallDisk) shrink(bytes uint64) {
+// limitFileSize makes every write beyond bytes fail, as on a full disk.
+func (d *smallDisk) limitFileSize(bytes uint64) {
 	assert.NilError(d.t, syscall.Getrlimit(syscall.RLIMIT_FSIZE, &d.old))
 	assert.NilError(d.t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: bytes, Max: d.old.Max}))
-	d.tries = 0
+	d.attempts = 0
 }
 
 // inChild runs the test in a child process, so that the file size limit does not
@@ -45,15 +45,17 @@
 	return false
 }
 
-// grow lifts the file size limit.
-func (d *smallDisk) grow() { assert.NilError(d.t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &d.old)) }
+// liftLimit lifts the file size limit.
+func (d *smallDisk) liftLimit() {
+	assert.NilError(d.t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &d.old))
+}
 
 // NoRoom lifts the limit after some calls and always asks for a retry.
 func (d *smallDisk) NoRoom(err error) bool {
 	assert.Assert(d.t, errors.Is(err, ErrNoRoom))
-	d.tries++
-	if d.tries >= d.after {
-		d.grow()
+	d.attempts++
+	if d.attempts >= d.liftAfter {
+		d.liftLimit()
 	}
 	return true
 }
@@ -61,8 +63,8 @@
 // Room counts the waits that ended in success.
 func (d *smallDisk) Room() { d.regained++ }
 
-// writes holds one write of each kind, for a folder with 40 entries.
-var writes = map[string]func(w *WAL) error{
+// writeKinds holds one write of each kind, for a folder with 40 entries.
+var writeKinds = map[string]func(w *WAL) error{
 	"identity": func(w *WAL) error {
 		id := w.Identity()
 		id.Cluster = 99
@@ -85,29 +87,29 @@
 // at a later page of a transaction. The process used to exit, and after a restart it
 // exited again at the next write. The write must wait, and the content read back must
 // equal that of the same write on a disk with free space.
-func TestAWriteWaitsForRoom(t *testing.T) {
+func TestWriteWaitsForSpace(t *testing.T) {
 	if !inChild(t) {
 		return
 	}
 	waits := 0
-	for name, write := range writes {
-		want := after(t, write, nil, 0)
-		for room := uint64(0); room < 512<<10; room += 12 << 10 {
-			d := &smallDisk{t: t, after: 1 + int(room/(12<<10))%3}
-			got := after(t, write, d, room)
+	for name, write := range writeKinds {
+		want := contentAfterWrite(t, write, nil, 0)
+		for limit := uint64(0); limit < 512<<10; limit += 12 << 10 {
+			d := &smallDisk{t: t, liftAfter: 1 + int(limit/(12<<10))%3}
+			got := contentAfterWrite(t, write, d, limit)
 			assert.DeepEqual(t, got, want)
-			assert.Equal(t, d.regained > 0, d.tries > 0, "%s with room for %d bytes", name, room)
+			assert.Equal(t, d.regained > 0, d.attempts > 0, "%s with a file size limit of %d bytes", name, limit)
 			waits += d.regained
 		}
 	}
 	assert.Assert(t, waits > 40, "%d", waits)
 }
 
-// after returns the content of a folder after a write on a disk limited by d, or
-// without a limit if d is nil.
-func after(t *testing.T, write func(*WAL) error, d *smallDisk, room uint64) string {
+// contentAfterWrite returns the content of a folder after a write on a disk limited by
+// d. It writes without a limit if d is nil.
+func contentAfterWrite(t *testing.T, write func(*WAL) error, d *smallDisk, limit uint64) string {
 	t.Helper()
-	folder := written(t)
+	folder := newFolderWithEntries(t)
 	var waiter Waiter
 	if d != nil {
 		waiter = d
@@ -116,11 +118,11 @@
 	assert.NilError(t, err)
 	w.identity.Node = 7
 	if d != nil {
-		d.shrink(room)
+		d.limitFileSize(limit)
 	}
 	err = write(w)
 	if d != nil {
-		d.grow()
+		d.liftLimit()
 	}
 	assert.NilError(t, err)
 	assert.NilError(t, w.Close())
@@ -134,18 +136,18 @@
 
 // Guards against damage by an abandoned write. The disk is full and the process has
 // to stop, so the write is abandoned. All entries acknowledged before must be intact.
-func TestAWriteThatIsGivenUpLeavesWhatWasThere(t *testing.T) {
+func TestAbandonedWriteKeepsEarlierEntries(t *testing.T) {
 	if !inChild(t) {
 		return
 	}
-	for name, write := range writes {
-		folder := written(t)
+	for name, write := range writeKinds {
+		folder := newFolderWithEntries(t)
 		w, err := Open(folder, nil)
 		assert.NilError(t, err)
 		d := &smallDisk{t: t}
-		d.shrink(8 << 10)
+		d.limitFileSize(8 << 10)
 		err = write(w)
-		d.grow()
+		d.liftLimit()
 		assert.Assert(t, errors.Is(err, ErrNoRoom), "%s: %v", name, err)
 		assert.NilError(t, w.Close())
 		w, err = Open(folder, nil)
@@ -160,20 +162,20 @@
 // Guards against a full disk reported as damage. A process starts for the first time
 // on a full disk. Open must return ErrNoRoom, not a CorruptError, and succeed once
 // the disk has free space.
-func TestAFolderThatFindsNoRoomIsNotDamaged(t *testing.T) {
+func TestFullDiskAtFirstStartIsNotDamage(t *testing.T) {
 	if !inChild(t) {
 		return
 	}
-	for _, room := range []uint64{0, 4 << 10, 12 << 10, 20 << 10} {
+	for _, limit := range []uint64{0, 4 << 10, 12 << 10, 20 << 10} {
 		folder := filepath.Join(t.TempDir(), "data")
 		d := &smallDisk{t: t}
-		d.shrink(room)
+		d.limitFileSize(limit)
 		w, err := Open(folder, nil)
-		d.grow()
-		assert.Assert(t, errors.Is(err, ErrNoRoom), "room for %d bytes: %v", room, err)
+		d.liftLimit()
+		assert.Assert(t, errors.Is(err, ErrNoRoom), "file size limit of %d bytes: %v", limit, err)
 		assert.Assert(t, w == nil)
 		w, err = Open(folder, nil)
-		assert.NilError(t, err, "room for %d bytes at first", room)
+		assert.NilError(t, err, "first start with a file size limit of %d bytes", limit)
 		assert.NilError(t, w.Close())
 	}
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -32,8 +32,8 @@
 	assert.NilError(t, w.Save(raft.Ready{MustPersist: true, Entries: entries, HardState: hard}))
 }
 
-// written creates a data folder with 40 entries, closes it and returns its path.
-func written(t *testing.T) string {
+// newFolderWithEntries creates a data folder with 40 entries, closes it and returns its path.
+func newFolderWithEntries(t *testing.T) string {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "data")
 	w := openAt(t, folder)
@@ -104,7 +104,7 @@
 // an entry that this replica has acknowledged. Dropping that entry, or the log from
 // there on, could lose a committed write without notice.
 func TestWrongByte(t *testing.T) {
-	folder := written(t)
+	folder := newFolderWithEntries(t)
 	path := filepath.Join(folder, FileName)
 	content, err := os.ReadFile(path)
 	assert.NilError(t, err)
@@ -116,9 +116,9 @@
 
 // Guards against a crash on a truncated file, left by a full or failing disk. A read
 // of the missing end would end the process with a memory fault.
-func TestFileCutShort(t *testing.T) {
+func TestTruncatedFile(t *testing.T) {
 	for _, part := range []int64{2, 4, 20} {
-		folder := written(t)
+		folder := newFolderWithEntries(t)
 		path := filepath.Join(folder, FileName)
 		info, err := os.Stat(path)
 		assert.NilError(t, err)
@@ -128,8 +128,8 @@
 }
 
 // Guards against a file whose header pages were overwritten with zeros.
-func TestHeadOverwritten(t *testing.T) {
-	folder := written(t)
+func TestHeaderOverwritten(t *testing.T) {
+	folder := newFolderWithEntries(t)
 	path := filepath.Join(folder, FileName)
 	content, err := os.ReadFile(path)
 	assert.NilError(t, err)
@@ -142,7 +142,7 @@
 // middle or at the end of the log. Each remaining record is intact.
 func TestMissingEntries(t *testing.T) {
 	for _, index := range []uint64{1, 20, 40} {
-		folder := written(t)
+		folder := newFolderWithEntries(t)
 		w := openAt(t, folder)
 		assert.NilError(t, w.db.Update(func(tx *bolt.Tx) error {
 			return tx.Bucket(bucketEntries).Delete(entryKey(index))
@@ -154,8 +154,8 @@
 
 // Guards against a partial write after a crash. A bbolt transaction is atomic. Here
 // it fails after half of its changes, and none of them may be visible.
-func TestHalfWrittenStepIsNotThere(t *testing.T) {
-	folder := written(t)
+func TestPartialWriteIsNotVisible(t *testing.T) {
+	folder := newFolderWithEntries(t)
 	w := openAt(t, folder)
 	err := w.update(func(tx *bolt.Tx) error {
 		if err := appendEntries(tx, []raft.Entry{{Term: 9, Index: 38}}); err != nil {
