--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -93,38 +93,37 @@
 	// EndedMillis is the time, on the table's clock, at which the record became Done
 	// or Unknown.
 	EndedMillis int64 `json:"ended_ms,omitempty"`
-	// look is the time, on the table's clock in milliseconds, of the next check by
-	// Expire.
-	look int64
+	// checkAtMillis is the time of the next check by Expire, on the table's clock.
+	checkAtMillis int64
 }
 
 // Table is the replicated state machine of records. It is not safe for
 // concurrent use.
 type Table struct {
 	records map[string]*Record
-	// ended lists the keys that still hold an answer, oldest first.
-	ended []string
-	// answer is the size in bytes of all kept answers.
-	answer int
+	// answeredKeys lists the keys that still hold an answer, oldest first.
+	answeredKeys []string
+	// answerBytes is the size in bytes of all kept answers.
+	answerBytes int
 	// due orders the records by the time of their next check: a claim at its
 	// deadline, a tombstone at the end of its lifetime. Expire visits only the records
 	// that are due. A visit of all records of a full table would delay the log.
 	due dueHeap
-	// clock is the table's clock, in milliseconds, against which deadlines and
+	// clockMillis is the table's clock, in milliseconds, against which deadlines and
 	// lifetimes are checked. It is zero before the first Expire.
 	//
 	// Each Expire advances it by at most MaxStepMillis and never moves it back,
 	// whichever replica leads. This guards against a leader whose clock is a day
 	// ahead. With the leader's clock, every record would expire at once, and resent
 	// requests would run again.
-	clock int64
-	// held holds the number of records of each workspace.
-	held map[string]int
+	clockMillis int64
+	// recordsPerWorkspace holds the number of records of each workspace.
+	recordsPerWorkspace map[string]int
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{records: make(map[string]*Record), held: make(map[string]int)}
+	return &Table{records: make(map[string]*Record), recordsPerWorkspace: make(map[string]int)}
 }
 
 // Command is one change of the table. Exactly one field is set.
@@ -222,7 +221,7 @@
 func (t *Table) claim(c Claim) Outcome {
 	r, ok := t.records[c.Key]
 	if !ok {
-		if t.full(c.Key) {
+		if t.isFullFor(c.Key) {
 			return Outcome{Full: true}
 		}
 		r = &Record{
@@ -230,7 +229,7 @@
 			State: Claimed, DeadlineMillis: t.now(c.NowMillis) + c.DeadlineMillis - c.NowMillis,
 		}
 		t.add(r)
-		t.schedule(r)
+		t.scheduleCheck(r)
 		return Outcome{Granted: true, State: Claimed}
 	}
 	if r.Body != c.Body {
@@ -258,20 +257,20 @@
 	r.State = Done
 	if f.Answer.size() <= MaxAnswerBytes {
 		r.Answer = f.Answer
-		t.answer += f.Answer.size()
-		t.ended = append(t.ended, f.Key)
+		t.answerBytes += f.Answer.size()
+		t.answeredKeys = append(t.answeredKeys, f.Key)
 	}
-	for t.answer > MaxAnswersBytes {
+	for t.answerBytes > MaxAnswersBytes {
 		t.dropOldestAnswer()
 	}
 	return Outcome{Granted: true, State: Done}
 }
 
 func (t *Table) dropOldestAnswer() {
-	r, ok := t.records[t.ended[0]]
-	t.ended = t.ended[1:]
+	r, ok := t.records[t.answeredKeys[0]]
+	t.answeredKeys = t.answeredKeys[1:]
 	if ok && r.Answer != nil {
-		t.answer -= r.Answer.size()
+		t.answerBytes -= r.Answer.size()
 		r.Answer = nil
 	}
 }
@@ -285,56 +284,56 @@
 	return Outcome{Granted: true}
 }
 
-func (t *Table) expire(leaders int64) {
-	now := t.advance(leaders)
-	t.due.upTo(now, func(at int64, key string) {
-		if r, ok := t.records[key]; ok && r.look == at {
-			t.expireOne(r, now)
+func (t *Table) expire(leaderMillis int64) {
+	nowMillis := t.advanceClock(leaderMillis)
+	t.due.popDue(nowMillis, func(atMillis int64, key string) {
+		if r, ok := t.records[key]; ok && r.checkAtMillis == atMillis {
+			t.expireOne(r, nowMillis)
 		}
 	})
-	for len(t.ended) > 0 {
-		r, ok := t.records[t.ended[0]]
-		if ok && r.Answer != nil && now-r.EndedMillis < AnswerLifetimeMillis {
+	for len(t.answeredKeys) > 0 {
+		r, ok := t.records[t.answeredKeys[0]]
+		if ok && r.Answer != nil && nowMillis-r.EndedMillis < AnswerLifetimeMillis {
 			return
 		}
 		t.dropOldestAnswer()
 	}
 }
 
-func (t *Table) expireOne(r *Record, now int64) {
-	if r.State == Claimed && now > r.DeadlineMillis {
+func (t *Table) expireOne(r *Record, nowMillis int64) {
+	if r.State == Claimed && nowMillis > r.DeadlineMillis {
 		r.State = Unknown
-		r.EndedMillis = now
+		r.EndedMillis = nowMillis
 	}
-	if now > r.nextLook() {
+	if nowMillis > r.nextCheckMillis() {
 		t.remove(r)
 		return
 	}
-	t.schedule(r)
+	t.scheduleCheck(r)
 }
 
-// advance moves the table's clock towards the leader's, in milliseconds, and returns
-// it.
-func (t *Table) advance(leaders int64) int64 {
-	if t.clock == 0 {
-		t.clock = leaders
+// advanceClock moves the table's clock towards the leader's clock and returns it.
+func (t *Table) advanceClock(leaderMillis int64) int64 {
+	if t.clockMillis == 0 {
+		t.clockMillis = leaderMillis
 	}
-	t.clock = max(t.clock, min(leaders, t.clock+MaxStepMillis))
-	return t.clock
+	t.clockMillis = max(t.clockMillis, min(leaderMillis, t.clockMillis+MaxStepMillis))
+	return t.clockMillis
 }
 
-// now returns the table's clock, or the sender's clock before the first Expire.
-func (t *Table) now(senders int64) int64 {
-	if t.clock == 0 {
-		return senders
+// now returns the table's clock in milliseconds, or the sender's clock before the
+// first Expire.
+func (t *Table) now(senderMillis int64) int64 {
+	if t.clockMillis == 0 {
+		return senderMillis
 	}
-	return t.clock
+	return t.clockMillis
 }
 
-// full reports whether the table has no capacity for a new key. A workspace that has
-// used its part is refused, so that it cannot use up the capacity of all others.
-func (t *Table) full(key string) bool {
-	return len(t.records) >= MaxRecords || t.held[workspaceOf(key)] >= MaxRecords/WorkspaceParts
+// isFullFor reports whether the table has no capacity for a new key. A workspace that
+// has used its part is refused, so that it cannot use up the capacity of all others.
+func (t *Table) isFullFor(key string) bool {
+	return len(t.records) >= MaxRecords || t.recordsPerWorkspace[workspaceOf(key)] >= MaxRecords/WorkspaceParts
 }
 
 // workspaceOf returns the part of a key before the first slash.
@@ -345,27 +344,27 @@
 
 func (t *Table) add(r *Record) {
 	t.records[r.Key] = r
-	t.held[workspaceOf(r.Key)]++
+	t.recordsPerWorkspace[workspaceOf(r.Key)]++
 }
 
 func (t *Table) remove(r *Record) {
 	delete(t.records, r.Key)
 	workspace := workspaceOf(r.Key)
-	t.held[workspace]--
-	if t.held[workspace] == 0 {
-		delete(t.held, workspace)
+	t.recordsPerWorkspace[workspace]--
+	if t.recordsPerWorkspace[workspace] == 0 {
+		delete(t.recordsPerWorkspace, workspace)
 	}
 }
 
-// schedule adds the record's next check to the due heap.
-func (t *Table) schedule(r *Record) {
-	r.look = r.nextLook()
-	t.due.add(r.look, r.Key)
+// scheduleCheck adds the record's next check to the due heap.
+func (t *Table) scheduleCheck(r *Record) {
+	r.checkAtMillis = r.nextCheckMillis()
+	t.due.add(r.checkAtMillis, r.Key)
 }
 
-// nextLook returns the time after which the record's state changes without a command:
-// the deadline of a claim or the end of a tombstone's lifetime, in milliseconds.
-func (r *Record) nextLook() int64 {
+// nextCheckMillis returns the time after which the record's state changes without a
+// command: the deadline of a claim or the end of a tombstone's lifetime.
+func (r *Record) nextCheckMillis() int64 {
 	if r.State == Claimed {
 		return r.DeadlineMillis
 	}
@@ -393,7 +392,7 @@
 
 // Encode returns the table as a snapshot.
 func (t *Table) Encode() ([]byte, error) {
-	s := snapshot{Ended: t.ended, Clock: t.clock}
+	s := snapshot{Ended: t.answeredKeys, Clock: t.clockMillis}
 	for _, k := range t.keys() {
 		s.Records = append(s.Records, t.records[k])
 	}
@@ -408,12 +407,12 @@
 		return nil, errors.WithType(errors.Annotate(err, "records snapshot"), ErrMalformed)
 	}
 	t := NewTable()
-	t.ended, t.clock = s.Ended, s.Clock
+	t.answeredKeys, t.clockMillis = s.Ended, s.Clock
 	for _, r := range s.Records {
 		t.add(r)
-		t.schedule(r)
+		t.scheduleCheck(r)
 		if r.Answer != nil {
-			t.answer += r.Answer.size()
+			t.answerBytes += r.Answer.size()
 		}
 	}
 	return t, nil
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -132,7 +132,7 @@
 		do(t, table, claim(key, "a", 0))
 		do(t, table, Command{Finish: &Finish{key, "a", &Answer{Body: make([]byte, MaxAnswerBytes)}, 1}})
 	}
-	assert.Equal(t, table.answer, MaxAnswersBytes)
+	assert.Equal(t, table.answerBytes, MaxAnswersBytes)
 	assert.Assert(t, do(t, table, claim("0", "b", 2)).Answer == nil)
 	assert.Assert(t, do(t, table, claim(strconv.Itoa(keys-1), "b", 2)).Answer != nil)
 }
