--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func do(t *testing.T, table *Table, c Command) Outcome {
+func applyCommand(t *testing.T, table *Table, c Command) Outcome {
 	t.Helper()
 	data, err := Encode(c)
 	assert.NilError(t, err)
@@ -18,32 +18,32 @@
 	return out
 }
 
-// doInSteps applies c. For an Expire it first applies the earlier Expires that a leader
+// applyInSteps applies c. For an Expire it first applies the earlier Expires that a leader
 // would have sent, because one Expire advances the clock only by MaxStepMillis.
-func doInSteps(t *testing.T, table *Table, c Command) {
+func applyInSteps(t *testing.T, table *Table, c Command) {
 	t.Helper()
 	if c.Expire == nil {
-		do(t, table, c)
+		applyCommand(t, table, c)
 		return
 	}
 	for at := int64(1); at < c.Expire.NowMillis; at += MaxStepMillis {
 		table.apply(Command{Expire: &Expire{at}})
 	}
-	do(t, table, c)
+	applyCommand(t, table, c)
 }
 
 // Guards against a request that runs twice because of a wrong clock. A new leader's
 // clock is a day ahead. If its clock expired the record of a request that has just
 // run, a resend would run the request again.
-func TestALeadersWrongClockForgetsNothing(t *testing.T) {
+func TestLeaderClockAheadExpiresNothing(t *testing.T) {
 	table := NewTable()
-	do(t, table, Command{Expire: &Expire{1000}})
-	do(t, table, claim("k", "a", 1000))
-	do(t, table, Command{Finish: &Finish{"k", "a", &Answer{Status: 200}, 1001}})
+	applyCommand(t, table, Command{Expire: &Expire{1000}})
+	applyCommand(t, table, claim("k", "a", 1000))
+	applyCommand(t, table, Command{Finish: &Finish{"k", "a", &Answer{Status: 200}, 1001}})
 	for range 100 {
-		do(t, table, Command{Expire: &Expire{1000 + 25*60*60*1000}})
+		applyCommand(t, table, Command{Expire: &Expire{1000 + 25*60*60*1000}})
 	}
-	out := do(t, table, claim("k", "b", 2000))
+	out := applyCommand(t, table, claim("k", "b", 2000))
 	assert.Assert(t, !out.Granted)
 	assert.Equal(t, out.State, Done)
 }
@@ -56,8 +56,8 @@
 		table.apply(claim("greedy/"+strconv.Itoa(i), "a", 0))
 	}
 	assert.Equal(t, table.Len(), MaxRecords/WorkspaceParts)
-	assert.Assert(t, do(t, table, claim("greedy/x", "a", 0)).Full)
-	assert.Assert(t, do(t, table, claim("other/x", "a", 0)).Granted)
+	assert.Assert(t, applyCommand(t, table, claim("greedy/x", "a", 0)).Full)
+	assert.Assert(t, applyCommand(t, table, claim("other/x", "a", 0)).Granted)
 }
 
 func claim(key, attempt string, now int64) Command {
@@ -69,14 +69,14 @@
 // two attempts may run the request.
 func TestOneClaimOfAKeyIsGranted(t *testing.T) {
 	table := NewTable()
-	assert.Assert(t, do(t, table, claim("k", "a", 0)).Granted)
-	second := do(t, table, claim("k", "b", 0))
+	assert.Assert(t, applyCommand(t, table, claim("k", "a", 0)).Granted)
+	second := applyCommand(t, table, claim("k", "b", 0))
 	assert.Assert(t, !second.Granted)
 	assert.Equal(t, second.State, Claimed)
-	assert.Assert(t, do(t, table, claim("k", "a", 0)).Granted, "the same attempt resent")
+	assert.Assert(t, applyCommand(t, table, claim("k", "a", 0)).Granted, "the same attempt resent")
 }
 
-func TestWhatBecomesOfAClaim(t *testing.T) {
+func TestClaimOutcomes(t *testing.T) {
 	answer := &Answer{Status: 200, Body: []byte("whole")}
 	long := &Answer{Status: 200, Body: make([]byte, MaxAnswerBytes+1)}
 	for _, c := range []struct {
@@ -102,11 +102,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := NewTable()
-			do(t, table, claim("k", "a", 0))
+			applyCommand(t, table, claim("k", "a", 0))
 			for _, x := range c.then {
-				doInSteps(t, table, x)
+				applyInSteps(t, table, x)
 			}
-			out := do(t, table, claim("k", "b", 1))
+			out := applyCommand(t, table, claim("k", "b", 1))
 			assert.Equal(t, out.Granted, c.granted)
 			assert.Equal(t, out.State, c.state)
 			assert.Equal(t, out.Answer != nil, c.answered)
@@ -116,12 +116,12 @@
 
 // Guards against an answer to the wrong request. A caller reuses a key for a request
 // with another body, which must not get the answer of the first request.
-func TestAKeyIsBoundToItsBody(t *testing.T) {
+func TestKeyIsBoundToItsBody(t *testing.T) {
 	table := NewTable()
-	do(t, table, claim("k", "a", 0))
+	applyCommand(t, table, claim("k", "a", 0))
 	other := claim("k", "b", 0)
 	other.Claim.Body = "another"
-	assert.Assert(t, do(t, table, other).Reused)
+	assert.Assert(t, applyCommand(t, table, other).Reused)
 }
 
 func TestKeptAnswersAreBounded(t *testing.T) {
@@ -129,12 +129,12 @@
 	const keys = MaxAnswersBytes/MaxAnswerBytes + 10
 	for i := range keys {
 		key := strconv.Itoa(i)
-		do(t, table, claim(key, "a", 0))
-		do(t, table, Command{Finish: &Finish{key, "a", &Answer{Body: make([]byte, MaxAnswerBytes)}, 1}})
+		applyCommand(t, table, claim(key, "a", 0))
+		applyCommand(t, table, Command{Finish: &Finish{key, "a", &Answer{Body: make([]byte, MaxAnswerBytes)}, 1}})
 	}
 	assert.Equal(t, table.answerBytes, MaxAnswersBytes)
-	assert.Assert(t, do(t, table, claim("0", "b", 2)).Answer == nil)
-	assert.Assert(t, do(t, table, claim(strconv.Itoa(keys-1), "b", 2)).Answer != nil)
+	assert.Assert(t, applyCommand(t, table, claim("0", "b", 2)).Answer == nil)
+	assert.Assert(t, applyCommand(t, table, claim(strconv.Itoa(keys-1), "b", 2)).Answer != nil)
 }
 
 // Checks two invariants under random commands. A key is granted to one attempt at a
@@ -148,7 +148,7 @@
 		for now := range int64(400) {
 			key, attempt := strconv.Itoa(random.IntN(4)), strconv.Itoa(random.IntN(6))
 			c := randomCommand(random, key, attempt, now)
-			out := do(t, table, c)
+			out := applyCommand(t, table, c)
 			if c.Claim != nil && out.Granted {
 				assert.Assert(t, holder[key] == "" || holder[key] == attempt, "seed %d", seed)
 				holder[key] = attempt
@@ -158,7 +158,7 @@
 				delete(holder, key)
 			}
 			if random.IntN(20) == 0 {
-				table = restored(t, table)
+				table = restoreFromSnapshot(t, table)
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 	return claim(key, attempt, now)
 }
 
-func restored(t *testing.T, table *Table) *Table {
+func restoreFromSnapshot(t *testing.T, table *Table) *Table {
 	data, err := table.Encode()
 	assert.NilError(t, err)
 	again, err := Decode(data)
