--- a/internal/raft/directed_test.go
+++ b/internal/raft/directed_test.go
@@ -18,7 +18,8 @@
 	order []NodeID
 	// down holds the nodes that neither send nor receive.
 	down map[NodeID]bool
-	// heldTypes holds the message types that are collected in heldMessages instead of delivered.
+	// heldTypes holds the message types that are collected in heldMessages instead of
+	// delivered.
 	heldTypes    map[MessageType]bool
 	heldMessages []Message
 	reads        []Read
@@ -224,7 +225,7 @@
 // Guards against two leaders during a leadership transfer, as before a graceful
 // stop. The successor's election does not wait for vote promises. The old leader's
 // lease must therefore end when it sends MessageTimeoutNow.
-func TestHandoverEndsTheLease(t *testing.T) {
+func TestLeadershipTransferEndsTheLease(t *testing.T) {
 	b := newTestGroup(t, 3, 0)
 	n := b.leader()
 	b.advance(200 * time.Millisecond)
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -129,8 +129,8 @@
 	return changed
 }
 
-// checkMembershipChange returns ErrInvalidChange unless next is a single-step change of the
-// current list.
+// checkMembershipChange returns ErrInvalidChange unless next is a single-step change
+// of the current list.
 //
 // Majorities of two lists that differ in one voter always overlap. If two voters
 // were exchanged at once, two disjoint majorities could each elect a leader.
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -91,7 +91,8 @@
 	n.removed = n.membership.IsRemoved(cfg.ID)
 	n.resetElectionTimer()
 	if v := n.membership.Voters(); len(v) == 1 && v[0] == cfg.ID {
-		// No other node can hold this node's vote promise, so it need not wait.
+		// The only voter cannot have promised its vote to another node, so it need not
+		// wait.
 		n.electionDue = now
 	}
 	return n, nil
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -86,7 +86,7 @@
 	return n.log.snapshot.Membership, nil
 }
 
-// Status is the state of a node, for operators and metrics.
+// Status is a copy of a node's state, for its driver and for operators.
 type Status struct {
 	ID              NodeID
 	Role            Role
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -32,7 +32,8 @@
 	return &progress{next: next, probing: true, ackedAt: never}
 }
 
-// broadcastHeartbeat starts a new heartbeat round and sends a heartbeat to every other member.
+// broadcastHeartbeat starts a new heartbeat round and sends a heartbeat to every
+// other member.
 func (n *Node) broadcastHeartbeat() {
 	n.round++
 	n.needsNewRound = false
--- a/internal/raft/simulation_clients_test.go
+++ b/internal/raft/simulation_clients_test.go
@@ -218,8 +218,8 @@
 	c.endWaitersThrough(p, math.MaxUint64)
 }
 
-// endWaitersThrough ends the wait for entries up to index, whose outcome the process cannot
-// learn because of a snapshot or a crash.
+// endWaitersThrough ends the wait for entries up to index, whose outcome the process
+// cannot learn because of a snapshot or a crash.
 func (c *simClients) endWaitersThrough(p *simProcess, index uint64) {
 	for at, op := range p.waiters {
 		if at <= index {
--- a/internal/raft/simulation_faults_test.go
+++ b/internal/raft/simulation_faults_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// cutLeaderLink cuts the links between a leader and one other VM. That VM starts elections
-// while the other voters still receive the leader's messages.
+// cutLeaderLink cuts the links between a leader and one other VM. That VM starts
+// elections while the other voters still receive the leader's messages.
 func (w *simCluster) cutLeaderLink(leader *simVM) {
 	if leader.proc == nil || !leader.proc.isLeader {
 		return
@@ -112,8 +112,8 @@
 }
 
 // detectionWindow is the time after the loss of a member in which the leader may
-// still count it as fresh and promote it. It is
-// freshHeartbeatIntervals, plus an allowance for clock drift and one step.
+// still count it as fresh and promote it. It is freshHeartbeatIntervals, plus an
+// allowance for clock drift and one step.
 const detectionWindow = freshHeartbeatIntervals*simHeartbeat + 10*simStep
 
 // canLose reports whether every possible membership keeps a majority of intact disks
--- a/internal/raft/simulation_test.go
+++ b/internal/raft/simulation_test.go
@@ -11,6 +11,7 @@
 
 // Timing of a simulated cluster. The rate of each clock is off by up to
 // simClockDrift. The lease margin of an eighth of the election timeout covers that.
+// simCompactEvery and simCompactKeep count log entries.
 const (
 	simStep            = 10 * time.Millisecond
 	simElectionTimeout = time.Second
@@ -60,6 +61,9 @@
 
 	// The fields below hold the state that the process last published. Readers see
 	// it even while the process is frozen.
+	//
+	// lease is the end of the lease on the VM's clock. fastRead is set if a read
+	// under the lease would be current.
 	lease    time.Duration
 	fastRead bool
 	term     uint64
@@ -69,6 +73,8 @@
 // simState is a replicated state machine of a few registers.
 type simState map[string]int
 
+// simCommand sets a register to Value. With CAS, it does so only if the register holds
+// Expect.
 type simCommand struct {
 	Key    string
 	Value  int
@@ -76,6 +82,7 @@
 	CAS    bool
 }
 
+// apply applies an encoded simCommand and reports whether it took effect.
 func (s simState) apply(data []byte) bool {
 	var c simCommand
 	if err := json.Unmarshal(data, &c); err != nil {
@@ -88,6 +95,7 @@
 	return true
 }
 
+// simMessage is a message in flight, due for delivery at a simulated time.
 type simMessage struct {
 	at time.Duration
 	m  Message
@@ -95,6 +103,7 @@
 
 // simFaults holds the probabilities of faults. The zero value has no faults.
 type simFaults struct {
+	// loss, duplicate and delay are probabilities per message, slowSync per sync.
 	loss, duplicate, delay, slowSync float64
 	// crash, cut, freeze, diskLoss, remove and transfer are probabilities per step.
 	crash, cut, freeze, diskLoss, remove, transfer float64
@@ -127,9 +136,9 @@
 	cutUntil map[[2]string]time.Duration
 	// lastLoss is the time at which a disk was last lost.
 	lastLoss time.Duration
-	// electionSpreadShift is the number of times that the random spread of election timeouts is
-	// halved. A small spread makes nodes start elections as soon as they may, and
-	// against each other.
+	// electionSpreadShift is the number of times that the random spread of election
+	// timeouts is halved. A small spread makes nodes start elections as soon as they
+	// may, and against each other.
 	electionSpreadShift int
 	tickEvery           time.Duration
 	faults              simFaults
@@ -249,8 +258,8 @@
 	w.checker.checkLeases()
 }
 
-// runProcess lets one process work. The process does nothing else during a sync, as in the
-// replica package, which uses one goroutine.
+// runProcess lets one process work. The process does nothing else during a sync, as
+// in the replica package, which uses one goroutine.
 func (w *simCluster) runProcess(p *simProcess) {
 	if p.pending != nil {
 		if w.now < p.syncDone {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -82,8 +82,10 @@
 	Key string `json:"key"`
 	// Body is the hash of the request's body. A claim of the same key with another
 	// body is refused.
-	Body    string  `json:"body"`
-	Entry   string  `json:"entry"`
+	Body string `json:"body"`
+	// Entry is the identity of the entry that claimed the request.
+	Entry string `json:"entry"`
+	// Attempt is the identity of the attempt that holds the claim.
 	Attempt string  `json:"attempt"`
 	State   State   `json:"state"`
 	Answer  *Answer `json:"answer,omitempty"`
@@ -134,7 +136,8 @@
 	Expire  *Expire  `json:"expire,omitempty"`
 }
 
-// Claim requests permission to run a request. Its times are on the sender's clock.
+// Claim requests permission to run a request. Its times are on the sender's clock. The
+// table converts the time left until the deadline to its own clock.
 type Claim struct {
 	Key            string `json:"key"`
 	Body           string `json:"body"`
@@ -175,7 +178,8 @@
 	// recorded.
 	Full bool `json:"full,omitempty"`
 	// Reused is set if the key was claimed with another body.
-	Reused bool    `json:"reused,omitempty"`
+	Reused bool `json:"reused,omitempty"`
+	// State, Entry and Answer are those of the record after the command.
 	State  State   `json:"state,omitempty"`
 	Entry  string  `json:"entry,omitempty"`
 	Answer *Answer `json:"answer,omitempty"`
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -18,8 +18,9 @@
 	return out
 }
 
-// applyInSteps applies c. For an Expire it first applies the earlier Expires that a leader
-// would have sent, because one Expire advances the clock only by MaxStepMillis.
+// applyInSteps applies c. For an Expire it first applies the earlier Expires that a
+// leader would have sent, because one Expire advances the clock only by
+// MaxStepMillis.
 func applyInSteps(t *testing.T, table *Table, c Command) {
 	t.Helper()
 	if c.Expire == nil {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -32,7 +32,8 @@
 	assert.NilError(t, w.Save(raft.Ready{MustPersist: true, Entries: entries, HardState: hard}))
 }
 
-// newFolderWithEntries creates a data folder with 40 entries, closes it and returns its path.
+// newFolderWithEntries creates a data folder with 40 entries, closes it and returns
+// its path.
 func newFolderWithEntries(t *testing.T) string {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "data")
