--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -179,8 +179,9 @@
 	Full bool `json:"full,omitempty"`
 	// Reused is set if the key was claimed with another body.
 	Reused bool `json:"reused,omitempty"`
-	// State, Entry and Answer are those of the record after the command.
-	State  State   `json:"state,omitempty"`
+	// State is the record's state after a Claim or Finish.
+	State State `json:"state,omitempty"`
+	// Entry and Answer are those of a record that existed before a Claim.
 	Entry  string  `json:"entry,omitempty"`
 	Answer *Answer `json:"answer,omitempty"`
 }
