--- a/internal/controller/breaking.go
+++ b/internal/controller/breaking.go
@@ -119,8 +119,8 @@
 		}
 		return "is dead", 0
 	}
-	r, heard := v.Evidence.Get(m.VM)
-	if !heard || now.Sub(r.HeardAt) > v.Evidence.RoutableAge() {
+	r, hasReport := v.Evidence.Get(m.VM)
+	if !hasReport || now.Sub(r.HeardAt) > v.Evidence.RoutableAge() {
 		return "", 0
 	}
 	if r.Incarnation != m.Incarnation {
@@ -181,8 +181,8 @@
 }
 
 func lostFault(v View, now time.Time, lost string) (text string, patience time.Duration) {
-	r, heard := v.Evidence.Get(lost)
-	if heard && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge() {
+	r, hasReport := v.Evidence.Get(lost)
+	if hasReport && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge() {
 		return "has lost " + lost + ", which is heard", faultPatience
 	}
 	return "has lost " + lost + ", which is silent", lostPatience
--- a/internal/controller/cooling.go
+++ b/internal/controller/cooling.go
@@ -45,42 +45,42 @@
 // taker is a backend server that takes requests, of a service that states a rate for cold
 // instances.
 type taker struct {
-	service string
-	spec    blackboard.ServiceSpec
-	report  evidence.Report
-	heard   bool
+	service   string
+	spec      blackboard.ServiceSpec
+	report    evidence.Report
+	hasReport bool
 }
 
 // takers returns the backend servers that take requests, or are about to, by incarnation.
 func takers(v View) map[string]taker {
 	takes := make(map[string]taker)
-	add := func(service, incarnation string, r evidence.Report, heard bool) {
+	add := func(service, incarnation string, r evidence.Report, hasReport bool) {
 		spec := v.Board.Config.Services[service]
 		if spec.ColdPerSecond <= 0 {
 			return
 		}
-		heard = heard && r.Incarnation == incarnation
-		takes[incarnation] = taker{service: service, spec: spec, report: r, heard: heard}
+		hasReport = hasReport && r.Incarnation == incarnation
+		takes[incarnation] = taker{service: service, spec: spec, report: r, hasReport: hasReport}
 	}
 	for _, g := range v.Board.Groups {
 		if g.State != blackboard.Forming && g.State != blackboard.Loading && g.State != blackboard.Serving {
 			continue
 		}
 		head := g.Head()
-		r, heard := v.Evidence.Get(head.VM)
-		add(v.Board.Config.Groups[g.Spec].Pool, head.Incarnation, r, heard)
+		r, hasReport := v.Evidence.Get(head.VM)
+		add(v.Board.Config.Groups[g.Spec].Pool, head.Incarnation, r, hasReport)
 	}
 	for id, s := range v.Board.Services {
-		r, heard := v.Evidence.GetService(id)
-		add(s.Service, s.Incarnation, r, heard)
+		r, hasReport := v.Evidence.GetService(id)
+		add(s.Service, s.Incarnation, r, hasReport)
 	}
 	return takes
 }
 
 // coldUntil is until when the engine on a VM is cold; the zero time if it is not.
 func (v View) coldUntil(now time.Time, vm string) time.Time {
-	r, heard := v.Evidence.Get(vm)
-	if t := (taker{report: r, heard: heard}); t.cold(now) {
+	r, hasReport := v.Evidence.Get(vm)
+	if t := (taker{report: r, hasReport: hasReport}); t.cold(now) {
 		return r.ColdUntil()
 	}
 	return time.Time{}
@@ -88,13 +88,13 @@
 
 // cold tells whether a backend server is cold by its own word.
 func (t taker) cold(now time.Time) bool {
-	return t.heard && t.report.ColdMillis > 0 && now.Before(t.report.ColdUntil().Add(coldMargin))
+	return t.hasReport && t.report.ColdMillis > 0 && now.Before(t.report.ColdUntil().Add(coldMargin))
 }
 
 // warm tells whether a backend server that was marked is surely not cold: it has said so in
 // an announcement that left after the mark came.
 func (t taker) warm(v View, now, marked time.Time) bool {
-	if t.cold(now) || !t.heard {
+	if t.cold(now) || !t.hasReport {
 		return false
 	}
 	return t.report.HeardAt.Sub(marked) >= v.Evidence.Interval()
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -208,8 +208,8 @@
 // nothing new arrives. An engine that reports no load is waited for until the
 // limit.
 func withoutWork(v View, g blackboard.Group, m blackboard.GroupMember, drainedFrom time.Time) bool {
-	r, heard := v.Evidence.Get(m.VM)
-	if !heard {
+	r, hasReport := v.Evidence.Get(m.VM)
+	if !hasReport {
 		return false
 	}
 	if r.Group != g.ID || r.Epoch != g.Epoch {
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -56,11 +56,11 @@
 	dead := v.Memory.deadAfter(massSilence(v, now), now, v.timing().Dead)
 	for _, id := range v.vmIDs() {
 		vm := v.Board.VMs[id]
-		r, heard := v.Evidence.Get(id)
-		if heard && r.Incarnation != vm.Incarnation {
+		r, hasReport := v.Evidence.Get(id)
+		if hasReport && r.Incarnation != vm.Incarnation {
 			continue
 		}
-		to := conclude(v, now, vm.Liveness, r, heard, dead)
+		to := conclude(v, now, vm.Liveness, r, hasReport, dead)
 		if to == vm.Liveness {
 			forgetVM(v, now, a, vm)
 			continue
@@ -87,12 +87,12 @@
 func serviceLiveness(v View, now time.Time, a *Actions) {
 	for _, id := range sortedKeys(v.Board.Services) {
 		s := v.Board.Services[id]
-		r, heard := v.Evidence.GetService(id)
-		if heard && r.Incarnation != s.Incarnation {
+		r, hasReport := v.Evidence.GetService(id)
+		if hasReport && r.Incarnation != s.Incarnation {
 			continue
 		}
-		to := conclude(v, now, s.Liveness, r, heard, v.timing().Dead)
-		if to == blackboard.Dead && silence(v, now, r, heard) > forgetAfter {
+		to := conclude(v, now, s.Liveness, r, hasReport, v.timing().Dead)
+		if to == blackboard.Dead && silence(v, now, r, hasReport) > forgetAfter {
 			v.Evidence.Forget(backend.KindService, id)
 			a.command(&blackboard.RemoveService{ID: id, Incarnation: s.Incarnation})
 			continue
@@ -106,12 +106,12 @@
 
 // silence returns how long a backend server has been silent while a majority
 // of entries would have passed on what it said; see evidence.Table.Covered.
-func silence(v View, now time.Time, r evidence.Report, heard bool) time.Duration {
+func silence(v View, now time.Time, r evidence.Report, hasReport bool) time.Duration {
 	from := v.Memory.coveredSince
 	if from.IsZero() {
 		return 0
 	}
-	if heard && r.HeardAt.After(from) {
+	if hasReport && r.HeardAt.After(from) {
 		from = r.HeardAt
 	}
 	return now.Sub(from)
@@ -148,8 +148,8 @@
 			continue
 		}
 		living++
-		r, heard := v.Evidence.Get(id)
-		if silence(v, now, r, heard) > v.timing().Paused {
+		r, hasReport := v.Evidence.Get(id)
+		if silence(v, now, r, hasReport) > v.timing().Paused {
 			silent++
 		}
 	}
@@ -157,16 +157,16 @@
 }
 
 func conclude(
-	v View, now time.Time, is blackboard.Liveness, r evidence.Report, heard bool, dead time.Duration,
+	v View, now time.Time, is blackboard.Liveness, r evidence.Report, hasReport bool, dead time.Duration,
 ) blackboard.Liveness {
-	if heard && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge() {
+	if hasReport && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge() {
 		return pace(is, r, v.Evidence.Interval())
 	}
 	scale := time.Duration(1)
-	if heard && !v.Evidence.Witness(now, r.Source, evidence.WitnessAge) {
+	if hasReport && !v.Evidence.Witness(now, r.Source, evidence.WitnessAge) {
 		scale = strayWitness
 	}
-	quiet := silence(v, now, r, heard)
+	quiet := silence(v, now, r, hasReport)
 	switch {
 	case is == blackboard.Dead || quiet > dead*scale:
 		return blackboard.Dead
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -126,8 +126,8 @@
 func continueLoading(v View, now time.Time, a *Actions, g blackboard.Group) {
 	ready := 0
 	for rank, m := range g.Members {
-		r, heard := v.Evidence.Get(m.VM)
-		if !heard || r.Incarnation != m.Incarnation || now.Sub(r.HeardAt) > v.Evidence.RoutableAge() {
+		r, hasReport := v.Evidence.Get(m.VM)
+		if !hasReport || r.Incarnation != m.Incarnation || now.Sub(r.HeardAt) > v.Evidence.RoutableAge() {
 			continue
 		}
 		inEpoch := r.Group == g.ID && r.Epoch == g.Epoch
--- a/internal/controller/opening.go
+++ b/internal/controller/opening.go
@@ -37,8 +37,8 @@
 func continueOpening(v View, now time.Time, a *Actions, g blackboard.Group) {
 	ready, open := 0, false
 	for rank, m := range g.Members {
-		r, heard := v.Evidence.Get(m.VM)
-		if !heard || r.Incarnation != m.Incarnation || now.Sub(r.HeardAt) > v.Evidence.RoutableAge() {
+		r, hasReport := v.Evidence.Get(m.VM)
+		if !hasReport || r.Incarnation != m.Incarnation || now.Sub(r.HeardAt) > v.Evidence.RoutableAge() {
 			continue
 		}
 		switch {
@@ -82,8 +82,8 @@
 		return false
 	}
 	for _, m := range g.Members {
-		r, heard := v.Evidence.Get(m.VM)
-		if !heard || r.Incarnation != m.Incarnation || r.Group != g.ID || r.Epoch != g.Epoch || r.Phase != backend.PhaseReady {
+		r, hasReport := v.Evidence.Get(m.VM)
+		if !hasReport || r.Incarnation != m.Incarnation || r.Group != g.ID || r.Epoch != g.Epoch || r.Phase != backend.PhaseReady {
 			return false
 		}
 	}
@@ -105,10 +105,10 @@
 		return false
 	}
 	head := g.Head()
-	r, heard := v.Evidence.Get(head.VM)
-	inEpoch := heard && r.Incarnation == head.Incarnation && r.Group == g.ID && r.Epoch == g.Epoch
+	r, hasReport := v.Evidence.Get(head.VM)
+	inEpoch := hasReport && r.Incarnation == head.Incarnation && r.Group == g.ID && r.Epoch == g.Epoch
 	switch {
-	case draining > finishLimit, heard && r.Incarnation != head.Incarnation && succeeded(v, head, r):
+	case draining > finishLimit, hasReport && r.Incarnation != head.Incarnation && succeeded(v, head, r):
 		return true
 	case inEpoch && r.Phase != backend.PhaseOpen && r.Phase != backend.PhaseClosing:
 		return true
@@ -138,8 +138,8 @@
 			continue
 		}
 		held++
-		r, heard := v.Evidence.Get(m.VM)
-		if !heard || r.Incarnation != vm.Incarnation || now.Sub(r.HeardAt) > v.timing().Paused {
+		r, hasReport := v.Evidence.Get(m.VM)
+		if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.HeardAt) > v.timing().Paused {
 			continue
 		}
 		if r.Incarnation != m.Incarnation || (ended && (released(v, g, m) || r.Group != g.ID || r.Epoch != g.Epoch)) {
@@ -155,8 +155,8 @@
 // order to open this epoch does nothing on a head that has left it.
 func headEnded(v View, now time.Time, g blackboard.Group) bool {
 	head := g.Head()
-	r, heard := v.Evidence.Get(head.VM)
-	if heard && r.Incarnation != head.Incarnation {
+	r, hasReport := v.Evidence.Get(head.VM)
+	if hasReport && r.Incarnation != head.Incarnation {
 		return succeeded(v, head, r)
 	}
 	if now.Before(v.Memory.ordersFrom) {
@@ -166,7 +166,7 @@
 		return true
 	}
 	// Before any order went out the head can't have been told to open.
-	return heard && g.State == blackboard.Broken && (r.Group != g.ID || r.Epoch != g.Epoch) && r.Epoch > g.Epoch
+	return hasReport && g.State == blackboard.Broken && (r.Group != g.ID || r.Epoch != g.Epoch) && r.Epoch > g.Epoch
 }
 
 // released tells whether a member has accepted this leader's order to leave.
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -163,8 +163,8 @@
 
 // loadingModel returns the model that a VM says it is loading, or "".
 func loadingModel(v View, vm blackboard.VM) string {
-	r, heard := v.Evidence.Get(vm.ID)
-	if !heard || r.Incarnation != vm.Incarnation || !joining(r) {
+	r, hasReport := v.Evidence.Get(vm.ID)
+	if !hasReport || r.Incarnation != vm.Incarnation || !joining(r) {
 		return ""
 	}
 	if model, standby := strings.CutPrefix(r.Group, standbyPrefix); standby {
--- a/internal/controller/releasing.go
+++ b/internal/controller/releasing.go
@@ -47,8 +47,8 @@
 }
 
 func releaseMember(v View, now time.Time, a *Actions, g blackboard.Group, m blackboard.GroupMember, vm blackboard.VM) {
-	r, heard := v.Evidence.Get(m.VM)
-	if !heard || r.Incarnation != vm.Incarnation || now.Sub(r.HeardAt) > v.timing().Paused {
+	r, hasReport := v.Evidence.Get(m.VM)
+	if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.HeardAt) > v.timing().Paused {
 		return
 	}
 	if r.Group != "" && (r.Group != g.ID || r.Epoch != g.Epoch) {
@@ -120,8 +120,8 @@
 func correcting(v View, now time.Time, a *Actions) {
 	for _, id := range v.vmIDs() {
 		vm := v.Board.VMs[id]
-		r, heard := v.Evidence.Get(id)
-		if !heard || r.Group == "" || now.Sub(r.HeardAt) > v.timing().Paused {
+		r, hasReport := v.Evidence.Get(id)
+		if !hasReport || r.Group == "" || now.Sub(r.HeardAt) > v.timing().Paused {
 			continue
 		}
 		if r.Incarnation != vm.Incarnation || r.Phase == backend.PhaseReleasing {
--- a/internal/controller/sharing.go
+++ b/internal/controller/sharing.go
@@ -72,8 +72,8 @@
 			continue
 		}
 		model := v.Memory.layouts[vm.FabricDomain].Hold[id]
-		r, heard := v.Evidence.Get(id)
-		fresh := heard && r.Incarnation == vm.Incarnation && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge()
+		r, hasReport := v.Evidence.Get(id)
+		fresh := hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge()
 		switch {
 		case model == "" || !fresh:
 		case joining(r), v.Memory.loaded(vm) == model:
@@ -125,8 +125,8 @@
 // group that it was ready in since its start.
 func (m *Memory) noteModels(v View) {
 	for id, vm := range v.Board.VMs {
-		r, heard := v.Evidence.Get(id)
-		if vm.Pool == "" || !heard || (r.Phase != backend.PhaseReady && r.Phase != backend.PhaseOpen) {
+		r, hasReport := v.Evidence.Get(id)
+		if vm.Pool == "" || !hasReport || (r.Phase != backend.PhaseReady && r.Phase != backend.PhaseOpen) {
 			continue
 		}
 		if model, standby := strings.CutPrefix(r.Group, standbyPrefix); standby {
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -59,8 +59,8 @@
 	if now.Before(v.Memory.avoid[vm.ID]) || !steady(v, vm, now) {
 		return false
 	}
-	r, heard := v.Evidence.Get(vm.ID)
-	return heard && r.Incarnation == vm.Incarnation && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge()
+	r, hasReport := v.Evidence.Get(vm.ID)
+	return hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge()
 }
 
 // holdBack returns the domain that a short spec will form in as soon as VMs are
