--- a/internal/controller/memory.go
+++ b/internal/controller/memory.go
@@ -20,7 +20,7 @@
 	massSeen time.Time
 	orders   map[string]*orderRecord
 	// window bounds the orders in flight.
-	window *window
+	window *orderWindow
 	// faults holds since when a group epoch has shown each of its faults.
 	faults map[groupEpoch]map[string]time.Time
 	// states holds since when this leader has seen a group epoch in its state.
@@ -87,7 +87,7 @@
 	return &Memory{
 		ordersFrom: now.Add(oldLease + driftMargin),
 		orders:     make(map[string]*orderRecord),
-		window:     newWindow(),
+		window:     newOrderWindow(),
 		faults:     make(map[groupEpoch]map[string]time.Time),
 		states:     make(map[groupEpoch]stateTime),
 		drains:     make(map[groupEpoch]time.Time),
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -51,7 +51,7 @@
 	if !ok {
 		return false
 	}
-	if !v.Memory.window.room(now) {
+	if !v.Memory.window.hasCapacity(now) {
 		return false
 	}
 	r := v.Memory.orders[vm.ID]
@@ -87,7 +87,7 @@
 
 // sendLoad orders one member of a group to load.
 func sendLoad(v View, now time.Time, a *Actions, g blackboard.Group, rank int) bool {
-	if !v.Memory.window.room(now) {
+	if !v.Memory.window.hasCapacity(now) {
 		return false
 	}
 	members := make([]backend.GroupMember, len(g.Members))
