--- a/internal/controller/announcements.go
+++ b/internal/controller/announcements.go
@@ -9,59 +9,59 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// settleAnnouncements is how many announcements of a new incarnation must be
-// heard before the blackboard takes it up.
+// confirmingAnnouncements is how many announcements of a new incarnation must arrive before the
+// blackboard records it.
 //
-// Failure: one late copy from the incarnation before makes a VM look
-// restarted, and the group that still runs on it looks gone. A late copy comes
-// alone; a live process goes on announcing.
-const settleAnnouncements = 2
+// Failure: one delayed announcement of the previous incarnation makes a VM look restarted, and
+// the group that still runs on it look lost. A delayed announcement arrives alone, whereas a live
+// process keeps announcing.
+const confirmingAnnouncements = 2
 
-// replaces tells whether the incarnation of a report has taken the place of one
-// that the blackboard holds and that started at startedMillis. Where the start is
-// told it decides at once; elsewhere the new incarnation must go on announcing.
-func replaces(r evidence.Report, startedMillis int64) bool {
+// supersedes reports whether the incarnation of a report has replaced the incarnation on the
+// blackboard, which started at startedMillis. If the start times differ, the later one wins.
+// Otherwise the new incarnation must keep announcing.
+func supersedes(r evidence.Report, startedMillis int64) bool {
 	if r.StartedMillis != startedMillis {
 		return r.StartedMillis > startedMillis
 	}
-	return r.Sequence >= r.FirstSequence+settleAnnouncements-1
+	return r.Sequence >= r.FirstSequence+confirmingAnnouncements-1
 }
 
-// announcements records VMs and plain services on the blackboard when what
-// they announce has changed.
+// recordAnnouncements updates VMs and plain services on the blackboard when their announcements
+// have changed.
 //
-// Failure: a new leader first gets what an entry heard long ago, before the
-// newer word of another entry, and puts it over a newer row. Only what was
-// heard within pausedAfter counts.
-func announcements(v View, now time.Time, a *Actions) {
+// Failure: a new leader first receives an old announcement from one entry before the newer
+// announcement from another entry, and overwrites a newer row with it. Only announcements
+// received within Timing.Paused therefore count.
+func recordAnnouncements(v View, now time.Time, a *Actions) {
 	fresh := v.timing().Paused
-	news := v.Evidence.Select(func(r *evidence.Report) bool {
-		return r.Known != nil && now.Sub(r.HeardAt) <= fresh && !recorded(v, r)
+	reports := v.Evidence.Select(func(r *evidence.Report) bool {
+		return r.Known != nil && now.Sub(r.HeardAt) <= fresh && !isRecorded(v, r)
 	})
-	for _, r := range news {
-		if !fits(v, r) {
+	for _, r := range reports {
+		if !isConfigured(v, r) {
 			continue
 		}
 		switch r.Kind {
 		case backend.KindEngine:
-			announceVM(v, now, a, r)
+			recordVM(v, now, a, r)
 		case backend.KindService:
-			announceService(v, now, a, r)
+			recordService(v, now, a, r)
 		}
 	}
 }
 
-// recorded tells whether the blackboard holds what a report says already.
-func recorded(v View, r *evidence.Report) bool {
+// isRecorded reports whether the blackboard already holds the contents of a report.
+func isRecorded(v View, r *evidence.Report) bool {
 	if r.Kind != backend.KindEngine {
 		return false
 	}
 	old, known := v.Board.VMs[r.ID]
-	return known && sameVM(old, announced(old, r))
+	return known && sameVM(old, rowOf(old, r))
 }
 
-// announced returns the row of a VM with what a report says of it.
-func announced(row blackboard.VM, r *evidence.Report) blackboard.VM {
+// rowOf returns the row of a VM updated from a report.
+func rowOf(row blackboard.VM, r *evidence.Report) blackboard.VM {
 	row.ID = r.ID
 	row.Incarnation = r.Incarnation
 	row.StartedMillis = r.StartedMillis
@@ -75,12 +75,12 @@
 	return row
 }
 
-func announceVM(v View, now time.Time, a *Actions, r evidence.Report) {
+func recordVM(v View, now time.Time, a *Actions, r evidence.Report) {
 	old, known := v.Board.VMs[r.ID]
-	if known && old.Incarnation != r.Incarnation && !replaces(r, old.StartedMillis) {
+	if known && old.Incarnation != r.Incarnation && !supersedes(r, old.StartedMillis) {
 		return
 	}
-	next := announced(old, &r)
+	next := rowOf(old, &r)
 	if known && sameVM(old, next) {
 		return
 	}
@@ -91,15 +91,15 @@
 	a.command(&blackboard.PutVM{VM: next})
 }
 
-// fits tells whether the configuration has use for a backend server of this kind:
-// engines belong to a pool that is configured, or to none, and instances of plain
-// services to anything that is not a pool.
+// isConfigured reports whether the configuration has a use for a backend server of this kind. An
+// engine must belong to a configured pool or to none. An instance of a plain service must not
+// belong to a pool.
 //
-// Failure: an announcement of an engine by another writer lacks its fabric domain,
-// or names a pool that nobody configured. Taken up, the engine would be called like
-// a plain service and run requests outside any group. It is left out, and taken
-// up once a configuration fits it.
-func fits(v View, r evidence.Report) bool {
+// Failure: another implementation announces an engine without its fabric domain, or with a pool
+// that nobody configured. If the blackboard recorded it, entries would call the engine like a
+// plain service and run requests outside any group. Such a backend server is left out until a
+// configuration fits it.
+func isConfigured(v View, r evidence.Report) bool {
 	spec, configured := v.Board.Config.Services[r.Known.Service]
 	pool := configured && spec.Engine != nil
 	if r.Kind == backend.KindService {
@@ -115,9 +115,9 @@
 		slices.Equal(a.Weights, b.Weights)
 }
 
-func announceService(v View, now time.Time, a *Actions, r evidence.Report) {
+func recordService(v View, now time.Time, a *Actions, r evidence.Report) {
 	old, known := v.Board.Services[r.ID]
-	if known && old.Incarnation != r.Incarnation && !replaces(r, old.StartedMillis) {
+	if known && old.Incarnation != r.Incarnation && !supersedes(r, old.StartedMillis) {
 		return
 	}
 	next := blackboard.ServiceInstance{
--- a/internal/controller/breaking.go
+++ b/internal/controller/breaking.go
@@ -124,7 +124,7 @@
 		return "", 0
 	}
 	if r.Incarnation != m.Incarnation {
-		if replaces(r, vm.StartedMillis) {
+		if supersedes(r, vm.StartedMillis) {
 			return "restarted", 0
 		}
 		return "restarted", v.timing().Fault
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -109,7 +109,7 @@
 	v, now := heardView(blackboard.Serving, func(a *backend.Announcement) { a.Weights = []string{"demo"} })
 	puts := func(at time.Time) (n int) {
 		var a Actions
-		announcements(v, at, &a)
+		recordAnnouncements(v, at, &a)
 		return len(a.Commands)
 	}
 	assert.Equal(t, puts(now.Add(pausedAfter+1)), 0)
--- a/internal/controller/releasing.go
+++ b/internal/controller/releasing.go
@@ -66,7 +66,7 @@
 // blackboard holds the one of the report, or will.
 func succeeded(v View, m blackboard.GroupMember, r evidence.Report) bool {
 	vm := v.Board.VMs[m.VM]
-	return vm.Incarnation == r.Incarnation || replaces(r, vm.StartedMillis)
+	return vm.Incarnation == r.Incarnation || supersedes(r, vm.StartedMillis)
 }
 
 // freed tells whether a VM has proved that the epoch no longer runs on it.
@@ -95,7 +95,7 @@
 		return false
 	}
 	if r.Incarnation != m.Incarnation {
-		return replaces(r, 0)
+		return supersedes(r, 0)
 	}
 	if o == nil || o.kind != backend.OrderRelease || o.target != (groupEpoch{g.ID, g.Epoch}) {
 		return false
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -93,7 +93,7 @@
 	v.Memory.noteModels(v)
 	countLoads(v, now)
 	packPools(v, now, &a)
-	announcements(v, now, &a)
+	recordAnnouncements(v, now, &a)
 	liveness(v, now, &a)
 	breaking(v, now, &a)
 	straggling(v, now)
