--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -55,17 +55,17 @@
 		vm.Flaps = flaps
 		for d := time.Duration(0); ; d += time.Second {
 			vm.SinceMillis = now.Add(-d).UnixMilli()
-			if steady(View{}, vm, now) {
+			if isStable(View{}, vm, now) {
 				return d
 			}
 		}
 	}
 	assert.Equal(t, waited(0), time.Duration(0))
-	assert.Equal(t, waited(1), 2*settleFirst)
-	assert.Equal(t, waited(3), 8*settleFirst)
-	assert.Equal(t, waited(40), settleMost)
+	assert.Equal(t, waited(1), 2*rejoinWait)
+	assert.Equal(t, waited(3), 8*rejoinWait)
+	assert.Equal(t, waited(40), maxRejoinWait)
 	vm.Liveness = blackboard.Straggler
-	assert.Assert(t, !steady(View{}, vm, now))
+	assert.Assert(t, !isStable(View{}, vm, now))
 }
 
 // Liveness thrashes when one announcement is late. A straggler is told from a
@@ -76,14 +76,14 @@
 		gap  time.Duration
 		want blackboard.Liveness
 	}{
-		{blackboard.Alive, steadyGap * evidence.AnnounceInterval, blackboard.Alive},
-		{blackboard.Alive, slowGap * evidence.AnnounceInterval, blackboard.Alive},
-		{blackboard.Alive, slowGap*evidence.AnnounceInterval + 1, blackboard.Straggler},
-		{blackboard.Straggler, steadyGap*evidence.AnnounceInterval + 1, blackboard.Straggler},
-		{blackboard.Straggler, steadyGap * evidence.AnnounceInterval, blackboard.Alive},
-		{blackboard.Paused, steadyGap * evidence.AnnounceInterval, blackboard.Alive},
+		{blackboard.Alive, recoveredIntervals * evidence.AnnounceInterval, blackboard.Alive},
+		{blackboard.Alive, stragglerIntervals * evidence.AnnounceInterval, blackboard.Alive},
+		{blackboard.Alive, stragglerIntervals*evidence.AnnounceInterval + 1, blackboard.Straggler},
+		{blackboard.Straggler, recoveredIntervals*evidence.AnnounceInterval + 1, blackboard.Straggler},
+		{blackboard.Straggler, recoveredIntervals * evidence.AnnounceInterval, blackboard.Alive},
+		{blackboard.Paused, recoveredIntervals * evidence.AnnounceInterval, blackboard.Alive},
 	} {
-		assert.Equal(t, pace(c.is, evidence.Report{Gap: c.gap}, evidence.AnnounceInterval), c.want)
+		assert.Equal(t, livenessByGap(c.is, evidence.Report{Gap: c.gap}, evidence.AnnounceInterval), c.want)
 	}
 }
 
@@ -241,7 +241,7 @@
 	for _, c := range []struct {
 		after time.Duration
 		want  blackboard.Liveness
-	}{{pausedAfter + time.Second, blackboard.Paused}, {deadAfter, blackboard.Dead}, {forgetAfter, ""}} {
+	}{{pausedAfter + time.Second, blackboard.Paused}, {deadAfter, blackboard.Dead}, {removeServiceAfter, ""}} {
 		w.run(c.after)
 		assert.Equal(t, w.board.Services["files-1"].Liveness, c.want)
 	}
@@ -260,7 +260,7 @@
 	assert.Equal(t, row.Liveness, blackboard.Dead)
 	var a Actions
 	l := w.leader()
-	liveness(View{Board: w.board, Evidence: w.entries[0].table, Memory: l.memory}, w.now.Add(forgetVMAfter), &a)
+	updateLiveness(View{Board: w.board, Evidence: w.entries[0].table, Memory: l.memory}, w.now.Add(removeVMAfter), &a)
 	for _, c := range a.Commands {
 		if remove, ok := c.(*blackboard.RemoveVM); ok {
 			w.propose(remove)
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -8,61 +8,62 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// The thresholds of liveness, in silence heard by a majority of entries.
-// Routing does not wait for them: entries stop after evidence.RoutableAge.
+// The liveness thresholds are durations of silence as observed by a majority of entries. Routing
+// does not wait for them: entries stop routing after evidence.RoutableAge.
 const (
-	// pausedAfter is over seven announcements lost in a row: short stops of a
-	// VM under a hypervisor pass before it.
+	// pausedAfter is over seven lost announcements in a row, so that short stops of a VM under a
+	// hypervisor do not reach it.
 	pausedAfter = 3 * time.Second
-	// deadAfter is when a member's group is torn down. Reloading a group takes
-	// tens of seconds, so waiting ten for a paused member costs less than a
-	// needless reload, and adds ten seconds to the downtime of a real loss.
+	// deadAfter is the silence after which a member's group is torn down. Reloading a group takes
+	// tens of seconds. Waiting ten seconds for a paused member costs less than a needless reload
+	// and adds only ten seconds to the downtime of a real loss.
 	deadAfter = 10 * time.Second
-	// massDeadAfter takes the place of deadAfter while more than half of the
-	// VMs that are not dead are silent at once, see massSilence.
+	// massDeadAfter replaces deadAfter while more than half of the VMs that are not dead are
+	// silent at the same time; see hasMassSilence.
 	massDeadAfter = time.Minute
-	// massLeast is the fewest VMs of which half says anything.
-	massLeast = 4
-	// strayWitness doubles the thresholds while the only process that heard a
-	// backend server is silent itself: the backend server may be looking for
-	// another entry.
-	strayWitness = 2
-	// forgetVMAfter is when a dead VM is dropped, so that VMs that are replaced
-	// under new names don't stay for ever. It is long past any restart, and past
-	// any order that could still be on its way.
-	forgetVMAfter = 24 * time.Hour
-	// forgetAfter is when a dead instance of a plain service is dropped.
-	forgetAfter = 10 * time.Minute
+	// massSilenceMinVMs is the smallest number of VMs for which the silence of half of them is
+	// meaningful.
+	massSilenceMinVMs = 4
+	// silentSourceFactor doubles the thresholds while the only process that received a backend
+	// server's announcements is silent itself: the backend server may be looking for another
+	// entry.
+	silentSourceFactor = 2
+	// removeVMAfter is the time after which a dead VM is removed, so that the rows of VMs that
+	// are replaced under new names do not accumulate. It is far longer than any restart and than
+	// any order in transit.
+	removeVMAfter = 24 * time.Hour
+	// removeServiceAfter is the time after which a dead instance of a plain service is removed.
+	removeServiceAfter = 10 * time.Minute
 )
 
-// The thresholds of a straggler, in intervals between announcements.
-// A VM is a straggler from slowGap on and again alive below steadyGap; the
-// space between keeps one late announcement from changing anything.
+// The straggler thresholds count announcement intervals. A VM becomes a straggler above
+// stragglerIntervals and alive again at recoveredIntervals or less. The gap between both keeps
+// one late announcement from changing the state.
 const (
-	slowGap   = 4
-	steadyGap = 3
+	stragglerIntervals = 4
+	recoveredIntervals = 3
 )
 
-// The time that a VM must have stayed alive before it may join a new group
-// doubles with each return, from settleFirst to settleMost: a flapping VM
-// would otherwise break each group that it joins.
+// A VM must have stayed alive for some time before it may join a new group. The time doubles with
+// each return, up to maxRejoinWait. Otherwise a flapping VM would break each group that it joins.
+// The first wait is twice rejoinWait.
 const (
-	settleFirst = 2 * time.Second
-	settleMost  = 2 * time.Minute
+	rejoinWait    = 2 * time.Second
+	maxRejoinWait = 2 * time.Minute
 )
 
-// liveness concludes alive, paused, dead or straggler from the evidence.
-func liveness(v View, now time.Time, a *Actions) {
-	dead := v.Memory.deadAfter(massSilence(v, now), now, v.timing().Dead)
+// updateLiveness derives alive, paused, dead or straggler from the evidence.
+func updateLiveness(v View, now time.Time, a *Actions) {
+	dead := v.Memory.deadThreshold(hasMassSilence(v, now), now, v.timing().Dead)
 	for _, id := range v.vmIDs() {
 		vm := v.Board.VMs[id]
 		r, hasReport := v.Evidence.Get(id)
 		if hasReport && r.Incarnation != vm.Incarnation {
 			continue
 		}
-		to := conclude(v, now, vm.Liveness, r, hasReport, dead)
+		to := nextLiveness(v, now, vm.Liveness, r, hasReport, dead)
 		if to == vm.Liveness {
-			forgetVM(v, now, a, vm)
+			removeDeadVM(v, now, a, vm)
 			continue
 		}
 		returned := vm.Liveness == blackboard.Paused || vm.Liveness == blackboard.Dead
@@ -75,9 +76,9 @@
 	serviceLiveness(v, now, a)
 }
 
-func forgetVM(v View, now time.Time, a *Actions, vm blackboard.VM) {
+func removeDeadVM(v View, now time.Time, a *Actions, vm blackboard.VM) {
 	dead := now.UnixMilli() - vm.SinceMillis
-	if vm.Liveness != blackboard.Dead || dead < forgetVMAfter.Milliseconds() {
+	if vm.Liveness != blackboard.Dead || dead < removeVMAfter.Milliseconds() {
 		return
 	}
 	v.Evidence.Forget(backend.KindEngine, vm.ID)
@@ -91,8 +92,8 @@
 		if hasReport && r.Incarnation != s.Incarnation {
 			continue
 		}
-		to := conclude(v, now, s.Liveness, r, hasReport, v.timing().Dead)
-		if to == blackboard.Dead && silence(v, now, r, hasReport) > forgetAfter {
+		to := nextLiveness(v, now, s.Liveness, r, hasReport, v.timing().Dead)
+		if to == blackboard.Dead && silence(v, now, r, hasReport) > removeServiceAfter {
 			v.Evidence.Forget(backend.KindService, id)
 			a.command(&blackboard.RemoveService{ID: id, Incarnation: s.Incarnation})
 			continue
@@ -104,8 +105,8 @@
 	}
 }
 
-// silence returns how long a backend server has been silent while a majority
-// of entries would have passed on what it said; see evidence.Table.Covered.
+// silence returns how long a backend server has been silent while a majority of entries would
+// have forwarded its announcements; see evidence.Table.Covered.
 func silence(v View, now time.Time, r evidence.Report, hasReport bool) time.Duration {
 	from := v.Memory.coveredSince
 	if from.IsZero() {
@@ -117,31 +118,32 @@
 	return now.Sub(from)
 }
 
-// deadAfter returns how long a VM must be silent to be dead. A mass silence
-// counts for some time past its end: the first to return end it, and the others
-// have a moment to be heard.
-func (m *Memory) deadAfter(mass bool, now time.Time, ordinary time.Duration) time.Duration {
+// deadThreshold returns how long a VM must be silent to count as dead. A mass silence has its
+// effect for some time after its end: the first VMs to return end it, and the other VMs need a
+// moment until their announcements arrive.
+func (m *Memory) deadThreshold(mass bool, now time.Time, ordinary time.Duration) time.Duration {
 	if mass {
-		m.massSeen = now
+		m.massSilenceAt = now
 	}
-	if !m.massSeen.IsZero() && now.Sub(m.massSeen) < ordinary {
+	if !m.massSilenceAt.IsZero() && now.Sub(m.massSilenceAt) < ordinary {
 		return massDeadAfter
 	}
 	return ordinary
 }
 
-// massSilence tells whether more than half of the VMs that are not dead are
-// silent at once.
+// hasMassSilence reports whether more than half of the VMs that are not dead are silent at the
+// same time.
 //
-// Failure: the path from the backend servers to the entries fails for half a
-// minute, and all groups are torn down and loaded again through the store, for
-// hours. Half of all VMs seldom die together, and a path that all use often
-// fails; so most being silent says more of the path than of the VMs. Routing
-// has stopped long before, so waiting lets no request through. The price is
-// that the loss of more than half is acted on after massDeadAfter: there is
-// little left then to rebuild with. A dark domain or data centre of up to half
-// is acted on as ever.
-func massSilence(v View, now time.Time) bool {
+// Failure: the path from the backend servers to the entries fails for half a minute, and all
+// groups are torn down and loaded again through the store, which takes hours. Half of all VMs
+// seldom die together, whereas a path that all VMs share often fails. Silence of most VMs is
+// therefore evidence about the path rather than about the VMs. Routing has stopped long before,
+// so waiting lets no request through.
+//
+// The price is that the loss of more than half of the VMs takes effect only after massDeadAfter;
+// then few VMs are left for a rebuild. The loss of a domain or data centre with up to half of the
+// VMs takes effect as usual.
+func hasMassSilence(v View, now time.Time) bool {
 	living, silent := 0, 0
 	for id, vm := range v.Board.VMs {
 		if vm.Liveness == blackboard.Dead {
@@ -153,42 +155,42 @@
 			silent++
 		}
 	}
-	return living >= massLeast && 2*silent > living
+	return living >= massSilenceMinVMs && 2*silent > living
 }
 
-func conclude(
-	v View, now time.Time, is blackboard.Liveness, r evidence.Report, hasReport bool, dead time.Duration,
+func nextLiveness(
+	v View, now time.Time, current blackboard.Liveness, r evidence.Report, hasReport bool, dead time.Duration,
 ) blackboard.Liveness {
 	if hasReport && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge() {
-		return pace(is, r, v.Evidence.Interval())
+		return livenessByGap(current, r, v.Evidence.Interval())
 	}
 	scale := time.Duration(1)
 	if hasReport && !v.Evidence.Witness(now, r.Source, evidence.WitnessAge) {
-		scale = strayWitness
+		scale = silentSourceFactor
 	}
-	quiet := silence(v, now, r, hasReport)
+	silent := silence(v, now, r, hasReport)
 	switch {
-	case is == blackboard.Dead || quiet > dead*scale:
+	case current == blackboard.Dead || silent > dead*scale:
 		return blackboard.Dead
-	case quiet > v.timing().Paused*scale:
+	case silent > v.timing().Paused*scale:
 		return blackboard.Paused
 	}
-	return is
+	return current
 }
 
-// pace tells a straggler from a VM in good order.
-func pace(is blackboard.Liveness, r evidence.Report, interval time.Duration) blackboard.Liveness {
+// livenessByGap distinguishes a straggler from a healthy VM by the gap between its announcements.
+func livenessByGap(current blackboard.Liveness, r evidence.Report, interval time.Duration) blackboard.Liveness {
 	switch {
-	case r.Gap > slowGap*interval:
+	case r.Gap > stragglerIntervals*interval:
 		return blackboard.Straggler
-	case is == blackboard.Straggler && r.Gap > steadyGap*interval:
+	case current == blackboard.Straggler && r.Gap > recoveredIntervals*interval:
 		return blackboard.Straggler
 	}
 	return blackboard.Alive
 }
 
-// steady tells whether a VM has stayed alive long enough to join a group.
-func steady(v View, vm blackboard.VM, now time.Time) bool {
+// isStable reports whether a VM has stayed alive long enough to join a group.
+func isStable(v View, vm blackboard.VM, now time.Time) bool {
 	if vm.Liveness != blackboard.Alive {
 		return false
 	}
--- a/internal/controller/memory.go
+++ b/internal/controller/memory.go
@@ -17,8 +17,8 @@
 	// without a break; zero while it is not.
 	coveredSince time.Time
 	// massSeen is when most VMs were last silent at once.
-	massSeen time.Time
-	orders   map[string]*orderRecord
+	massSilenceAt time.Time
+	orders        map[string]*orderRecord
 	// window bounds the orders in flight.
 	window *orderWindow
 	// faults holds since when a group epoch has shown each of its faults.
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -56,7 +56,7 @@
 	if spec.FabricDomain != "" && vm.FabricDomain != spec.FabricDomain {
 		return false
 	}
-	if now.Before(v.Memory.avoid[vm.ID]) || !steady(v, vm, now) {
+	if now.Before(v.Memory.avoid[vm.ID]) || !isStable(v, vm, now) {
 		return false
 	}
 	r, hasReport := v.Evidence.Get(vm.ID)
--- a/internal/controller/timing.go
+++ b/internal/controller/timing.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// Timing are the times that depend on how often backend servers announce
-// themselves and on what a reload costs. Zero fields take the defaults, which
-// are for announcements each evidence.AnnounceInterval and reloads of tens of
-// seconds; their reasons stand at the constants.
+// Timing holds the times that depend on the announcement interval of backend servers and on the
+// cost of a reload. A zero field takes its default. The defaults suit announcements every
+// evidence.AnnounceInterval and reloads that take tens of seconds; the constants give their
+// reasons.
 type Timing struct {
-	// Paused and Dead are how long a backend server must be silent.
+	// Paused and Dead are how long a backend server must be silent to count as paused or dead.
 	Paused, Dead time.Duration
-	// Fault is how long a reported fault that may pass must last.
+	// Fault is how long a reported fault that may be temporary must last.
 	Fault time.Duration
 	// Start is how long a member may take to begin to load.
 	Start time.Duration
-	// Resend is when an order that shows no effect is sent again.
+	// Resend is the time after which an order without a visible effect is sent again.
 	Resend time.Duration
-	// Settle is the first wait of a VM that returned, SettleMost the longest; see
-	// steady.
+	// Settle is half the wait after the first return of a VM, SettleMost the longest wait; see
+	// isStable.
 	Settle, SettleMost time.Duration
-	// Stall is how long the head of a group that lost a member goes on as if
-	// nothing had happened, before it gives up by itself. Only groups that open
-	// have it.
+	// Stall is how long the head of a group that lost a member continues as before, until the
+	// head stops serving by itself. It applies only to groups that open.
 	Stall time.Duration
 }
 
-// DefaultStall is Timing.Stall where the settings do not say.
+// DefaultStall is the value of Timing.Stall if the settings do not give one.
 const DefaultStall = 4 * time.Second
 
 func (t Timing) withDefaults() Timing {
@@ -33,7 +32,7 @@
 		value time.Duration
 	}{
 		{&t.Paused, pausedAfter}, {&t.Dead, deadAfter}, {&t.Fault, faultPatience}, {&t.Start, startLimit},
-		{&t.Resend, resendAfter}, {&t.Settle, settleFirst}, {&t.SettleMost, settleMost}, {&t.Stall, DefaultStall},
+		{&t.Resend, resendAfter}, {&t.Settle, rejoinWait}, {&t.SettleMost, maxRejoinWait}, {&t.Stall, DefaultStall},
 	} {
 		if *d.field == 0 {
 			*d.field = d.value
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -94,7 +94,7 @@
 	countLoads(v, now)
 	packPools(v, now, &a)
 	recordAnnouncements(v, now, &a)
-	liveness(v, now, &a)
+	updateLiveness(v, now, &a)
 	breaking(v, now, &a)
 	straggling(v, now)
 	marking(v, now, &a)
