--- a/internal/controller/breaking.go
+++ b/internal/controller/breaking.go
@@ -94,7 +94,7 @@
 	if at, told := v.Stalled[StalledGroup{g.ID, g.Epoch}]; told && g.Opens && now.Sub(at) < stalledFor {
 		faults = append(faults, fault{"no entry gets answers", 0})
 	}
-	if g.State == blackboard.Loading && v.Memory.inState(g, now) > loadLimit {
+	if g.State == blackboard.Loading && v.Memory.timeInState(g, now) > loadLimit {
 		faults = append(faults, fault{"not loaded in time", 0})
 	}
 	for _, m := range g.Members {
@@ -153,7 +153,7 @@
 		}
 	case blackboard.Loading:
 		// Counted from the order: where many are due, its turn comes late.
-		if !inEpoch && v.Memory.askedToLoad(r.ID, groupEpoch{g.ID, g.Epoch}, now) > v.timing().Start {
+		if !inEpoch && v.Memory.sinceLoadOrder(r.ID, groupEpoch{g.ID, g.Epoch}, now) > v.timing().Start {
 			v.Memory.avoidAfterLoad(g, r.ID, now)
 			return "does not begin to load", 0
 		}
@@ -176,7 +176,7 @@
 // survivors.
 func (m *Memory) avoidAfterLoad(g blackboard.Group, vm string, now time.Time) {
 	if g.State == blackboard.Loading {
-		m.avoid[vm] = now.Add(avoidFor)
+		m.avoidUntil[vm] = now.Add(avoidFor)
 	}
 }
 
--- a/internal/controller/cooling.go
+++ b/internal/controller/cooling.go
@@ -22,7 +22,7 @@
 	takes := takers(v)
 	for _, incarnation := range sortedKeys(v.Board.ColdServers) {
 		t, known := takes[incarnation]
-		if !known || t.warm(v, now, since(v.Memory.marked, incarnation, now)) {
+		if !known || t.warm(v, now, firstSeen(v.Memory.markedSince, incarnation, now)) {
 			a.command(&blackboard.NoteCold{Incarnation: incarnation})
 			a.decide(Decision{Kind: "cold", Subject: incarnation, Choice: "warm", Reason: "says so since it was marked, or takes no requests"})
 		}
@@ -35,9 +35,9 @@
 		a.command(&blackboard.NoteCold{Incarnation: incarnation, Service: t.service})
 		a.decide(Decision{Kind: "cold", Subject: incarnation, Choice: "cold", Reason: "announces it for " + t.report.ColdUntil().Sub(now).String()})
 	}
-	for incarnation := range v.Memory.marked {
+	for incarnation := range v.Memory.markedSince {
 		if _, marked := v.Board.ColdServers[incarnation]; !marked {
-			delete(v.Memory.marked, incarnation)
+			delete(v.Memory.markedSince, incarnation)
 		}
 	}
 }
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -38,10 +38,10 @@
 		reason, due := drainReason(v, now, g, surplus[g.ID])
 		epoch := groupEpoch{g.ID, g.Epoch}
 		if reason == "" {
-			delete(v.Memory.drains, epoch)
+			delete(v.Memory.drainSince, epoch)
 			continue
 		}
-		if now.Sub(since(v.Memory.drains, epoch, now)) < due {
+		if now.Sub(firstSeen(v.Memory.drainSince, epoch, now)) < due {
 			continue
 		}
 		to := blackboard.Draining
@@ -61,7 +61,7 @@
 			return "member " + m.VM + " is leaving", 0
 		}
 	}
-	if v.Memory.replace[groupEpoch{g.ID, g.Epoch}] && shortage(v, g.Spec) <= 0 {
+	if v.Memory.beingReplaced[groupEpoch{g.ID, g.Epoch}] && shortage(v, g.Spec) <= 0 {
 		return "a member is a straggler, and the group is replaced", 0
 	}
 	if c.DrainedGroups[g.ID] {
@@ -108,7 +108,7 @@
 // towards the wanted replicas and a replacement may form beside it.
 func outgoing(v View, g blackboard.Group) bool {
 	c := &v.Board.Config
-	if c.DrainedGroups[g.ID] || v.Memory.replace[groupEpoch{g.ID, g.Epoch}] || v.Board.EvacuatesGroup(g) {
+	if c.DrainedGroups[g.ID] || v.Memory.beingReplaced[groupEpoch{g.ID, g.Epoch}] || v.Board.EvacuatesGroup(g) {
 		return true
 	}
 	if v.order != nil {
@@ -135,7 +135,7 @@
 		return 0
 	}
 	if declared.Pool != "" {
-		return v.Memory.wanted[spec]
+		return v.Memory.planned[spec]
 	}
 	return c.GroupReplicas(spec)
 }
@@ -182,17 +182,17 @@
 // reported none for drainQuiet, or no caller can still wait for any.
 func drained(v View, now time.Time, g blackboard.Group) bool {
 	epoch := groupEpoch{g.ID, g.Epoch}
-	draining := v.Memory.inState(g, now)
+	draining := v.Memory.timeInState(g, now)
 	if draining > workLimit(v) {
 		return true
 	}
 	for _, m := range g.Members {
 		if !withoutWork(v, g, m, now.Add(-draining)) {
-			delete(v.Memory.idle, epoch)
+			delete(v.Memory.idleSince, epoch)
 			return false
 		}
 	}
-	return now.Sub(since(v.Memory.idle, epoch, now)) >= drainQuiet
+	return now.Sub(firstSeen(v.Memory.idleSince, epoch, now)) >= drainQuiet
 }
 
 func workLimit(v View) time.Duration {
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -133,7 +133,7 @@
 		{"leaving", idle, func(_ *View, vm *blackboard.VM) { vm.Leaving = true }, false},
 		{"too few accelerators", idle, func(_ *View, vm *blackboard.VM) { vm.Accelerators = 2 }, false},
 		{"drained", idle, func(v *View, _ *blackboard.VM) { v.Board.Config.DrainedVMs["1"] = true }, false},
-		{"failed its load", idle, func(v *View, _ *blackboard.VM) { v.Memory.avoid["1"] = simStart.Add(time.Second) }, false},
+		{"failed its load", idle, func(v *View, _ *blackboard.VM) { v.Memory.avoidUntil["1"] = simStart.Add(time.Second) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v, now := heardView(blackboard.Released, c.say)
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -100,7 +100,7 @@
 	released := func(change func(*orderRecord)) *orderRecord {
 		o := &orderRecord{
 			kind: backend.OrderRelease, target: groupEpoch{"demo-0", 5}, incarnation: "a",
-			accepted: true, answeredAt: now.Add(-3 * time.Second), sequenceAfter: 20,
+			accepted: true, acceptedAt: now.Add(-3 * time.Second), firstSequence: 20,
 		}
 		if change != nil {
 			change(o)
@@ -120,9 +120,9 @@
 		{"accepted, still releasing", released(nil), "a", 21, backend.PhaseReleasing, false},
 		{"not answered", released(func(o *orderRecord) { o.accepted = false }), "a", 21, backend.PhaseIdle, false},
 		{"the announcement may have left before", released(nil), "a", 20, backend.PhaseIdle, false},
-		{"first announcement after", released(func(o *orderRecord) { o.sequenceAfter = 0 }), "a", 21, backend.PhaseIdle, false},
+		{"first announcement after", released(func(o *orderRecord) { o.firstSequence = 0 }), "a", 21, backend.PhaseIdle, false},
 		{"release of another epoch", released(func(o *orderRecord) { o.target.epoch = 4 }), "a", 21, backend.PhaseIdle, false},
-		{"a load order is on its way", released(func(o *orderRecord) { o.loadsEnd = now.Add(time.Second) }), "a", 21, backend.PhaseIdle, false},
+		{"a load order is on its way", released(func(o *orderRecord) { o.lastLoadDeadline = now.Add(time.Second) }), "a", 21, backend.PhaseIdle, false},
 		{"a new incarnation goes on announcing", nil, "b", 21, backend.PhaseIdle, true},
 		{"one announcement of a new incarnation", nil, "b", 1, backend.PhaseIdle, false},
 		{"a new incarnation obeyed a late order", nil, "b", 21, backend.PhaseLoading, false},
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -26,7 +26,7 @@
 			short -= formSome(v, now, a, spec, u, short)
 		}
 		if short <= 0 {
-			delete(v.Memory.missing, spec.Name)
+			delete(v.Memory.shortSince, spec.Name)
 			continue
 		}
 		if short <= replacing(v, spec.Name) || spec.Pool != "" {
@@ -34,7 +34,7 @@
 		}
 		if domain := holdBack(v, now, spec, u); domain != "" {
 			u.held[domain] = true
-			delete(v.Memory.missing, spec.Name)
+			delete(v.Memory.shortSince, spec.Name)
 			continue
 		}
 		takeOver(v, now, a, spec, u)
@@ -279,7 +279,7 @@
 	}
 	for _, g := range v.Board.Groups {
 		lost := g.State == blackboard.Broken || g.State == blackboard.Released
-		recent := v.Memory.inState(g, now) < expectedReturn
+		recent := v.Memory.timeInState(g, now) < expectedReturn
 		if lost && recent && g.Spec == spec.Name && g.FabricDomain == domain {
 			return 0
 		}
@@ -325,7 +325,7 @@
 		if g.Spec != spec.Name || g.State != blackboard.Broken {
 			continue
 		}
-		if v.Memory.inState(g, now) > survivorWait {
+		if v.Memory.timeInState(g, now) > survivorWait {
 			continue
 		}
 		if survivors(v, g) >= spec.VMsPerReplica-1 {
--- a/internal/controller/memory.go
+++ b/internal/controller/memory.go
@@ -8,53 +8,56 @@
 	"github.com/citronstep/citronstep/internal/placement/packing"
 )
 
-// Memory is what one leader remembers between runs and may lose: a new leader
-// starts with an empty one and reaches the same state, only later.
+// Memory is the state that one leader keeps between runs. Its loss is harmless: a new leader
+// starts with an empty Memory and reaches the same decisions later.
 type Memory struct {
-	// ordersFrom is when the lease of any earlier leader has surely ended.
+	// ordersFrom is the time from which this leader may send orders: the lease of any earlier
+	// leader has certainly ended.
 	ordersFrom time.Time
-	// coveredSince is since when a majority of the entries has been heard
-	// without a break; zero while it is not.
+	// coveredSince is the time since which announcements of a majority of the entries have
+	// arrived without a break; zero while they do not arrive.
 	coveredSince time.Time
-	// massSeen is when most VMs were last silent at once.
+	// massSilenceAt is when most VMs were last silent at the same time.
 	massSilenceAt time.Time
 	orders        map[string]*orderRecord
-	// window bounds the orders in flight.
+	// window limits the orders in flight.
 	window *orderWindow
-	// faults holds since when a group epoch has shown each of its faults.
+	// faults holds the time since which a group epoch has shown each of its faults.
 	faults map[groupEpoch]map[string]time.Time
-	// states holds since when this leader has seen a group epoch in its state.
-	// The blackboard's times are of other leaders' clocks.
+	// states holds the time since which this leader has observed a group epoch in its state. The
+	// blackboard's times come from other leaders' clocks.
 	states map[groupEpoch]stateTime
-	// drains holds since when a group epoch has been wanted out of service.
-	drains map[groupEpoch]time.Time
-	// idle holds since when a draining group has reported no work.
-	idle map[groupEpoch]time.Time
-	// slow holds since when a serving group has had a member out of order, and
-	// replace which of these groups are being replaced.
-	slow    map[groupEpoch]time.Time
-	replace map[groupEpoch]bool
-	// avoid holds until when a VM whose load failed is left out.
-	avoid map[string]time.Time
-	// missing holds since when a spec has had fewer groups than wanted.
-	missing map[string]time.Time
-	policy  policy
-	// stores holds what is known of the weight store of each pool.
+	// drainSince holds the time since which a group epoch has had a reason to be drained.
+	drainSince map[groupEpoch]time.Time
+	// idleSince holds the time since which a draining group has reported no work.
+	idleSince map[groupEpoch]time.Time
+	// unhealthySince holds the time since which a serving group has had a member that is not
+	// alive. beingReplaced marks the groups among these that are being replaced.
+	unhealthySince map[groupEpoch]time.Time
+	beingReplaced  map[groupEpoch]bool
+	// avoidUntil holds the time until which a VM whose load failed stays out of new groups.
+	avoidUntil map[string]time.Time
+	// shortSince holds the time since which a spec has had fewer groups than wanted.
+	shortSince map[string]time.Time
+	policy     policy
+	// stores holds the state of each pool's weight store.
 	stores map[string]*weightStore
-	// models holds what VMs of pools have in their accelerators.
+	// models holds which model each VM of a pool has in its accelerators.
 	models map[string]loadedModel
-	// layouts holds what each fabric domain of a pool is to form, and gathered how
-	// far the domains without a layout have come to be known.
+	// layouts holds the groups that each fabric domain of a pool is to form. gatherings tracks
+	// how many VMs of the domains without a layout are known.
 	layouts map[string]packing.Layout
-	// wanted is how many groups of each model the layouts come to.
-	wanted   map[string]int
-	gathered map[string]gathering
-	// histories holds what was seen of the VMs of each pool.
+	// planned is the number of groups of each model over all layouts.
+	planned    map[string]int
+	gatherings map[string]gathering
+	// histories holds the observed failures and returns of the VMs of each pool.
 	histories map[string]*history
-	// left holds the layouts of domains whose data centre is evacuated, for their return.
-	left map[string]packing.Layout
-	// marked holds since when this leader has seen the mark of each cold backend server.
-	marked map[string]time.Time
+	// evacuatedLayouts holds the layouts of domains whose data centre is evacuated, for their
+	// return.
+	evacuatedLayouts map[string]packing.Layout
+	// markedSince holds the time since which this leader has observed the mark of each cold
+	// backend server.
+	markedSince map[string]time.Time
 }
 
 type groupEpoch struct {
@@ -62,52 +65,53 @@
 	epoch uint64
 }
 
-// orderRecord is what this leader knows of its orders to one VM.
+// orderRecord is what this leader knows about its orders to one VM.
 type orderRecord struct {
 	kind        backend.OrderKind
 	target      groupEpoch
 	incarnation string
-	// firstSentAt is when the order was given, sentAt when it was last sent.
+	// firstSentAt is when the order was first sent, sentAt when it was last sent.
 	firstSentAt, sentAt time.Time
-	// fetches says that it makes the VM load from the weight store.
+	// fetches is true if the order makes the VM load from the weight store.
 	fetches bool
-	// loadsEnd is the latest deadline of any load order sent to the VM.
-	loadsEnd time.Time
-	accepted bool
-	// answeredAt is when the engine's acceptance arrived.
-	answeredAt time.Time
-	// sequenceAfter is the first announcement heard after the acceptance; it
-	// may have been under way before, so only later ones confirm anything.
-	sequenceAfter uint64
+	// lastLoadDeadline is the latest deadline of any load order sent to the VM.
+	lastLoadDeadline time.Time
+	accepted         bool
+	// acceptedAt is when the engine's acceptance arrived.
+	acceptedAt time.Time
+	// firstSequence is the sequence number of the first announcement received after the
+	// acceptance. That announcement may have been sent before the acceptance, so only later ones
+	// confirm anything.
+	firstSequence uint64
 }
 
-// NewMemory returns the memory of a leader that takes office now. oldLease is
-// the longest lease that an earlier leader may still hold.
+// NewMemory returns the memory of a leader whose term begins now. oldLease is the longest lease
+// that an earlier leader may still hold.
 func NewMemory(now time.Time, oldLease time.Duration) *Memory {
 	return &Memory{
-		ordersFrom: now.Add(oldLease + driftMargin),
-		orders:     make(map[string]*orderRecord),
-		window:     newOrderWindow(),
-		faults:     make(map[groupEpoch]map[string]time.Time),
-		states:     make(map[groupEpoch]stateTime),
-		drains:     make(map[groupEpoch]time.Time),
-		idle:       make(map[groupEpoch]time.Time),
-		slow:       make(map[groupEpoch]time.Time),
-		replace:    make(map[groupEpoch]bool),
-		avoid:      make(map[string]time.Time),
-		missing:    make(map[string]time.Time),
-		models:     make(map[string]loadedModel),
-		stores:     make(map[string]*weightStore),
-		gathered:   make(map[string]gathering),
-		histories:  make(map[string]*history),
-		left:       make(map[string]packing.Layout),
-		marked:     make(map[string]time.Time),
-		policy:     defaultPolicy,
+		ordersFrom:       now.Add(oldLease + driftMargin),
+		orders:           make(map[string]*orderRecord),
+		window:           newOrderWindow(),
+		faults:           make(map[groupEpoch]map[string]time.Time),
+		states:           make(map[groupEpoch]stateTime),
+		drainSince:       make(map[groupEpoch]time.Time),
+		idleSince:        make(map[groupEpoch]time.Time),
+		unhealthySince:   make(map[groupEpoch]time.Time),
+		beingReplaced:    make(map[groupEpoch]bool),
+		avoidUntil:       make(map[string]time.Time),
+		shortSince:       make(map[string]time.Time),
+		models:           make(map[string]loadedModel),
+		stores:           make(map[string]*weightStore),
+		gatherings:       make(map[string]gathering),
+		histories:        make(map[string]*history),
+		evacuatedLayouts: make(map[string]packing.Layout),
+		markedSince:      make(map[string]time.Time),
+		policy:           defaultPolicy,
 	}
 }
 
-// Answered records the outcome of a planned order. An error says nothing about
-// whether the engine obeyed.
+// Answered records the outcome of a planned order. An error does not show whether the engine
+// carried out the order.
 func (m *Memory) Answered(now time.Time, o PlannedOrder, reply backend.OrderReply, err error) {
 	m.window.answered(o.VM)
 	r, ok := m.orders[o.VM]
@@ -119,12 +123,12 @@
 		return
 	}
 	r.accepted = true
-	r.answeredAt = now
+	r.acceptedAt = now
 }
 
-// askedToLoad returns for how long a VM has been asked to load an epoch; 0 if this
-// leader has not asked it.
-func (m *Memory) askedToLoad(vm string, epoch groupEpoch, now time.Time) time.Duration {
+// sinceLoadOrder returns the time since this leader first ordered a VM to load an epoch; 0 if it
+// has not ordered that.
+func (m *Memory) sinceLoadOrder(vm string, epoch groupEpoch, now time.Time) time.Duration {
 	o := m.orders[vm]
 	if o == nil || o.kind != backend.OrderLoad || o.target != epoch {
 		return 0
@@ -132,15 +136,15 @@
 	return now.Sub(o.firstSentAt)
 }
 
-// watch notes the state of each group, so that times count from this run on.
-func (m *Memory) watch(v View, now time.Time) {
+// recordStates records the state of each group, so that times count from this run on.
+func (m *Memory) recordStates(v View, now time.Time) {
 	for _, g := range v.Board.Groups {
-		m.inState(g, now)
+		m.timeInState(g, now)
 	}
 }
 
-// cover follows since when silence of backend servers says anything.
-func (m *Memory) cover(v View, now time.Time) {
+// updateCoverage tracks since when the silence of backend servers is meaningful.
+func (m *Memory) updateCoverage(v View, now time.Time) {
 	if !v.Evidence.Covered(now, v.Board) {
 		m.coveredSince = time.Time{}
 		return
@@ -155,8 +159,8 @@
 	at    time.Time
 }
 
-// inState returns for how long this leader has seen a group in its state.
-func (m *Memory) inState(g blackboard.Group, now time.Time) time.Duration {
+// timeInState returns how long this leader has observed a group in its state.
+func (m *Memory) timeInState(g blackboard.Group, now time.Time) time.Duration {
 	k := groupEpoch{g.ID, g.Epoch}
 	s, ok := m.states[k]
 	if !ok || s.state != g.State {
@@ -166,9 +170,9 @@
 	return now.Sub(s.at)
 }
 
-// since returns since when key has been noted in times, noting it now when it
-// was not.
-func since[K comparable](times map[K]time.Time, key K, now time.Time) time.Time {
+// firstSeen returns the time recorded for key in times. If there is none, it records now and
+// returns it.
+func firstSeen[K comparable](times map[K]time.Time, key K, now time.Time) time.Time {
 	at, ok := times[key]
 	if !ok {
 		times[key] = now
@@ -177,14 +181,14 @@
 	return at
 }
 
-// tidy forgets what concerns groups and VMs that are gone.
-func (m *Memory) tidy(v View) {
-	forgetGone(v, m.faults)
-	forgetGone(v, m.states)
-	forgetGone(v, m.drains)
-	forgetGone(v, m.idle)
-	forgetGone(v, m.slow)
-	forgetGone(v, m.replace)
+// removeObsolete removes the state of groups and VMs that no longer exist.
+func (m *Memory) removeObsolete(v View) {
+	removeObsoleteEpochs(v, m.faults)
+	removeObsoleteEpochs(v, m.states)
+	removeObsoleteEpochs(v, m.drainSince)
+	removeObsoleteEpochs(v, m.idleSince)
+	removeObsoleteEpochs(v, m.unhealthySince)
+	removeObsoleteEpochs(v, m.beingReplaced)
 	for vm := range m.orders {
 		if _, ok := v.Board.VMs[vm]; !ok {
 			delete(m.orders, vm)
@@ -192,7 +196,7 @@
 	}
 }
 
-func forgetGone[V any](v View, times map[groupEpoch]V) {
+func removeObsoleteEpochs[V any](v View, times map[groupEpoch]V) {
 	for k := range times {
 		if g, ok := v.Board.Groups[k.group]; !ok || g.Epoch != k.epoch {
 			delete(times, k)
--- a/internal/controller/opening.go
+++ b/internal/controller/opening.go
@@ -100,7 +100,7 @@
 // finishOpened lets the head of a draining group finish its requests, and tells
 // whether it has.
 func finishOpened(v View, now time.Time, a *Actions, g blackboard.Group) bool {
-	draining := v.Memory.inState(g, now)
+	draining := v.Memory.timeInState(g, now)
 	if draining < closeAfter {
 		return false
 	}
@@ -182,7 +182,7 @@
 		if !released(v, g, m) {
 			continue
 		}
-		if now.Sub(v.Memory.orders[m.VM].answeredAt) > v.timing().Stall+stallMargin {
+		if now.Sub(v.Memory.orders[m.VM].acceptedAt) > v.timing().Stall+stallMargin {
 			return true
 		}
 	}
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -70,7 +70,7 @@
 		return false
 	}
 	if !same {
-		*r = orderRecord{kind: o.Kind, target: target, incarnation: incarnation, firstSentAt: now, loadsEnd: r.loadsEnd}
+		*r = orderRecord{kind: o.Kind, target: target, incarnation: incarnation, firstSentAt: now, lastLoadDeadline: r.lastLoadDeadline}
 	}
 	r.sentAt, r.fetches = now, loads
 	v.Memory.window.sent(vm.ID, now)
@@ -78,7 +78,7 @@
 		store.add(now, vm.ID)
 	}
 	if o.Kind == backend.OrderLoad {
-		r.loadsEnd = deadline
+		r.lastLoadDeadline = deadline
 	}
 	o.Incarnation = incarnation
 	a.Orders = append(a.Orders, PlannedOrder{VM: vm.ID, Address: vm.Address, Order: o, Deadline: deadline})
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -38,10 +38,10 @@
 		packPool(v, now, pool, domains, outlook, was)
 		tellLayouts(v, a, domains, outlook, was)
 	}
-	v.Memory.wanted = make(map[string]int)
+	v.Memory.planned = make(map[string]int)
 	for _, layout := range v.Memory.layouts {
 		for model, n := range layout.Groups {
-			v.Memory.wanted[model] += n
+			v.Memory.planned[model] += n
 		}
 	}
 }
@@ -49,7 +49,7 @@
 // layoutsOfBefore returns the layouts of the last run, and those that domains had before
 // their data centre was evacuated. The latter are kept for the return.
 func (m *Memory) layoutsOfBefore(v View) map[string]packing.Layout {
-	if len(v.Board.Evacuations) == 0 && len(m.left) == 0 {
+	if len(v.Board.Evacuations) == 0 && len(m.evacuatedLayouts) == 0 {
 		return m.layouts
 	}
 	evacuated := make(map[string]bool)
@@ -62,15 +62,15 @@
 	if was == nil {
 		was = make(map[string]packing.Layout)
 	}
-	for domain, layout := range m.left {
+	for domain, layout := range m.evacuatedLayouts {
 		if _, laidOut := was[domain]; !laidOut {
 			was[domain] = layout
 		}
 	}
-	clear(m.left)
+	clear(m.evacuatedLayouts)
 	for domain := range evacuated {
 		if layout, laidOut := was[domain]; laidOut {
-			m.left[domain] = layout
+			m.evacuatedLayouts[domain] = layout
 		}
 	}
 	return was
@@ -240,14 +240,14 @@
 // gathers tells whether a domain or a pool without layouts is still coming to be
 // known.
 func (v View) gathers(name string, vms int, now time.Time) bool {
-	g, known := v.Memory.gathered[name]
+	g, known := v.Memory.gatherings[name]
 	if !known {
 		g = gathering{vms, now, now}
 	}
 	if g.vms != vms {
 		g.vms, g.since = vms, now
 	}
-	v.Memory.gathered[name] = g
+	v.Memory.gatherings[name] = g
 	each := v.Evidence.Interval()
 	return now.Sub(g.since) < g.quiet(each) && now.Sub(g.first) < gatherMost*each
 }
--- a/internal/controller/releasing.go
+++ b/internal/controller/releasing.go
@@ -91,7 +91,7 @@
 		return false
 	}
 	o := v.Memory.orders[m.VM]
-	if o != nil && !now.After(o.loadsEnd) {
+	if o != nil && !now.After(o.lastLoadDeadline) {
 		return false
 	}
 	if r.Incarnation != m.Incarnation {
@@ -100,14 +100,14 @@
 	if o == nil || o.kind != backend.OrderRelease || o.target != (groupEpoch{g.ID, g.Epoch}) {
 		return false
 	}
-	if !o.accepted || o.incarnation != r.Incarnation || !r.HeardAt.After(o.answeredAt) {
+	if !o.accepted || o.incarnation != r.Incarnation || !r.HeardAt.After(o.acceptedAt) {
 		return false
 	}
-	if o.sequenceAfter == 0 {
-		o.sequenceAfter = r.Sequence
+	if o.firstSequence == 0 {
+		o.firstSequence = r.Sequence
 		return false
 	}
-	return r.Sequence > o.sequenceAfter
+	return r.Sequence > o.firstSequence
 }
 
 // correcting tells engines to leave an epoch that the blackboard does not give
--- a/internal/controller/straggling.go
+++ b/internal/controller/straggling.go
@@ -21,23 +21,23 @@
 func straggling(v View, now time.Time) {
 	busy := make(map[string]bool)
 	for _, g := range v.Board.Groups {
-		if v.Memory.replace[groupEpoch{g.ID, g.Epoch}] {
+		if v.Memory.beingReplaced[groupEpoch{g.ID, g.Epoch}] {
 			busy[g.Spec] = true
 		}
 	}
 	for _, g := range groupsByWorth(v) {
 		k := groupEpoch{g.ID, g.Epoch}
 		if g.State != blackboard.Serving || !outOfOrder(v, g) {
-			delete(v.Memory.slow, k)
-			delete(v.Memory.replace, k)
+			delete(v.Memory.unhealthySince, k)
+			delete(v.Memory.beingReplaced, k)
 			continue
 		}
-		if now.Sub(since(v.Memory.slow, k, now)) < stragglerPatience || busy[g.Spec] {
+		if now.Sub(firstSeen(v.Memory.unhealthySince, k, now)) < stragglerPatience || busy[g.Spec] {
 			continue
 		}
 		spec, ok := v.Board.Config.Groups[g.Spec]
 		if ok && len(candidates(v, now, spec, newUse(v))) > 0 {
-			v.Memory.replace[k] = true
+			v.Memory.beingReplaced[k] = true
 			busy[g.Spec] = true
 		}
 	}
@@ -57,7 +57,7 @@
 func replacing(v View, spec string) int {
 	n := 0
 	for _, g := range v.Board.Groups {
-		if g.Spec == spec && v.Memory.replace[groupEpoch{g.ID, g.Epoch}] {
+		if g.Spec == spec && v.Memory.beingReplaced[groupEpoch{g.ID, g.Epoch}] {
 			n++
 		}
 	}
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -56,7 +56,7 @@
 	if spec.FabricDomain != "" && vm.FabricDomain != spec.FabricDomain {
 		return false
 	}
-	if now.Before(v.Memory.avoid[vm.ID]) || !isStable(v, vm, now) {
+	if now.Before(v.Memory.avoidUntil[vm.ID]) || !isStable(v, vm, now) {
 		return false
 	}
 	r, hasReport := v.Evidence.Get(vm.ID)
@@ -101,7 +101,7 @@
 	if !v.Memory.policy.takeOver {
 		return
 	}
-	short := now.Sub(since(v.Memory.missing, spec.Name, now))
+	short := now.Sub(firstSeen(v.Memory.shortSince, spec.Name, now))
 	best, ok := bestPlan(v, now, spec, u)
 	if !ok {
 		return
@@ -122,7 +122,7 @@
 			Reason: fmt.Sprintf("%s, expected gain %.0f weighted seconds", reason, best.gain),
 		})
 	}
-	delete(v.Memory.missing, spec.Name)
+	delete(v.Memory.shortSince, spec.Name)
 }
 
 // bestPlan returns the plan with the greatest gain above zero.
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -88,8 +88,8 @@
 	var a Actions
 	v = v.sorted()
 	v.Memory.window.adapt()
-	v.Memory.cover(v, now)
-	v.Memory.watch(v, now)
+	v.Memory.updateCoverage(v, now)
+	v.Memory.recordStates(v, now)
 	v.Memory.noteModels(v)
 	countLoads(v, now)
 	packPools(v, now, &a)
@@ -104,6 +104,6 @@
 	loading(v, now, &a)
 	forming(v, now, &a)
 	staging(v, now, &a)
-	v.Memory.tidy(v)
+	v.Memory.removeObsolete(v)
 	return a
 }
--- a/internal/controller/weight_store.go
+++ b/internal/controller/weight_store.go
@@ -82,7 +82,7 @@
 // after their arrival.
 func mayBeginLate(v View, now time.Time, l load) bool {
 	o := v.Memory.orders[l.vm]
-	return o != nil && (!o.accepted || now.Sub(o.answeredAt) < callersReportDelay)
+	return o != nil && (!o.accepted || now.Sub(o.acceptedAt) < callersReportDelay)
 }
 
 // needsFetch reports whether a VM has to fetch a model from the store because neither its
