--- a/internal/controller/stalls.go
+++ b/internal/controller/stalls.go
@@ -3,50 +3,49 @@
 import "time"
 
 const (
-	// stallWitnesses is how many entries, of more than one data centre, must find
-	// a group silent at the same time for it to be broken.
+	// stallReporters is how many entries, from more than one data centre, must find a group
+	// silent at the same time for the group to be broken.
 	//
-	// Load: the links of one data centre lose a packet in twenty-five; each stream
-	// that crosses them stands still for a moment now and then, and each entry there
-	// has one or two streams of a group. Harm of acting on one
-	// entry's report, or on several of that data centre: groups in order are broken
-	// one after the other, and their streams with them. Reason for the limits:
-	// streams that lose packets do so each at a time of its own and on one way; those
-	// of a group that stands still all stop in one pass, wherever they come from.
-	stallWitnesses = 3
-	// sameLinkWitnesses suffice if they are all of one data centre, as when all
-	// callers are there: more than are wrong together.
-	sameLinkWitnesses = 6
-	// stallTogether is how far apart reports of one stall may arrive: entries look
-	// every 20 ms, and a report crosses a region in some milliseconds.
-	stallTogether = 100 * time.Millisecond
-	// longStall is the silence from which two entries within it suffice, and
-	// lastingStall that from which one does: a group that few use must be found
-	// too, and a packet is seldom lost three times in a row.
-	longStall    = time.Second
-	lastingStall = 2 * time.Second
-	// stallMemory is how long an entry's report is kept.
-	stallMemory = 5 * time.Second
+	// Load: the links of one data centre lose one packet in twenty-five. Each stream over these
+	// links stalls for a moment now and then, and each entry there has one or two streams of a
+	// group. Harm of acting on the report of one entry, or of several entries in that data
+	// centre: healthy groups are broken one after the other, together with their streams. Reason
+	// for the limits: streams that lose packets stall independently of each other and on one
+	// path. The streams of a stalled group all stop within one pass, whatever their origin.
+	stallReporters = 3
+	// singleDataCentreReporters is how many entries suffice if all are in one data centre, as
+	// when all callers are there. It is more than report wrongly at the same time.
+	singleDataCentreReporters = 6
+	// stallReportWindow is how far apart the reports of one stall may arrive: entries check every
+	// 20 ms, and a report crosses a region in some milliseconds.
+	stallReportWindow = 100 * time.Millisecond
+	// twoReporterStall is the silence from which two reports within that time suffice, and
+	// oneReporterStall the silence from which one report suffices. A group with few callers must
+	// be found too, and a packet is seldom lost three times in a row.
+	twoReporterStall = time.Second
+	oneReporterStall = 2 * time.Second
+	// stallReportTTL is how long an entry's report is kept.
+	stallReportTTL = 5 * time.Second
 )
 
-// Stalls gathers what entries say of groups that make no progress, and decides
-// when they confirm each other. It is not safe for concurrent use.
+// Stalls collects the reports of entries about groups that make no progress, and decides when the
+// reports confirm each other. It is not safe for concurrent use.
 type Stalls struct {
 	reports map[StalledGroup]map[string]stallReport
 }
 
-// stallReport is what one entry last said of a group.
+// stallReport is the last report of one entry about a group.
 type stallReport struct {
 	at         time.Time
 	silent     time.Duration
 	dataCentre string
 }
 
-// NewStalls returns Stalls that have heard nothing.
+// NewStalls returns an empty Stalls.
 func NewStalls() *Stalls { return &Stalls{reports: make(map[StalledGroup]map[string]stallReport)} }
 
-// Note takes the report of an entry in a data centre that all its streams on a
-// group have been silent for so long.
+// Note records the report of an entry in a data centre that all its streams on a group have been
+// silent for the given time.
 func (s *Stalls) Note(now time.Time, entry, dataCentre string, g StalledGroup, silent time.Duration) {
 	if s.reports[g] == nil {
 		s.reports[g] = make(map[string]stallReport)
@@ -54,16 +53,16 @@
 	s.reports[g][entry] = stallReport{now, silent, dataCentre}
 }
 
-// Stalled returns the groups whose stall is confirmed, each with the time now.
-// entries counts those that take callers' requests, by data centre.
+// Stalled returns the groups whose stall is confirmed, each with the time now. entries counts the
+// entries that take callers' requests, by data centre.
 func (s *Stalls) Stalled(now time.Time, entries map[string]int) map[StalledGroup]time.Time {
 	out := make(map[StalledGroup]time.Time)
 	for g, reports := range s.reports {
-		if confirmed(now, reports, entries) {
+		if isConfirmed(now, reports, entries) {
 			out[g] = now
 		}
 		for entry, report := range reports {
-			if now.Sub(report.at) > stallMemory {
+			if now.Sub(report.at) > stallReportTTL {
 				delete(reports, entry)
 			}
 		}
@@ -74,34 +73,35 @@
 	return out
 }
 
-// confirmed tells whether the reports on one group bear each other out.
-func confirmed(now time.Time, reports map[string]stallReport, entries map[string]int) bool {
+// isConfirmed reports whether the reports on one group confirm each other.
+func isConfirmed(now time.Time, reports map[string]stallReport, entries map[string]int) bool {
 	together := make(map[string]int)
 	long := 0
 	for _, report := range reports {
 		age := now.Sub(report.at)
-		if age <= stallTogether {
+		if age <= stallReportWindow {
 			together[report.dataCentre]++
 		}
-		if report.silent >= longStall && age <= longStall {
+		if report.silent >= twoReporterStall && age <= twoReporterStall {
 			long++
 		}
-		if report.silent >= lastingStall && age <= stallTogether {
+		if report.silent >= oneReporterStall && age <= stallReportWindow {
 			return true
 		}
 	}
 	all := total(entries)
-	return agree(together, len(entries), all) || long >= min(2, max(1, all))
+	return isStall(together, len(entries), all) || long >= min(2, max(1, all))
 }
 
-// agree tells whether reports that came together, counted by data centre, show a
-// stall and not a bad link. dataCentres and all count the entries that there are.
-func agree(together map[string]int, dataCentres, all int) bool {
+// isStall reports whether reports that arrived together, counted by data centre, show a stall
+// rather than a bad link. dataCentres is the number of data centres and all the number of
+// entries.
+func isStall(together map[string]int, dataCentres, all int) bool {
 	reports := total(together)
 	if len(together) >= min(2, max(1, dataCentres)) {
-		return reports >= min(stallWitnesses, max(1, all))
+		return reports >= min(stallReporters, max(1, all))
 	}
-	return reports >= sameLinkWitnesses
+	return reports >= singleDataCentreReporters
 }
 
 func total(counts map[string]int) int {
--- a/internal/controller/stalls_test.go
+++ b/internal/controller/stalls_test.go
@@ -12,10 +12,10 @@
 // threeDataCentres counts 80 entries by data centre.
 var threeDataCentres = map[string]int{"dc-0": 27, "dc-1": 27, "dc-2": 26}
 
-// The links of one data centre lose packets for five seconds. Each of its entries
-// has a stream or two on each of 33 groups and finds one of them silent now and
-// then, some fifty times a second in all. The groups work; broken one after the
-// other, they would take all their streams with them.
+// Guards against healthy groups that are broken, with all their streams, for one bad link. The
+// links of one data centre lose packets for five seconds. Each of its entries has a stream or two
+// on each of 33 groups and now and then finds one of them silent, some fifty times a second in
+// total.
 func TestABadLinkOfOneDataCentreBreaksNoGroup(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 1))
 	s := NewStalls()
@@ -29,11 +29,11 @@
 	}
 }
 
-// All callers are in one data centre, and a member of a group dies. No entry of
-// another data centre can say so; the many of this one must do.
-func TestManyOfOneDataCentreConfirmAStall(t *testing.T) {
+// All callers are in one data centre, and a member of a group dies. No entry of another data
+// centre can report it; many entries of this one must suffice.
+func TestManyReportersOfOneDataCentreConfirmAStall(t *testing.T) {
 	s, g := NewStalls(), StalledGroup{"g", 1}
-	for i := range sameLinkWitnesses {
+	for i := range singleDataCentreReporters {
 		_, early := s.Stalled(simStart, threeDataCentres)[g]
 		assert.Assert(t, !early, "after %d", i)
 		s.Note(simStart, fmt.Sprint("entry-", i), "dc-2", g, 240*time.Millisecond)
@@ -42,9 +42,9 @@
 	assert.Assert(t, stalled)
 }
 
-// A link loses packets for five seconds. Of 80 entries, each with a stream on
-// the group, some find it silent at any moment, each for a fifth of a second.
-// The group works and must not be broken.
+// Guards against a healthy group that is broken for lost packets. A link loses packets for five
+// seconds. Of 80 entries, each with a stream on the group, some find it silent at any moment,
+// each for a fifth of a second.
 func TestLostPacketsAreNoStall(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	s, g := NewStalls(), StalledGroup{"g", 1}
@@ -59,9 +59,9 @@
 	}
 }
 
-// A member dies. All entries with streams on the group find it silent within
-// one pass, and it is confirmed at the third of them.
-func TestAStallIsConfirmedWhenEntriesSeeItTogether(t *testing.T) {
+// A member dies. All entries with streams on the group find it silent within one pass, and the
+// third report confirms the stall.
+func TestAStallIsConfirmedWhenEntriesReportItTogether(t *testing.T) {
 	s, g := NewStalls(), StalledGroup{"g", 1}
 	for i, want := range []bool{false, false, true} {
 		now := simStart.Add(time.Duration(i) * 40 * time.Millisecond)
@@ -73,9 +73,9 @@
 	assert.Assert(t, !other, "another epoch is another group")
 }
 
-// A group that only one entry uses loses a member. Nobody else can say so; it
-// is confirmed once it has lasted.
-func TestAStallThatOneEntrySeesIsConfirmedWhenItLasts(t *testing.T) {
+// A group that only one entry uses loses a member. No other entry can report it, so the stall
+// must be confirmed once it has lasted.
+func TestAStallThatOneEntryReportsIsConfirmedWhenItLasts(t *testing.T) {
 	s, g := NewStalls(), StalledGroup{"g", 1}
 	for _, c := range []struct {
 		silent time.Duration
@@ -88,12 +88,12 @@
 	}
 	s.Note(simStart, "only", "dc-0", g, 240*time.Millisecond)
 	_, stalled := s.Stalled(simStart, map[string]int{"dc-0": 1})[g]
-	assert.Assert(t, stalled, "with one entry in all, its word is all there is")
+	assert.Assert(t, stalled, "the report of the only entry suffices")
 }
 
-func TestReportsAreForgotten(t *testing.T) {
+func TestOldStallReportsAreRemoved(t *testing.T) {
 	s := NewStalls()
 	s.Note(simStart, "entry", "dc-0", StalledGroup{"g", 1}, time.Second)
-	s.Stalled(simStart.Add(2*stallMemory), threeDataCentres)
+	s.Stalled(simStart.Add(2*stallReportTTL), threeDataCentres)
 	assert.Equal(t, len(s.reports), 0)
 }
