--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -98,7 +98,7 @@
 	switch {
 	case g.State != blackboard.Serving || shortage(v, g.Spec) <= 0:
 		return 0
-	case missing(v, g.Spec) > 0:
+	case missingGroups(v, g.Spec) > 0:
 		return noSpareWait
 	}
 	return replaceLimit
@@ -128,7 +128,7 @@
 }
 
 // wanted returns how many replicas of a spec should run.
-func wanted(v View, spec string) int {
+func wantedGroups(v View, spec string) int {
 	c := &v.Board.Config
 	declared, ok := c.Groups[spec]
 	if !ok || c.DrainedGroups[spec] {
@@ -149,7 +149,7 @@
 			serving++
 		}
 	}
-	return wanted(v, spec) - serving
+	return wantedGroups(v, spec) - serving
 }
 
 // surplusGroups returns the groups beyond the wanted replicas: not yet serving
@@ -165,12 +165,12 @@
 				continue
 			}
 			counts[g.Spec]++
-			if g.Opens && wanted(v, g.Spec) > 0 {
+			if g.Opens && wantedGroups(v, g.Spec) > 0 {
 				// What a pool has formed beyond its share serves on: a pool that
 				// shrinks is no reason to break up what works.
 				continue
 			}
-			if counts[g.Spec] > wanted(v, g.Spec) {
+			if counts[g.Spec] > wantedGroups(v, g.Spec) {
 				surplus[id] = true
 			}
 		}
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -117,7 +117,7 @@
 }
 
 // A new group breaks at once, as a VM was put into it that could not take part.
-func TestOnlyAVMInGoodOrderIsUsable(t *testing.T) {
+func TestOnlyAHealthyVMIsUsable(t *testing.T) {
 	idle := func(a *backend.Announcement) { a.Group, a.Epoch, a.Phase = "", 0, backend.PhaseIdle }
 	for _, c := range []struct {
 		name   string
@@ -142,7 +142,7 @@
 			if c.change != nil {
 				c.change(&v, &vm)
 			}
-			assert.Equal(t, usable(v, now, vm, blackboard.GroupSpec{Accelerators: 4}), c.want)
+			assert.Equal(t, isUsable(v, now, vm, blackboard.GroupSpec{Accelerators: 4}), c.want)
 		})
 	}
 }
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -10,20 +10,20 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// survivorWait is how long a spec that lost a group waits for the survivors to
-// confirm their release. That takes about two announcements, and survivors
-// hold the weights; loading from the store takes far longer than this.
+// survivorWait is how long a spec that lost a group waits for the surviving members to confirm
+// their release. The confirmation takes about two announcements, and survivors hold the weights;
+// loading from the store takes far longer.
 const survivorWait = 5 * time.Second
 
-// forming makes groups out of free VMs until each spec has what it wants, in
-// order of worth. A spec that stays short keeps specs worth less out of the
-// domain in which it waits, or takes over one of their groups.
-func forming(v View, now time.Time, a *Actions) {
-	u := newUse(v)
+// formGroups forms groups out of free VMs until each spec has its wanted number, in order of
+// worth. A spec that stays short keeps specs worth less out of the domain in which it waits, or
+// takes over one of their groups.
+func formGroups(v View, now time.Time, a *Actions) {
+	u := newAllocation(v)
 	for _, spec := range specsByWorth(v) {
-		short := missing(v, spec.Name)
+		short := missingGroups(v, spec.Name)
 		if short > 0 {
-			short -= formSome(v, now, a, spec, u, short)
+			short -= formUpTo(v, now, a, spec, u, short)
 		}
 		if short <= 0 {
 			delete(v.Memory.shortSince, spec.Name)
@@ -33,7 +33,7 @@
 			continue
 		}
 		if domain := holdBack(v, now, spec, u); domain != "" {
-			u.held[domain] = true
+			u.reserved[domain] = true
 			delete(v.Memory.shortSince, spec.Name)
 			continue
 		}
@@ -41,47 +41,47 @@
 	}
 }
 
-// use is what one run of forming has given away already.
-type use struct {
+// allocation is what one run of formGroups has already assigned.
+type allocation struct {
 	vms map[string]bool
 	ids map[string]bool
-	// held are domains that a spec worth more waits in.
-	held map[string]bool
+	// reserved marks the domains in which a spec worth more waits.
+	reserved map[string]bool
 	// formed counts the groups of this run.
 	formed map[domainModel]int
-	// usable holds the usable VMs of each spec, by domain, as the run found them.
+	// usable holds the usable VMs of each spec at the start of the run, by domain.
 	usable map[string]map[string][]blackboard.VM
-	// standing and present count the groups on the board that are to stay, and those that
-	// have not ceased, by domain and spec.
-	standing, present map[domainModel]int
+	// kept counts the groups on the board that are to stay, and existing those that are neither
+	// broken nor released, by domain and spec.
+	kept, existing map[domainModel]int
 }
 
-func newUse(v View) *use {
-	u := &use{
-		vms: make(map[string]bool), ids: make(map[string]bool), held: make(map[string]bool),
+func newAllocation(v View) *allocation {
+	u := &allocation{
+		vms: make(map[string]bool), ids: make(map[string]bool), reserved: make(map[string]bool),
 		formed: make(map[domainModel]int), usable: make(map[string]map[string][]blackboard.VM),
-		standing: make(map[domainModel]int), present: make(map[domainModel]int),
+		kept: make(map[domainModel]int), existing: make(map[domainModel]int),
 	}
 	for _, g := range v.Board.Groups {
 		at := domainModel{g.FabricDomain, g.Spec}
-		if stands(v, g) {
-			u.standing[at]++
+		if isKept(v, g) {
+			u.kept[at]++
 		}
 		if g.State != blackboard.Released && g.State != blackboard.Broken {
-			u.present[at]++
+			u.existing[at]++
 		}
 	}
 	return u
 }
 
-// usableVMs returns the VMs that a spec could use when the run began, by domain.
-func (u *use) usableVMs(v View, now time.Time, spec blackboard.GroupSpec) map[string][]blackboard.VM {
+// usableVMs returns the VMs that a spec could use at the start of the run, by domain.
+func (u *allocation) usableVMs(v View, now time.Time, spec blackboard.GroupSpec) map[string][]blackboard.VM {
 	if domains, known := u.usable[spec.Name]; known {
 		return domains
 	}
 	domains := make(map[string][]blackboard.VM)
 	for _, id := range v.vmIDs() {
-		if vm := v.Board.VMs[id]; usable(v, now, vm, spec) && !v.Board.Evacuated(vm.DataCentre) {
+		if vm := v.Board.VMs[id]; isUsable(v, now, vm, spec) && !v.Board.Evacuated(vm.DataCentre) {
 			domains[vm.FabricDomain] = append(domains[vm.FabricDomain], vm)
 		}
 	}
@@ -89,15 +89,15 @@
 	return domains
 }
 
-// left returns those of the VMs that this run has not given away.
-func (u *use) left(vms []blackboard.VM) []blackboard.VM {
-	var left []blackboard.VM
+// unassigned returns the VMs that this run has not assigned.
+func (u *allocation) unassigned(vms []blackboard.VM) []blackboard.VM {
+	var rest []blackboard.VM
 	for _, vm := range vms {
 		if !u.vms[vm.ID] {
-			left = append(left, vm)
+			rest = append(rest, vm)
 		}
 	}
-	return left
+	return rest
 }
 
 func specsByWorth(v View) []blackboard.GroupSpec {
@@ -112,20 +112,20 @@
 	return specs
 }
 
-// missing returns how many more groups of a spec should be formed.
-func missing(v View, spec string) int {
+// missingGroups returns how many more groups of a spec should be formed.
+func missingGroups(v View, spec string) int {
 	have := 0
 	for _, g := range v.Board.Groups {
-		if g.Spec == spec && stands(v, g) {
+		if g.Spec == spec && isKept(v, g) {
 			have++
 		}
 	}
-	return wanted(v, spec) - have
+	return wantedGroups(v, spec) - have
 }
 
-// usable tells whether a VM may join a new group now: it suits the spec, holds
-// no group, and its engine says so too.
-func usable(v View, now time.Time, vm blackboard.VM, spec blackboard.GroupSpec) bool {
+// isUsable reports whether a VM may join a new group now: it suits the spec, no group holds it,
+// and its engine reports that it is idle.
+func isUsable(v View, now time.Time, vm blackboard.VM, spec blackboard.GroupSpec) bool {
 	if !vm.Free() || !suits(v, now, vm, spec) {
 		return false
 	}
@@ -142,41 +142,41 @@
 	members []blackboard.VM
 	// fetches is how many members have to fetch weights from the store.
 	fetches int
-	// cold is how many members have to bring the weights from their host into
-	// their accelerators.
-	cold int
-	// siblings is how many groups of the spec the domain has already.
+	// hostLoads is how many members have to load the weights from their host into their
+	// accelerators.
+	hostLoads int
+	// siblings is how many groups of the spec the domain already has.
 	siblings int
-	// left is how many usable VMs of the domain stay over.
-	left int
+	// spare is how many usable VMs of the domain remain.
+	spare int
 }
 
-// formSome forms up to n groups of a spec and returns how many.
+// formUpTo forms up to n groups of a spec and returns how many it formed.
 //
-// A group changes what its own domain has to offer and no other, so only that domain is
-// looked at again: a large pool that starts has hundreds of groups due in one run.
-func formSome(v View, now time.Time, a *Actions, spec blackboard.GroupSpec, u *use, n int) (formed int) {
+// A new group changes what its own domain can offer and no other domain, so only that domain is
+// evaluated again: a large pool that starts has hundreds of groups due in one run.
+func formUpTo(v View, now time.Time, a *Actions, spec blackboard.GroupSpec, u *allocation, n int) (formed int) {
 	found := candidates(v, now, spec, u)
 	for formed < n && len(found) > 0 {
 		best := found[0]
 		if waitForSurvivors(v, now, spec, best) {
 			return formed
 		}
-		form(v, now, a, spec, u, found)
+		formFirst(v, now, a, spec, u, found)
 		formed++
 		found = found[1:]
 		if next, ok := candidateIn(v, now, spec, u, best.domain); ok {
-			at := sort.Search(len(found), func(i int) bool { return next.better(found[i]) })
+			at := sort.Search(len(found), func(i int) bool { return next.isBetter(found[i]) })
 			found = slices.Insert(found, at, next)
 		}
 	}
 	return formed
 }
 
-// form forms the first of the candidates.
-func form(v View, now time.Time, a *Actions, spec blackboard.GroupSpec, u *use, found []candidate) {
+// formFirst forms a group from the first candidate.
+func formFirst(v View, now time.Time, a *Actions, spec blackboard.GroupSpec, u *allocation, found []candidate) {
 	best := found[0]
-	v.warmestFirst(now, best.members)
+	v.sortWarmFirst(now, best.members)
 	u.formed[domainModel{best.domain, spec.Name}]++
 	id := nextID(v, spec.Name, u)
 	members := make([]blackboard.GroupMember, len(best.members))
@@ -196,15 +196,15 @@
 	a.decide(d)
 }
 
-// warmestFirst makes a member the head that is not cold, if there is one: the head takes the
-// group's requests, and one that is cold bears fewer.
-func (v View) warmestFirst(now time.Time, members []blackboard.VM) {
+// sortWarmFirst makes the first member, the head, one that is not cold (within its slow-start
+// period), if there is one. The head takes the group's requests, and a cold head sustains fewer.
+func (v View) sortWarmFirst(now time.Time, members []blackboard.VM) {
 	slices.SortStableFunc(members, func(a, b blackboard.VM) int {
 		return v.coldUntil(now, a.ID).Compare(v.coldUntil(now, b.ID))
 	})
 }
 
-// otherDataCentres returns the data centres of members that are not that of the head.
+// otherDataCentres returns the data centres of members other than the head's data centre.
 func otherDataCentres(members []blackboard.VM) []string {
 	var others []string
 	for _, vm := range members[1:] {
@@ -216,64 +216,64 @@
 }
 
 func (c candidate) reason() string {
-	return "fetches " + strconv.Itoa(c.fetches) + ", cold " + strconv.Itoa(c.cold) + ", siblings " + strconv.Itoa(c.siblings) + ", left " + strconv.Itoa(c.left)
+	return "fetches " + strconv.Itoa(c.fetches) + ", host loads " + strconv.Itoa(c.hostLoads) + ", siblings " + strconv.Itoa(c.siblings) + ", spare " + strconv.Itoa(c.spare)
 }
 
-// candidates returns one candidate for each domain with room, best first:
-// fewest weights to fetch, as the store is the slowest part; then fewest groups
-// of the same spec, so that one dark domain leaves the others; then the
-// tightest fit, so that wide domains stay whole for wide groups.
-func candidates(v View, now time.Time, spec blackboard.GroupSpec, u *use) []candidate {
+// candidates returns one candidate for each domain with enough VMs, best first. The best
+// candidate has the fewest weights to fetch, as the store is the slowest part; then the fewest
+// groups of the same spec, so that the loss of one domain leaves the others; then the tightest
+// fit, so that wide domains stay free for wide groups.
+func candidates(v View, now time.Time, spec blackboard.GroupSpec, u *allocation) []candidate {
 	var found []candidate
 	for _, domain := range sortedKeys(u.usableVMs(v, now, spec)) {
 		if c, ok := candidateIn(v, now, spec, u, domain); ok {
 			found = append(found, c)
 		}
 	}
-	sort.SliceStable(found, func(i, j int) bool { return found[i].better(found[j]) })
+	sort.SliceStable(found, func(i, j int) bool { return found[i].isBetter(found[j]) })
 	return found
 }
 
-// candidateIn returns the candidate of one domain, if it has room.
-func candidateIn(v View, now time.Time, spec blackboard.GroupSpec, u *use, domain string) (candidate, bool) {
-	if u.held[domain] {
+// candidateIn returns the candidate of one domain, if the domain has enough VMs.
+func candidateIn(v View, now time.Time, spec blackboard.GroupSpec, u *allocation, domain string) (candidate, bool) {
+	if u.reserved[domain] {
 		return candidate{}, false
 	}
-	vms := u.left(u.usableVMs(v, now, spec)[domain])
+	vms := u.unassigned(u.usableVMs(v, now, spec)[domain])
 	at := domainModel{domain, spec.Name}
-	if spec.Pool != "" && u.standing[at]+u.formed[at] >= v.Memory.layouts[domain].Groups[spec.Name] {
+	if spec.Pool != "" && u.kept[at]+u.formed[at] >= v.Memory.layouts[domain].Groups[spec.Name] {
 		return candidate{}, false
 	}
-	if len(vms) < spec.VMsPerReplica+v.reserve(now, spec, domain) {
+	if len(vms) < spec.VMsPerReplica+v.spareReserve(now, spec, domain) {
 		return candidate{}, false
 	}
-	c := choose(v, vms, spec)
-	c.domain, c.siblings = domain, u.present[at]+u.formed[at]
-	// Members that hold the weights don't wait in a group for one that loads them: they
-	// may be needed for another before it is ready. At the start none holds them, and one
-	// order to each VM, to join, takes half as long as one to load and one to join.
+	c := chooseMembers(v, vms, spec)
+	c.domain, c.siblings = domain, u.existing[at]+u.formed[at]
+	// Members that hold the weights do not wait in a group for one that loads them: another group
+	// may need them before this one is ready. At the start no VM holds weights. Then one order to
+	// each VM, to join, takes half as long as one order to load and one to join.
 	if spec.Pool != "" && c.fetches > 0 && !noCallersYet(v) {
 		return candidate{}, false
 	}
 	return c, true
 }
 
-func (c candidate) better(o candidate) bool {
+func (c candidate) isBetter(o candidate) bool {
 	if c.fetches != o.fetches {
 		return c.fetches < o.fetches
 	}
-	if c.cold != o.cold {
-		return c.cold < o.cold
+	if c.hostLoads != o.hostLoads {
+		return c.hostLoads < o.hostLoads
 	}
 	if c.siblings != o.siblings {
 		return c.siblings < o.siblings
 	}
-	return c.left < o.left
+	return c.spare < o.spare
 }
 
-// reserve returns how many VMs of a domain a spec must leave free: the fixed
-// spares of the policy, except to repair a group that the domain just lost.
-func (v View) reserve(now time.Time, spec blackboard.GroupSpec, domain string) int {
+// spareReserve returns how many VMs of a domain a spec must leave free: the fixed spares of the
+// policy, or none for the repair of a group that the domain recently lost.
+func (v View) spareReserve(now time.Time, spec blackboard.GroupSpec, domain string) int {
 	if v.Memory.policy.spares == 0 {
 		return 0
 	}
@@ -287,9 +287,9 @@
 	return v.Memory.policy.spares
 }
 
-// choose picks the members of one domain: VMs that hold the weights, then those
-// with the fewest accelerators that suffice, then those that flapped least.
-func choose(v View, vms []blackboard.VM, spec blackboard.GroupSpec) candidate {
+// chooseMembers picks the members of one domain: VMs that hold the weights first, then those with
+// the fewest accelerators that suffice, then those with the fewest flaps.
+func chooseMembers(v View, vms []blackboard.VM, spec blackboard.GroupSpec) candidate {
 	sort.SliceStable(vms, func(i, j int) bool {
 		a, b := vms[i], vms[j]
 		if x, y := holdsWeights(v, a.ID, spec.Model), holdsWeights(v, b.ID, spec.Model); x != y {
@@ -303,22 +303,22 @@
 		}
 		return a.Flaps < b.Flaps
 	})
-	c := candidate{members: vms[:spec.VMsPerReplica], left: len(vms) - spec.VMsPerReplica}
+	c := candidate{members: vms[:spec.VMsPerReplica], spare: len(vms) - spec.VMsPerReplica}
 	for _, vm := range c.members {
 		if !holdsWeights(v, vm.ID, spec.Model) {
 			c.fetches++
 		}
 		if spec.Pool != "" && v.Memory.loaded(vm) != spec.Model {
-			c.cold++
+			c.hostLoads++
 		}
 	}
 	return c
 }
 
-// waitForSurvivors tells whether a group of the spec broke so recently that its
-// survivors, which hold the weights, will be free sooner than best would load.
+// waitForSurvivors reports whether a group of the spec broke so recently that its survivors,
+// which hold the weights, will be free before best would have loaded.
 func waitForSurvivors(v View, now time.Time, spec blackboard.GroupSpec, best candidate) bool {
-	if !v.Memory.policy.reuse || best.fetches <= 1 {
+	if !v.Memory.policy.reuseSurvivors || best.fetches <= 1 {
 		return false
 	}
 	for _, g := range v.Board.Groups {
@@ -328,14 +328,14 @@
 		if v.Memory.timeInState(g, now) > survivorWait {
 			continue
 		}
-		if survivors(v, g) >= spec.VMsPerReplica-1 {
+		if aliveMembers(v, g) >= spec.VMsPerReplica-1 {
 			return true
 		}
 	}
 	return false
 }
 
-func survivors(v View, g blackboard.Group) int {
+func aliveMembers(v View, g blackboard.Group) int {
 	n := 0
 	for _, m := range g.Members {
 		if v.Board.VMs[m.VM].Liveness == blackboard.Alive {
@@ -345,9 +345,9 @@
 	return n
 }
 
-// nextID returns the lowest replica number that no group holds. A group whose
-// dead member never returns keeps its id, as nothing proves it gone.
-func nextID(v View, spec string, u *use) string {
+// nextID returns the group ID with the lowest replica number that no group holds. A group whose
+// dead member never returns keeps its ID, because nothing proves that the group has ended.
+func nextID(v View, spec string, u *allocation) string {
 	for n := 0; ; n++ {
 		id := spec + "-" + strconv.Itoa(n)
 		g, known := v.Board.Groups[id]
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -65,7 +65,7 @@
 		ordered = append(ordered, g)
 		if g.Opens {
 			served[g.Spec]++
-			part[g.ID] = float64(served[g.Spec]) / float64(max(1, wanted(v, g.Spec)))
+			part[g.ID] = float64(served[g.Spec]) / float64(max(1, wantedGroups(v, g.Spec)))
 		}
 	}
 	slices.SortStableFunc(ordered, func(a, b blackboard.Group) int {
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -98,7 +98,7 @@
 	n := 0
 	for _, vm := range vms {
 		g := v.Board.Groups[vm.Group]
-		if vm.Liveness != blackboard.Dead && vm.Group != "" && g.Epoch == vm.Epoch && !stands(v, g) {
+		if vm.Liveness != blackboard.Dead && vm.Group != "" && g.Epoch == vm.Epoch && !isKept(v, g) {
 			n++
 		}
 	}
@@ -134,7 +134,7 @@
 		d.VMs = append(d.VMs, row)
 	}
 	for _, g := range v.Board.Groups {
-		if d := domains[g.FabricDomain]; d != nil && v.Board.Config.Groups[g.Spec].Pool == pool && stands(v, g) {
+		if d := domains[g.FabricDomain]; d != nil && v.Board.Config.Groups[g.Spec].Pool == pool && isKept(v, g) {
 			d.Groups[g.Spec]++
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 // stands tells whether a group is to stay: it serves or is on its way to.
-func stands(v View, g blackboard.Group) bool {
+func isKept(v View, g blackboard.Group) bool {
 	active := g.State == blackboard.Forming || g.State == blackboard.Loading || g.State == blackboard.Serving
 	return active && !outgoing(v, g)
 }
@@ -150,7 +150,7 @@
 // packed returns what the packing needs to know of a VM.
 func packed(v View, vm blackboard.VM) packing.VM {
 	g, grouped := v.Board.Groups[vm.Group]
-	grouped = grouped && g.Epoch == vm.Epoch && stands(v, g)
+	grouped = grouped && g.Epoch == vm.Epoch && isKept(v, g)
 	loading := ""
 	if !grouped {
 		loading = loadingModel(v, vm)
--- a/internal/controller/policy.go
+++ b/internal/controller/policy.go
@@ -1,16 +1,17 @@
 package controller
 
-// policy selects between the ways of repair that were weighed. Production uses
-// defaultPolicy; the measurements in docs/design/groups.md also run the others.
+// policy selects between the repair strategies. Production uses defaultPolicy; the measurements
+// in docs/design/groups.md also run the other strategies.
 type policy struct {
-	// reuse lets a new group wait for and take the survivors of a broken one.
-	reuse bool
-	// hold keeps specs worth less out of a domain in which one worth more waits.
-	hold bool
-	// takeOver lets a group worth more break up one worth less.
+	// reuseSurvivors lets a new group wait for the surviving members of a broken group and use
+	// them.
+	reuseSurvivors bool
+	// reserveDomain keeps specs worth less out of a domain in which a spec worth more waits.
+	reserveDomain bool
+	// takeOver lets a group worth more break up a group worth less.
 	takeOver bool
-	// spares is how many VMs a fabric domain keeps back for repairs.
+	// spares is how many VMs each fabric domain keeps free for repairs.
 	spares int
 }
 
-var defaultPolicy = policy{reuse: true, hold: true, takeOver: true}
+var defaultPolicy = policy{reuseSurvivors: true, reserveDomain: true, takeOver: true}
--- a/internal/controller/repair_bench_test.go
+++ b/internal/controller/repair_bench_test.go
@@ -29,8 +29,8 @@
 
 var repairWays = []repairWay{
 	{"rebuild always", policy{}, false},
-	{"keep a fixed spare", policy{reuse: true, hold: true, spares: 1}, false},
-	{"no takeover", policy{reuse: true, hold: true}, false},
+	{"keep a fixed spare", policy{reuseSurvivors: true, reserveDomain: true, spares: 1}, false},
+	{"no takeover", policy{reuseSurvivors: true, reserveDomain: true}, false},
 	{"chosen", defaultPolicy, true},
 }
 
--- a/internal/controller/straggling.go
+++ b/internal/controller/straggling.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		spec, ok := v.Board.Config.Groups[g.Spec]
-		if ok && len(candidates(v, now, spec, newUse(v))) > 0 {
+		if ok && len(candidates(v, now, spec, newAllocation(v))) > 0 {
 			v.Memory.beingReplaced[k] = true
 			busy[g.Spec] = true
 		}
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -21,13 +21,13 @@
 
 // soonFree returns the VMs of each domain that a spec could use now, or once
 // their broken or draining group has released them.
-func soonFree(v View, now time.Time, spec blackboard.GroupSpec, u *use) map[string]int {
+func soonFree(v View, now time.Time, spec blackboard.GroupSpec, u *allocation) map[string]int {
 	count := make(map[string]int)
 	for _, vm := range v.Board.VMs {
-		if u.vms[vm.ID] || u.held[vm.FabricDomain] {
+		if u.vms[vm.ID] || u.reserved[vm.FabricDomain] {
 			continue
 		}
-		if usable(v, now, vm, spec) || releasable(v, now, vm, spec) {
+		if isUsable(v, now, vm, spec) || releasable(v, now, vm, spec) {
 			count[vm.FabricDomain]++
 		}
 	}
@@ -69,8 +69,8 @@
 // Failure: a group worth much waits for its survivors, which are freed one at
 // a time, and a narrow group worth little takes each as it comes free. Specs
 // worth less therefore form nothing in the domain until the release is over.
-func holdBack(v View, now time.Time, spec blackboard.GroupSpec, u *use) string {
-	if !v.Memory.policy.hold {
+func holdBack(v View, now time.Time, spec blackboard.GroupSpec, u *allocation) string {
+	if !v.Memory.policy.reserveDomain {
 		return ""
 	}
 	best := ""
@@ -97,7 +97,7 @@
 // takeOver drains groups worth less for a spec that is short, when that is
 // expected to cost less than waiting for capacity to return. Until it is time,
 // the domain is held, so that specs worth less don't take what is free there.
-func takeOver(v View, now time.Time, a *Actions, spec blackboard.GroupSpec, u *use) {
+func takeOver(v View, now time.Time, a *Actions, spec blackboard.GroupSpec, u *allocation) {
 	if !v.Memory.policy.takeOver {
 		return
 	}
@@ -106,7 +106,7 @@
 	if !ok {
 		return
 	}
-	u.held[best.domain] = true
+	u.reserved[best.domain] = true
 	if short < takeOverAfter {
 		return
 	}
@@ -126,11 +126,11 @@
 }
 
 // bestPlan returns the plan with the greatest gain above zero.
-func bestPlan(v View, now time.Time, spec blackboard.GroupSpec, u *use) (plan, bool) {
+func bestPlan(v View, now time.Time, spec blackboard.GroupSpec, u *allocation) (plan, bool) {
 	count := soonFree(v, now, spec, u)
 	domains := make(map[string]bool)
 	for _, vm := range v.Board.VMs {
-		domains[vm.FabricDomain] = !u.held[vm.FabricDomain]
+		domains[vm.FabricDomain] = !u.reserved[vm.FabricDomain]
 	}
 	var best plan
 	for _, domain := range sortedKeys(domains) {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -102,7 +102,7 @@
 	releasing(v, now, &a)
 	correcting(v, now, &a)
 	loading(v, now, &a)
-	forming(v, now, &a)
+	formGroups(v, now, &a)
 	staging(v, now, &a)
 	v.Memory.removeObsolete(v)
 	return a
