--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -32,7 +32,7 @@
 		if short <= replacing(v, spec.Name) || spec.Pool != "" {
 			continue
 		}
-		if domain := holdBack(v, now, spec, u); domain != "" {
+		if domain := domainToReserve(v, now, spec, u); domain != "" {
 			u.reserved[domain] = true
 			delete(v.Memory.shortSince, spec.Name)
 			continue
@@ -279,7 +279,7 @@
 	}
 	for _, g := range v.Board.Groups {
 		lost := g.State == blackboard.Broken || g.State == blackboard.Released
-		recent := v.Memory.timeInState(g, now) < expectedReturn
+		recent := v.Memory.timeInState(g, now) < expectedOutage
 		if lost && recent && g.Spec == spec.Name && g.FabricDomain == domain {
 			return 0
 		}
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -8,34 +8,33 @@
 )
 
 const (
-	// takeOverAfter is how long a spec must have been short before a group
-	// worth less is broken up for it: releases and quick restarts come first.
+	// takeOverAfter is how long a spec must have been short before a group worth less is broken
+	// up for it: releases and quick restarts come first.
 	takeOverAfter = 15 * time.Second
-	// expectedReturn is how long capacity that is lost is expected to stay
-	// away. It weighs what a takeover gains; most VMs that fail are restarted
-	// within minutes.
-	expectedReturn = 5 * time.Minute
-	// expectedLoad is how long a group is expected to load.
-	expectedLoad = time.Minute
+	// expectedOutage is how long lost capacity is expected to stay away, for the gain of a
+	// takeover. Most VMs that fail are restarted within minutes.
+	expectedOutage = 5 * time.Minute
+	// expectedLoadTime is how long a group is expected to load.
+	expectedLoadTime = time.Minute
 )
 
-// soonFree returns the VMs of each domain that a spec could use now, or once
-// their broken or draining group has released them.
-func soonFree(v View, now time.Time, spec blackboard.GroupSpec, u *allocation) map[string]int {
+// availableSoon counts the VMs of each domain that a spec could use now, or as soon as their
+// broken or draining group has released them.
+func availableSoon(v View, now time.Time, spec blackboard.GroupSpec, u *allocation) map[string]int {
 	count := make(map[string]int)
 	for _, vm := range v.Board.VMs {
 		if u.vms[vm.ID] || u.reserved[vm.FabricDomain] {
 			continue
 		}
-		if isUsable(v, now, vm, spec) || releasable(v, now, vm, spec) {
+		if isUsable(v, now, vm, spec) || isReleasedSoon(v, now, vm, spec) {
 			count[vm.FabricDomain]++
 		}
 	}
 	return count
 }
 
-// releasable tells whether a VM is being released and will then suit a spec.
-func releasable(v View, now time.Time, vm blackboard.VM, spec blackboard.GroupSpec) bool {
+// isReleasedSoon reports whether a VM is being released and will then suit a spec.
+func isReleasedSoon(v View, now time.Time, vm blackboard.VM, spec blackboard.GroupSpec) bool {
 	g, ok := v.Board.Groups[vm.Group]
 	if !ok || g.Epoch != vm.Epoch {
 		return false
@@ -46,9 +45,9 @@
 	return suits(v, now, vm, spec)
 }
 
-// suits tells whether a VM, once free, would be usable by a spec. One that
-// flaps, straggles, leaves, is drained or failed its last load is not: it would
-// break the group that it joins.
+// suits reports whether a spec could use a VM once the VM is free. A VM that flaps, straggles,
+// leaves, is drained or failed its last load does not suit: it would break the group that it
+// joins.
 func suits(v View, now time.Time, vm blackboard.VM, spec blackboard.GroupSpec) bool {
 	if vm.Pool != spec.Pool || vm.Leaving || v.Board.Config.DrainedVMs[vm.ID] || vm.Accelerators < spec.Accelerators {
 		return false
@@ -63,18 +62,18 @@
 	return hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge()
 }
 
-// holdBack returns the domain that a short spec will form in as soon as VMs are
+// domainToReserve returns the domain in which a short spec will form a group as soon as VMs are
 // released there, or "".
 //
-// Failure: a group worth much waits for its survivors, which are freed one at
-// a time, and a narrow group worth little takes each as it comes free. Specs
-// worth less therefore form nothing in the domain until the release is over.
-func holdBack(v View, now time.Time, spec blackboard.GroupSpec, u *allocation) string {
+// Failure: a wide group worth much waits for its survivors, which become free one at a time, and
+// a narrow group worth little takes each VM as it becomes free. Specs worth less therefore form
+// no group in the domain until the release is complete.
+func domainToReserve(v View, now time.Time, spec blackboard.GroupSpec, u *allocation) string {
 	if !v.Memory.policy.reserveDomain {
 		return ""
 	}
 	best := ""
-	count := soonFree(v, now, spec, u)
+	count := availableSoon(v, now, spec, u)
 	for _, domain := range sortedKeys(count) {
 		if count[domain] < spec.VMsPerReplica {
 			continue
@@ -86,17 +85,17 @@
 	return best
 }
 
-// plan is one way to make room for a short spec: the groups to break up in one
-// domain, and what that is expected to save.
+// plan is one way to free capacity for a short spec: the groups to break up in one domain, and
+// the expected gain.
 type plan struct {
 	domain  string
 	victims []blackboard.Group
 	gain    float64
 }
 
-// takeOver drains groups worth less for a spec that is short, when that is
-// expected to cost less than waiting for capacity to return. Until it is time,
-// the domain is held, so that specs worth less don't take what is free there.
+// takeOver drains groups worth less for a short spec if that is expected to cost less than
+// waiting for capacity to return. Until takeOverAfter has passed, the domain is reserved, so that
+// specs worth less do not take its free VMs.
 func takeOver(v View, now time.Time, a *Actions, spec blackboard.GroupSpec, u *allocation) {
 	if !v.Memory.policy.takeOver {
 		return
@@ -118,7 +117,7 @@
 		reason := "broken up for " + spec.Name
 		a.moveGroup(g, to, reason, now)
 		a.decide(Decision{
-			Kind: "drain", Subject: g.ID, Choice: "take over", RunnerUp: "wait for a return",
+			Kind: "drain", Subject: g.ID, Choice: "take over", RunnerUp: "wait for capacity to return",
 			Reason: fmt.Sprintf("%s, expected gain %.0f weighted seconds", reason, best.gain),
 		})
 	}
@@ -127,7 +126,7 @@
 
 // bestPlan returns the plan with the greatest gain above zero.
 func bestPlan(v View, now time.Time, spec blackboard.GroupSpec, u *allocation) (plan, bool) {
-	count := soonFree(v, now, spec, u)
+	count := availableSoon(v, now, spec, u)
 	domains := make(map[string]bool)
 	for _, vm := range v.Board.VMs {
 		domains[vm.FabricDomain] = !u.reserved[vm.FabricDomain]
@@ -148,35 +147,36 @@
 	return best, best.gain > 0
 }
 
-// victimsIn returns the groups of a domain to break up, worth least first,
-// until the spec has room; none when it can't have it.
-func victimsIn(v View, now time.Time, domain string, spec blackboard.GroupSpec, room int) []blackboard.Group {
+// victimsIn returns the groups of a domain to break up, least worth first, until the spec has
+// enough VMs; none if that is impossible. capacity is the number of VMs that the spec can already
+// use.
+func victimsIn(v View, now time.Time, domain string, spec blackboard.GroupSpec, capacity int) []blackboard.Group {
 	groups := groupsByWorth(v)
 	var victims []blackboard.Group
-	for i := len(groups) - 1; i >= 0 && room < spec.VMsPerReplica; i-- {
+	for i := len(groups) - 1; i >= 0 && capacity < spec.VMsPerReplica; i-- {
 		g := groups[i]
 		if g.FabricDomain != domain || !mayTakeOver(v, g, spec) {
 			continue
 		}
-		gives := 0
+		usableMembers := 0
 		for _, m := range g.Members {
 			if suits(v, now, v.Board.VMs[m.VM], spec) {
-				gives++
+				usableMembers++
 			}
 		}
-		if gives > 0 {
-			room += gives
+		if usableMembers > 0 {
+			capacity += usableMembers
 			victims = append(victims, g)
 		}
 	}
-	if room < spec.VMsPerReplica {
+	if capacity < spec.VMsPerReplica {
 		return nil
 	}
 	return victims
 }
 
-// mayTakeOver tells whether a group may be broken up for a spec: only one worth
-// less, so that two specs can't take turns.
+// mayTakeOver reports whether a group may be broken up for a spec. Only a group worth less may
+// be, so that two specs cannot take over each other in turn.
 func mayTakeOver(v View, g blackboard.Group, spec blackboard.GroupSpec) bool {
 	switch g.State {
 	case blackboard.Forming, blackboard.Loading, blackboard.Serving:
@@ -185,37 +185,37 @@
 	return false
 }
 
-// gainOf returns what breaking up victims for spec is expected to save against
-// waiting for capacity to return, in seconds of one group of spec down,
-// weighted by the preset in force. Above zero the takeover is worth it.
+// gainOf returns what breaking up victims for spec is expected to save compared with waiting for
+// capacity to return. The unit is seconds of downtime of one group of spec, weighted by the
+// preset in force. A takeover pays off above zero.
 //
-//	wait:      downtime of spec for expectedReturn; what lies free stays free
-//	take over: downtime of spec while it loads, of victims for expectedReturn;
-//	           the VMs stand idle while they load, and those that victims give
-//	           and the spec does not need stay free
+//	wait:      spec is down for expectedOutage; free VMs stay free
+//	take over: spec is down while it loads, victims are down for expectedOutage;
+//	           the VMs are idle while they load, and VMs of victims beyond the
+//	           needs of spec stay free
 //
-// Downtime of a victim counts by its share of the spec's worth, and stranded
-// accelerators by their share of a group of spec.
+// Downtime of a victim counts by its share of the spec's worth, and stranded accelerators by
+// their share of a group of spec.
 func gainOf(v View, victims []blackboard.Group, spec blackboard.GroupSpec) float64 {
-	downtime, stranded := weights(v)
-	share, gave := 0.0, 0.0
+	downtime, stranded := presetWeights(v)
+	share, freedVMs := 0.0, 0.0
 	for _, g := range victims {
 		if w := v.Board.Config.GroupWorth(spec.Name); w > 0 {
 			share += max(0, float64(worthOf(v, g))/float64(w))
 		}
-		gave += float64(len(g.Members))
+		freedVMs += float64(len(g.Members))
 	}
-	away := expectedReturn.Seconds()
-	load := expectedLoad.Seconds()
+	outage := expectedOutage.Seconds()
+	load := expectedLoadTime.Seconds()
 	need := float64(spec.VMsPerReplica)
-	saved := away - load - share*away
-	idleChange := (gave-need)/need*away + load
+	saved := outage - load - share*outage
+	idleChange := (freedVMs-need)/need*outage + load
 	return downtime*saved - stranded*idleChange
 }
 
-// weights returns the weights of group downtime and of stranded accelerators
-// under the preset in force.
-func weights(v View) (downtime, stranded float64) {
+// presetWeights returns the weights of group downtime and of stranded accelerators under the
+// preset in force.
+func presetWeights(v View) (downtime, stranded float64) {
 	p := v.Board.Config.Presets[v.Board.Config.ActivePreset]
 	downtime, stranded = p.DowntimeWeight, p.StrandedWeight
 	if downtime <= 0 {
