--- a/internal/controller/opening_test.go
+++ b/internal/controller/opening_test.go
@@ -32,11 +32,11 @@
 	comes := func(domain string, i int) {
 		w.apply(&blackboard.PutVM{VM: blackboard.VM{ID: domain + fmt.Sprint(i), Incarnation: "1", Pool: "pool", FabricDomain: domain}})
 		w.now = w.now.Add(apart)
-		packPools(View{Board: w.board, Evidence: w.table, Memory: w.memory}, w.now, &Actions{})
+		planLayouts(View{Board: w.board, Evidence: w.table, Memory: w.memory}, w.now, &Actions{})
 	}
 	settle := func() {
 		w.now = w.now.Add(simBeat)
-		packPools(View{Board: w.board, Evidence: w.table, Memory: w.memory}, w.now, &Actions{})
+		planLayouts(View{Board: w.board, Evidence: w.table, Memory: w.memory}, w.now, &Actions{})
 	}
 	first := []string{"d5", "d4", "d3", "d2", "d1"}
 	for i := range 9 {
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// gatherFor is how long a pool that nobody uses yet, and a domain of one, waits
-	// for more VMs before anything is loaded in it, in intervals between announcements. At a
-	// start its VMs come to be known one after the other within some intervals; chosen
-	// by the first of them, its models were others than by all. gatherMost bounds the wait
-	// where they go on coming.
-	gatherFor  = 1
-	gatherMost = 6
-	// gatherMissed ends the wait sooner: so many more would have come in the time at the pace
-	// of before. gatherLeast is the least time for that, in intervals.
-	gatherMissed = 200
-	gatherLeast  = 0.25
+	// gatherIntervals is how long a pool without callers, or a domain of such a pool, waits for
+	// more VMs before anything is loaded in it, in announcement intervals. At a start, the VMs of
+	// a pool become known one after the other within some intervals. A choice of models by the
+	// first VMs differs from the choice by all of them. maxGatherIntervals limits the wait if VMs
+	// keep appearing.
+	gatherIntervals    = 1
+	maxGatherIntervals = 6
+	// gatherMissedVMs ends the wait earlier: it ends when that many more VMs would have appeared
+	// at the previous pace. minGatherIntervals is the shortest wait for that.
+	gatherMissedVMs    = 200
+	minGatherIntervals = 0.25
 )
 
-// packPools decides what the fabric domains of the pools form and what their other
-// VMs hold; package packing tells how.
-func packPools(v View, now time.Time, a *Actions) {
-	was := v.Memory.layoutsOfBefore(v)
+// planLayouts decides which groups the fabric domains of the pools form and which models their
+// other VMs hold; see package packing.
+func planLayouts(v View, now time.Time, a *Actions) {
+	previous := v.Memory.previousLayouts(v)
 	v.Memory.layouts = make(map[string]packing.Layout)
 	vms := poolVMs(v)
 	for _, pool := range sortedKeys(vms) {
 		h := v.Memory.historyOf(pool, now)
-		h.see(now, vms[pool], heldVMs(v, vms[pool]))
+		h.see(now, vms[pool], countReleasing(v, vms[pool]))
 		domains := poolDomains(v, now, pool, vms[pool], h)
 		outlook := h.outlook(now, vms[pool], len(domains))
-		packPool(v, now, pool, domains, outlook, was)
-		tellLayouts(v, a, domains, outlook, was)
+		planPool(v, now, pool, domains, outlook, previous)
+		logLayouts(v, a, domains, outlook, previous)
 	}
 	v.Memory.planned = make(map[string]int)
 	for _, layout := range v.Memory.layouts {
@@ -46,9 +46,9 @@
 	}
 }
 
-// layoutsOfBefore returns the layouts of the last run, and those that domains had before
-// their data centre was evacuated. The latter are kept for the return.
-func (m *Memory) layoutsOfBefore(v View) map[string]packing.Layout {
+// previousLayouts returns the layouts of the last run, and those that domains had before the
+// evacuation of their data centre. The latter are kept for the domains' return.
+func (m *Memory) previousLayouts(v View) map[string]packing.Layout {
 	if len(v.Board.Evacuations) == 0 && len(m.evacuatedLayouts) == 0 {
 		return m.layouts
 	}
@@ -58,22 +58,22 @@
 			evacuated[vm.FabricDomain] = true
 		}
 	}
-	was := maps.Clone(m.layouts)
-	if was == nil {
-		was = make(map[string]packing.Layout)
+	previous := maps.Clone(m.layouts)
+	if previous == nil {
+		previous = make(map[string]packing.Layout)
 	}
 	for domain, layout := range m.evacuatedLayouts {
-		if _, laidOut := was[domain]; !laidOut {
-			was[domain] = layout
+		if _, laidOut := previous[domain]; !laidOut {
+			previous[domain] = layout
 		}
 	}
 	clear(m.evacuatedLayouts)
 	for domain := range evacuated {
-		if layout, laidOut := was[domain]; laidOut {
+		if layout, laidOut := previous[domain]; laidOut {
 			m.evacuatedLayouts[domain] = layout
 		}
 	}
-	return was
+	return previous
 }
 
 // poolVMs returns the VMs of each pool that are not leaving and whose data centre is not
@@ -93,8 +93,8 @@
 	return pools
 }
 
-// heldVMs counts the VMs that live and are held by a group that is being taken apart.
-func heldVMs(v View, vms []blackboard.VM) int {
+// countReleasing counts the live VMs held by a group that is being taken apart.
+func countReleasing(v View, vms []blackboard.VM) int {
 	n := 0
 	for _, vm := range vms {
 		g := v.Board.Groups[vm.Group]
@@ -114,8 +114,8 @@
 	return h
 }
 
-// poolDomains returns the domains of a pool by name, with their VMs and the groups that
-// stand in them.
+// poolDomains returns the domains of a pool by name, with their VMs and the groups that are to
+// stay in them.
 func poolDomains(v View, now time.Time, pool string, vms []blackboard.VM, h *history) map[string]*packing.Domain {
 	domains := make(map[string]*packing.Domain)
 	for _, vm := range vms {
@@ -127,7 +127,7 @@
 			d = &packing.Domain{Name: vm.FabricDomain, DataCentre: vm.DataCentre, Groups: make(map[string]int)}
 			domains[vm.FabricDomain] = d
 		}
-		row := packed(v, vm)
+		row := packingVM(v, vm)
 		if row.Away {
 			row.Returns = h.perSecond(age(now, vm))
 		}
@@ -141,14 +141,14 @@
 	return domains
 }
 
-// stands tells whether a group is to stay: it serves or is on its way to.
+// isKept reports whether a group is to stay: it serves or is about to, and is not outgoing.
 func isKept(v View, g blackboard.Group) bool {
 	active := g.State == blackboard.Forming || g.State == blackboard.Loading || g.State == blackboard.Serving
 	return active && !outgoing(v, g)
 }
 
-// packed returns what the packing needs to know of a VM.
-func packed(v View, vm blackboard.VM) packing.VM {
+// packingVM returns the row of a VM as package packing needs it.
+func packingVM(v View, vm blackboard.VM) packing.VM {
 	g, grouped := v.Board.Groups[vm.Group]
 	grouped = grouped && g.Epoch == vm.Epoch && isKept(v, g)
 	loading := ""
@@ -161,7 +161,7 @@
 	}
 }
 
-// loadingModel returns the model that a VM says it is loading, or "".
+// loadingModel returns the model that a VM reports as loading, or "".
 func loadingModel(v View, vm blackboard.VM) string {
 	r, hasReport := v.Evidence.Get(vm.ID)
 	if !hasReport || r.Incarnation != vm.Incarnation || !joining(r) {
@@ -173,9 +173,9 @@
 	return v.Board.Groups[r.Group].Model
 }
 
-// packPool lays out the domains of one pool.
-func packPool(
-	v View, now time.Time, pool string, byName map[string]*packing.Domain, outlook packing.Outlook, was map[string]packing.Layout,
+// planPool plans the layouts of the domains of one pool.
+func planPool(
+	v View, now time.Time, pool string, byName map[string]*packing.Domain, outlook packing.Outlook, previous map[string]packing.Layout,
 ) {
 	models := poolModels(v, pool)
 	if len(models) == 0 {
@@ -187,15 +187,15 @@
 	for _, name := range sortedKeys(byName) {
 		d := byName[name]
 		all += len(d.VMs)
-		if before, ok := was[name]; ok {
+		if before, ok := previous[name]; ok {
 			d.Before = before.Groups
 			known = true
 		}
-		if !starting || d.Before != nil || !v.gathers(name, len(d.VMs), now) {
+		if !starting || d.Before != nil || !v.isGathering(name, len(d.VMs), now) {
 			domains = append(domains, *d)
 		}
 	}
-	if starting && !known && v.gathers(pool, all, now) {
+	if starting && !known && v.isGathering(pool, all, now) {
 		return
 	}
 	for name, layout := range packing.Plan(models, domains, outlook, starting) {
@@ -230,16 +230,15 @@
 	return 0, 0
 }
 
-// gathering is how many VMs of a domain or a pool were known, since when, and
-// since when any.
+// gathering is how many VMs of a domain or a pool are known, since when that number, and since
+// when any.
 type gathering struct {
 	vms          int
 	since, first time.Time
 }
 
-// gathers tells whether a domain or a pool without layouts is still coming to be
-// known.
-func (v View) gathers(name string, vms int, now time.Time) bool {
+// isGathering reports whether VMs of a domain or a pool without layouts are still becoming known.
+func (v View) isGathering(name string, vms int, now time.Time) bool {
 	g, known := v.Memory.gatherings[name]
 	if !known {
 		g = gathering{vms, now, now}
@@ -248,29 +247,29 @@
 		g.vms, g.since = vms, now
 	}
 	v.Memory.gatherings[name] = g
-	each := v.Evidence.Interval()
-	return now.Sub(g.since) < g.quiet(each) && now.Sub(g.first) < gatherMost*each
+	interval := v.Evidence.Interval()
+	return now.Sub(g.since) < g.quiet(interval) && now.Sub(g.first) < maxGatherIntervals*interval
 }
 
-// quiet returns how long nobody must have come for all to be there.
-func (g gathering) quiet(each time.Duration) time.Duration {
+// quiet returns for how long no new VM must have appeared for all VMs to count as known.
+func (g gathering) quiet(interval time.Duration) time.Duration {
 	pace := g.since.Sub(g.first) / time.Duration(max(1, g.vms))
-	least := time.Duration(gatherLeast * float64(each))
+	least := time.Duration(minGatherIntervals * float64(interval))
 	if pace == 0 {
-		return gatherFor * each
+		return gatherIntervals * interval
 	}
-	return min(gatherFor*each, max(least, gatherMissed*pace))
+	return min(gatherIntervals*interval, max(least, gatherMissedVMs*pace))
 }
 
-// tellLayouts logs each layout of a pool's domains that has changed.
-func tellLayouts(v View, a *Actions, domains map[string]*packing.Domain, o packing.Outlook, was map[string]packing.Layout) {
+// logLayouts logs each layout of a pool's domains that has changed.
+func logLayouts(v View, a *Actions, domains map[string]*packing.Domain, o packing.Outlook, previous map[string]packing.Layout) {
 	for _, domain := range sortedKeys(domains) {
-		now, before := layoutText(v.Memory.layouts[domain]), layoutText(was[domain])
+		now, before := layoutText(v.Memory.layouts[domain]), layoutText(previous[domain])
 		if now == before {
 			continue
 		}
 		a.decide(Decision{Kind: "pack", Subject: domain, Choice: now, RunnerUp: before, Reason: fmt.Sprintf(
-			"worth most with %d VMs, while %.2f are away, a VM lives %.0f s and a domain gets %.3f new ones a second",
+			"highest worth with %d VMs; forecast: %.2f of the VMs away, a VM lives %.0f s, %.3f new VMs per second and domain",
 			len(domains[domain].VMs), o.Away, o.Life.Seconds(), o.Newcomers)})
 	}
 }
--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -9,8 +9,8 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// elevenModels are models whose groups of six and three leave five VMs of a domain of
-// eleven, or two, in no group.
+// elevenModels are models with groups of six and three VMs. A domain of eleven that serves one of
+// them alone leaves five or two VMs without a group.
 var elevenModels = []blackboard.ModelSpec{
 	{Name: "wide", VMs: 6, Share: 0.67, LoadMillis: 14_000, StagedMillis: 1500},
 	{Name: "narrow", VMs: 3, Share: 0.33, LoadMillis: 14_000, StagedMillis: 1500},
@@ -22,9 +22,9 @@
 	return w
 }
 
-// A pool of 66 VMs starts. With one model for each domain 24 VMs stood free while
-// callers of the wide model were late; 54 must serve, and two in each domain hold one
-// model each.
+// A pool of 66 VMs starts. With one model for each domain, 24 VMs were free while callers of the
+// wide model waited. 54 VMs must serve, and the two others of each domain must hold one model
+// each.
 func TestDomainsOfElevenServeBothModels(t *testing.T) {
 	w := newElevenWorld(t, 1, 6)
 	w.run(25 * time.Second)
@@ -38,10 +38,10 @@
 	assert.DeepEqual(t, spares, map[string]int{"wide": 6, "narrow": 6})
 }
 
-// In each domain a member of the wide group and one of the narrow group die at the
-// same moment. What stands by must take their places in the time of a join, and
-// those that come back five seconds later must stand by for the model that they had,
-// so that the next loss is repaired like the first.
+// In each domain a member of the wide group and a member of the narrow group die at the same
+// moment. The standbys must replace them within the time of a join. The members that return five
+// seconds later must become standbys for the models that they had, so that the next loss is
+// repaired like the first.
 func TestEitherModelIsRepairedInJoiningTime(t *testing.T) {
 	w := newElevenWorld(t, 2, 3)
 	w.run(25 * time.Second)
@@ -61,9 +61,9 @@
 	}
 }
 
-// VMs of a domain go for good, one each four seconds, as the pool shrinks by a third.
-// Groups that stand serve on, and as long as a domain's VMs make a group of either
-// model one serves in the end.
+// VMs of a domain are lost for good, one every four seconds, as the pool shrinks by a third.
+// Existing groups continue to serve, and as long as a domain's VMs suffice for a group of either
+// model, one serves in the end.
 func TestAShrinkingDomainServesWhatItCan(t *testing.T) {
 	w := newElevenWorld(t, 3, 2)
 	w.run(25 * time.Second)
--- a/internal/controller/run_bench_test.go
+++ b/internal/controller/run_bench_test.go
@@ -148,7 +148,7 @@
 	for b.Loop() {
 		b.StopTimer()
 		v, now := newPool(273, 11)
-		for range gatherFor {
+		for range gatherIntervals {
 			Run(v, now)
 			now = now.Add(v.Evidence.Interval())
 			hearPool(v, now)
@@ -196,7 +196,7 @@
 // BenchmarkRunInAStart is a run while the groups of a pool of 3,003 VMs load.
 func BenchmarkRunInAStart(b *testing.B) {
 	v, now := newPool(273, 11)
-	for range gatherFor + 4 {
+	for range gatherIntervals + 4 {
 		for _, c := range Run(v, now).Commands {
 			encoded, err := blackboard.Encode(c)
 			if err != nil {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -92,7 +92,7 @@
 	v.Memory.recordStates(v, now)
 	v.Memory.noteModels(v)
 	countLoads(v, now)
-	packPools(v, now, &a)
+	planLayouts(v, now, &a)
 	recordAnnouncements(v, now, &a)
 	updateLiveness(v, now, &a)
 	breaking(v, now, &a)
