--- a/internal/controller/outlook_test.go
+++ b/internal/controller/forecast_test.go
@@ -11,14 +11,15 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// wideOfNineteen are models of which a domain of nineteen holds one wide group or four
-// narrow ones.
+// wideOfNineteen are models of which a domain of nineteen holds one wide group or four narrow
+// ones.
 var wideOfNineteen = []blackboard.ModelSpec{
 	{Name: "wide", VMs: 16, Share: 0.5, LoadMillis: 14_000, StagedMillis: 1500},
 	{Name: "narrow", VMs: 4, Share: 0.5, LoadMillis: 12_000, StagedMillis: 1500},
 }
 
-// wideDomain returns a pool of five domains of nineteen, and one that has a wide group.
+// wideDomain returns a pool of five domains of nineteen, and one of its domains that has a wide
+// group.
 func wideDomain(t *testing.T, seed uint64) (*poolWorld, string) {
 	w := newPoolWorld(t, seed, 5, 19)
 	w.apply(&blackboard.ReplaceConfiguration{Version: 2, Services: []blackboard.ServiceSpec{{
@@ -34,8 +35,8 @@
 	return nil, ""
 }
 
-// lose takes a VM of a domain away for good.
-func (w *poolWorld) lose(domain string) {
+// removeVM removes a VM of a domain for good.
+func (w *poolWorld) removeVM(domain string) {
 	for _, e := range w.engines {
 		if e.domain == domain && e.alive {
 			e.alive = false
@@ -44,14 +45,14 @@
 	}
 }
 
-// gain brings an empty VM to a domain.
-func (w *poolWorld) gain(domain string, n int) {
+// addEmptyVM adds a VM without weights to a domain.
+func (w *poolWorld) addEmptyVM(domain string, n int) {
 	e := &poolEngine{address: fmt.Sprintf("%s-new-%d", domain, n), domain: domain}
 	e.start(w.now)
 	w.engines = append(w.engines, e)
 }
 
-// inService counts the VMs of a domain that live and those in a group that serves.
+// inService counts the live VMs of a domain and those of them in a serving group.
 func (w *poolWorld) inService(domain string) (living, serving int) {
 	for _, e := range w.engines {
 		if e.domain != domain || !e.alive {
@@ -65,30 +66,31 @@
 	return living, serving
 }
 
-// A domain of nineteen has lost four VMs for good; one more goes each three seconds, and
-// an empty one comes in another place. With each of the last three counted as coming
-// back, its fifteen VMs waited for a wide group of sixteen without an end while they
-// stood free. That none came back tells that none will: they must serve narrow groups.
+// Guards against a domain that waits for VMs that never return. A domain of nineteen has lost
+// four VMs for good; every three seconds one more is lost, and an empty one appears under another
+// name. With each of the last three counted as returning, the fifteen VMs of the domain stayed
+// free and waited for a wide group of sixteen without end. As no VM has returned, the forecast
+// must not expect returns, and the VMs must serve narrow groups.
 func TestADomainDoesNotWaitForVMsThatNeverCameBack(t *testing.T) {
 	w, domain := wideDomain(t, 1)
 	for range 4 {
-		w.lose(domain)
+		w.removeVM(domain)
 		w.run(time.Second)
 	}
 	living, serving := 0, 0
 	for n := range 30 {
-		w.lose(domain)
-		w.gain(domain, n)
+		w.removeVM(domain)
+		w.addEmptyVM(domain, n)
 		w.run(3 * time.Second)
 		l, s := w.inService(domain)
 		living, serving = living+l, serving+s
 	}
-	assert.Assert(t, 15*serving >= 6*living, "of %d VM looks %d were in service", living, serving)
+	assert.Assert(t, 15*serving >= 6*living, "of %d VM observations %d were in service", living, serving)
 }
 
-// The VMs of a domain crash and are back after five seconds with their weights, as on
-// most pools. The domain must go on waiting for them: to load another model in the
-// meantime takes longer than they do.
+// The VMs of a domain crash and return after five seconds with their weights, as on most pools.
+// The domain must keep waiting for them: loading another model meanwhile takes longer than their
+// return.
 func TestADomainWaitsForVMsThatComeBack(t *testing.T) {
 	w, domain := wideDomain(t, 2)
 	before := w.memory.layouts[domain].Groups
@@ -103,9 +105,10 @@
 	}
 }
 
-// A domain of nineteen comes back empty, and orders and reports take three tenths of a
-// second. The store serves six loads at full speed; in that time each run of the
-// controllers began six more, and with all nineteen at once each took three times as long.
+// Guards against an overloaded store while orders are in transit. A domain of nineteen returns
+// empty, and orders and reports take three tenths of a second. The store serves six loads at full
+// speed. In that time each run of the controllers started six more loads, and with all nineteen
+// at once each load took three times as long.
 func TestTheStoreIsNotOverloadedWhileOrdersAreOnTheirWay(t *testing.T) {
 	w := newPoolWorld(t, 3, 5, 19)
 	w.configure(2, wideOfNineteen)
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -32,11 +32,11 @@
 	vms := poolVMs(v)
 	for _, pool := range sortedKeys(vms) {
 		h := v.Memory.historyOf(pool, now)
-		h.see(now, vms[pool], countReleasing(v, vms[pool]))
+		h.observe(now, vms[pool], countReleasing(v, vms[pool]))
 		domains := poolDomains(v, now, pool, vms[pool], h)
-		outlook := h.outlook(now, vms[pool], len(domains))
-		planPool(v, now, pool, domains, outlook, previous)
-		logLayouts(v, a, domains, outlook, previous)
+		forecast := h.forecast(now, vms[pool], len(domains))
+		planPool(v, now, pool, domains, forecast, previous)
+		logLayouts(v, a, domains, forecast, previous)
 	}
 	v.Memory.planned = make(map[string]int)
 	for _, layout := range v.Memory.layouts {
@@ -119,7 +119,7 @@
 func poolDomains(v View, now time.Time, pool string, vms []blackboard.VM, h *history) map[string]*packing.Domain {
 	domains := make(map[string]*packing.Domain)
 	for _, vm := range vms {
-		if !working(v, vm) && h.back(age(now, vm)) < likelyBack {
+		if !working(v, vm) && h.returnProbability(livenessAge(now, vm)) < minReturnProbability {
 			continue
 		}
 		d := domains[vm.FabricDomain]
@@ -129,7 +129,7 @@
 		}
 		row := packingVM(v, vm)
 		if row.Away {
-			row.Returns = h.perSecond(age(now, vm))
+			row.Returns = h.returnRate(livenessAge(now, vm))
 		}
 		d.VMs = append(d.VMs, row)
 	}
@@ -175,7 +175,7 @@
 
 // planPool plans the layouts of the domains of one pool.
 func planPool(
-	v View, now time.Time, pool string, byName map[string]*packing.Domain, outlook packing.Outlook, previous map[string]packing.Layout,
+	v View, now time.Time, pool string, byName map[string]*packing.Domain, forecast packing.Outlook, previous map[string]packing.Layout,
 ) {
 	models := poolModels(v, pool)
 	if len(models) == 0 {
@@ -198,7 +198,7 @@
 	if starting && !known && v.isGathering(pool, all, now) {
 		return
 	}
-	for name, layout := range packing.Plan(models, domains, outlook, starting) {
+	for name, layout := range packing.Plan(models, domains, forecast, starting) {
 		v.Memory.layouts[name] = layout
 	}
 }
