--- a/internal/controller/opening.go
+++ b/internal/controller/opening.go
@@ -9,31 +9,31 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// The controllers' part for groups that open: engines of a pool form the group
-// among themselves, and its first member, the head, takes requests from when it
-// is told to open until it is told to close or has lost a member for
-// Timing.Stall. The engines check neither that all members are there nor that a
-// member is in one group only; what this package sends has to see to both.
+// This file handles the groups that open. The engines of a pool form the group among themselves.
+// The group's first member, the head, takes requests from its order to open until its order to
+// close, or until it has lost a member for Timing.Stall. The engines check neither that all
+// members have joined nor that a member is in one group only. The orders of this package have to
+// ensure both.
 
 const (
-	// stallMargin is added to Timing.Stall for the time that an order's answer
-	// and the head's own clock may be off.
+	// stallMargin is added to Timing.Stall for the delay of an order's answer and the inaccuracy
+	// of the head's own clock.
 	stallMargin = 500 * time.Millisecond
-	// closeAfter is how long a draining group stays open after the blackboard
-	// says so, for entries to stop sending first.
-	closeAfter = 400 * time.Millisecond
-	// finishLimit ends a drain whose head does not come to an end: engines let
-	// a leaving member go after this time anyway.
-	finishLimit = 10 * time.Second
+	// closeDelay is how long a draining group stays open after its state on the blackboard
+	// changes, so that entries stop sending first.
+	closeDelay = 400 * time.Millisecond
+	// finishTimeout ends a drain whose head does not finish its requests: engines let a leaving
+	// member go after this time anyway.
+	finishTimeout = 10 * time.Second
 )
 
-// continueOpening sends the joins of a loading group, opens it once each member
-// has been heard ready in this epoch, and takes it into service once its head
-// says that it is open.
+// continueOpening sends the joins of a loading group. It opens the group once each member has
+// reported ready in this epoch, and takes the group into service once its head reports that it is
+// open.
 //
-// Failure: a group opens with a member that never joined, and answers are made
-// by half a model. The engines do not look, so the order to open is sent only
-// on each member's own report, under the incarnation that was asked to join.
+// Failure: a group opens with a member that never joined, and half a model produces the answers.
+// The engines do not check this. The order to open is therefore sent only on each member's own
+// report, under the incarnation that received the order to join.
 func continueOpening(v View, now time.Time, a *Actions, g blackboard.Group) {
 	ready, open := 0, false
 	for rank, m := range g.Members {
@@ -42,8 +42,9 @@
 			continue
 		}
 		switch {
-		case headElsewhere(r, g.ID, g.Epoch):
-			// A late order has made it serve again; correcting tells it to leave.
+		case headsOtherGroup(r, g.ID, g.Epoch):
+			// A late order has made the member serve again; releaseStrayEngines orders it to
+			// leave.
 		case r.Group != g.ID || r.Epoch != g.Epoch:
 			sendLoad(v, now, a, g, rank)
 		case r.Phase == backend.PhaseReady:
@@ -65,7 +66,7 @@
 }
 
 func sendOpen(v View, now time.Time, a *Actions, g blackboard.Group) {
-	if !invariant.Check(whole(v, g), "opened_group_is_whole", "group %s epoch %d", g.ID, g.Epoch) {
+	if !invariant.Check(isComplete(v, g), "opened_group_is_whole", "group %s epoch %d", g.ID, g.Epoch) {
 		return
 	}
 	head := g.Head()
@@ -74,10 +75,9 @@
 	})
 }
 
-// whole tells whether a group has as many members as its model needs, and each
-// has said in this epoch and under the incarnation that was asked to join that it
-// is ready.
-func whole(v View, g blackboard.Group) bool {
+// isComplete reports whether a group has as many members as its model needs, and each member has
+// reported ready in this epoch, under the incarnation that received the order to join.
+func isComplete(v View, g blackboard.Group) bool {
 	if spec, known := v.Board.Config.Groups[g.Spec]; known && len(g.Members) != spec.VMsPerReplica {
 		return false
 	}
@@ -90,25 +90,25 @@
 	return true
 }
 
-// headElsewhere tells whether a VM says that it heads another group that takes
-// requests or is about to end. It must leave that one before it joins any other.
-func headElsewhere(r evidence.Report, group string, epoch uint64) bool {
+// headsOtherGroup reports whether a VM states that it heads another group that takes requests or
+// is closing. It must leave that group before it joins any other.
+func headsOtherGroup(r evidence.Report, group string, epoch uint64) bool {
 	serving := r.Phase == backend.PhaseOpen || r.Phase == backend.PhaseClosing
 	return serving && (r.Group != group || r.Epoch != epoch)
 }
 
-// finishOpened lets the head of a draining group finish its requests, and tells
-// whether it has.
-func finishOpened(v View, now time.Time, a *Actions, g blackboard.Group) bool {
+// finishRequests lets the head of a draining group finish its requests, and reports whether it
+// has finished.
+func finishRequests(v View, now time.Time, a *Actions, g blackboard.Group) bool {
 	draining := v.Memory.timeInState(g, now)
-	if draining < closeAfter {
+	if draining < closeDelay {
 		return false
 	}
 	head := g.Head()
 	r, hasReport := v.Evidence.Get(head.VM)
 	inEpoch := hasReport && r.Incarnation == head.Incarnation && r.Group == g.ID && r.Epoch == g.Epoch
 	switch {
-	case draining > finishLimit, hasReport && r.Incarnation != head.Incarnation && succeeded(v, head, r):
+	case draining > finishTimeout, hasReport && r.Incarnation != head.Incarnation && succeeded(v, head, r):
 		return true
 	case inEpoch && r.Phase != backend.PhaseOpen && r.Phase != backend.PhaseClosing:
 		return true
@@ -121,17 +121,16 @@
 	return false
 }
 
-// releaseOpened tells all members to leave and frees each that has done so, once
-// the head surely serves no more. The answer to the order also tells who of the
-// members is alive, seconds before silence would.
+// releaseOpened orders all members to leave and frees each member that has left, once the head
+// has certainly stopped serving. The answer to the order also shows which members are alive,
+// seconds before their silence would.
 //
-// Failure: a member joins another group while the head of its old one still
-// takes requests, and the VM works for two groups. Proof that the head has
-// stopped is one of three: its own report, a new incarnation of it, or, while it
-// is silent, that another member has left it for longer than Timing.Stall,
-// after which it gives up by itself wherever it is.
+// Failure: a member joins another group while the head of its old group still takes requests, and
+// the VM works for two groups. Each of three facts proves that the head has stopped: its own
+// report; a new incarnation of it; or, while it is silent, that another member left it longer
+// than Timing.Stall ago. After that time the head stops serving by itself wherever it is.
 func releaseOpened(v View, now time.Time, a *Actions, g blackboard.Group) (held int) {
-	ended := headEnded(v, now, g) || abandoned(v, now, g)
+	ended := hasHeadLeft(v, now, g) || hasHeadTimedOut(v, now, g)
 	for _, m := range g.Members {
 		vm, ok := v.Board.VMs[m.VM]
 		if !ok || vm.Group != g.ID || vm.Epoch != g.Epoch {
@@ -142,7 +141,7 @@
 		if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.HeardAt) > v.timing().Paused {
 			continue
 		}
-		if r.Incarnation != m.Incarnation || (ended && (released(v, g, m) || r.Group != g.ID || r.Epoch != g.Epoch)) {
+		if r.Incarnation != m.Incarnation || (ended && (acceptedRelease(v, g, m) || r.Group != g.ID || r.Epoch != g.Epoch)) {
 			a.command(&blackboard.FreeVM{VM: m.VM, Group: g.ID, Epoch: g.Epoch, Incarnation: vm.Incarnation})
 			continue
 		}
@@ -151,9 +150,9 @@
 	return held
 }
 
-// headEnded tells whether the head has left the epoch by its own report. A late
-// order to open this epoch does nothing on a head that has left it.
-func headEnded(v View, now time.Time, g blackboard.Group) bool {
+// hasHeadLeft reports whether the head has left the epoch by its own report. A late order to open
+// this epoch has no effect on a head that has left it.
+func hasHeadLeft(v View, now time.Time, g blackboard.Group) bool {
 	head := g.Head()
 	r, hasReport := v.Evidence.Get(head.VM)
 	if hasReport && r.Incarnation != head.Incarnation {
@@ -162,24 +161,25 @@
 	if now.Before(v.Memory.ordersFrom) {
 		return false
 	}
-	if released(v, g, head) {
+	if acceptedRelease(v, g, head) {
 		return true
 	}
-	// Before any order went out the head can't have been told to open.
+	// Before any order was sent, the head cannot have received an order to open.
 	return hasReport && g.State == blackboard.Broken && (r.Group != g.ID || r.Epoch != g.Epoch) && r.Epoch > g.Epoch
 }
 
-// released tells whether a member has accepted this leader's order to leave.
-func released(v View, g blackboard.Group, m blackboard.GroupMember) bool {
+// acceptedRelease reports whether a member has accepted this leader's order to leave.
+func acceptedRelease(v View, g blackboard.Group, m blackboard.GroupMember) bool {
 	o := v.Memory.orders[m.VM]
 	return o != nil && o.kind == backend.OrderRelease && o.accepted &&
 		o.target == (groupEpoch{g.ID, g.Epoch}) && o.incarnation == m.Incarnation
 }
 
-// abandoned tells whether a member left so long ago that the head has given up.
-func abandoned(v View, now time.Time, g blackboard.Group) bool {
+// hasHeadTimedOut reports whether a member left so long ago that the head has stopped serving by
+// itself.
+func hasHeadTimedOut(v View, now time.Time, g blackboard.Group) bool {
 	for _, m := range g.Members[1:] {
-		if !released(v, g, m) {
+		if !acceptedRelease(v, g, m) {
 			continue
 		}
 		if now.Sub(v.Memory.orders[m.VM].acceptedAt) > v.timing().Stall+stallMargin {
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -96,7 +96,7 @@
 	}
 	member := g.Members[rank]
 	r, _ := v.Evidence.Get(member.VM)
-	if !invariant.Check(!headElsewhere(r, g.ID, g.Epoch), "no_join_while_head", "VM %s heads %s epoch %d, joins %s epoch %d",
+	if !invariant.Check(!headsOtherGroup(r, g.ID, g.Epoch), "no_join_while_head", "VM %s heads %s epoch %d, joins %s epoch %d",
 		member.VM, r.Group, r.Epoch, g.ID, g.Epoch) {
 		return false
 	}
--- a/internal/controller/releasing.go
+++ b/internal/controller/releasing.go
@@ -41,7 +41,7 @@
 		return true
 	}
 	if g.Opens {
-		return g.State == blackboard.Draining && finishOpened(v, now, a, g)
+		return g.State == blackboard.Draining && finishRequests(v, now, a, g)
 	}
 	return g.State == blackboard.Draining && drained(v, now, g)
 }
