--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -295,7 +295,7 @@
 		if x, y := holdsWeights(v, a.ID, spec.Model), holdsWeights(v, b.ID, spec.Model); x != y {
 			return x
 		}
-		if x, y := v.Memory.loaded(a) == spec.Model, v.Memory.loaded(b) == spec.Model; spec.Pool != "" && x != y {
+		if x, y := v.Memory.modelOf(a) == spec.Model, v.Memory.modelOf(b) == spec.Model; spec.Pool != "" && x != y {
 			return x
 		}
 		if a.Accelerators != b.Accelerators {
@@ -308,7 +308,7 @@
 		if !holdsWeights(v, vm.ID, spec.Model) {
 			c.fetches++
 		}
-		if spec.Pool != "" && v.Memory.loaded(vm) != spec.Model {
+		if spec.Pool != "" && v.Memory.modelOf(vm) != spec.Model {
 			c.hostLoads++
 		}
 	}
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -119,7 +119,7 @@
 func poolDomains(v View, now time.Time, pool string, vms []blackboard.VM, h *history) map[string]*packing.Domain {
 	domains := make(map[string]*packing.Domain)
 	for _, vm := range vms {
-		if !working(v, vm) && h.returnProbability(livenessAge(now, vm)) < minReturnProbability {
+		if !countsForPool(v, vm) && h.returnProbability(livenessAge(now, vm)) < minReturnProbability {
 			continue
 		}
 		d := domains[vm.FabricDomain]
@@ -157,14 +157,14 @@
 	}
 	return packing.VM{
 		ID: vm.ID, Grouped: grouped, Away: vm.Liveness != blackboard.Alive,
-		Loaded: v.Memory.loaded(vm), Staged: vm.Weights, Loading: loading,
+		Loaded: v.Memory.modelOf(vm), Staged: vm.Weights, Loading: loading,
 	}
 }
 
 // loadingModel returns the model that a VM reports as loading, or "".
 func loadingModel(v View, vm blackboard.VM) string {
 	r, hasReport := v.Evidence.Get(vm.ID)
-	if !hasReport || r.Incarnation != vm.Incarnation || !joining(r) {
+	if !hasReport || r.Incarnation != vm.Incarnation || !isJoining(r) {
 		return ""
 	}
 	if model, standby := strings.CutPrefix(r.Group, standbyPrefix); standby {
--- a/internal/controller/sharing.go
+++ b/internal/controller/standby.go
@@ -10,9 +10,9 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// working tells whether a VM counts towards what its pool can serve: it lives, or
-// it is silent and its group serves on.
-func working(v View, vm blackboard.VM) bool {
+// countsForPool reports whether a VM counts towards the capacity of its pool: it is not dead, or
+// it is silent while its group continues to serve.
+func countsForPool(v View, vm blackboard.VM) bool {
 	if vm.Liveness != blackboard.Dead {
 		return true
 	}
@@ -20,27 +20,27 @@
 	return ok && g.Epoch == vm.Epoch && g.Opens && g.State == blackboard.Serving
 }
 
-// engineOf returns the figures of the pool that a spec forms its groups from.
-func engineOf(v View, spec string) *blackboard.EngineSpec {
+// engineSpec returns the engine parameters of the pool from which a spec forms its groups.
+func engineSpec(v View, spec string) *blackboard.EngineSpec {
 	return v.Board.Config.Services[v.Board.Config.Groups[spec].Pool].Engine
 }
 
-// startOpening lets a group of a pool load when the weight store has room.
+// startOpening lets a group of a pool load when the weight store has capacity.
 func startOpening(v View, now time.Time, a *Actions, g blackboard.Group) {
 	pool := v.Board.Config.Groups[g.Spec].Pool
-	if readsStore(v, g) && !v.Memory.storeOf(pool).hasCapacity(engineOf(v, g.Spec)) {
+	if readsStore(v, g) && !v.Memory.storeOf(pool).hasCapacity(engineSpec(v, g.Spec)) {
 		return
 	}
 	a.moveGroup(g, blackboard.Loading, "the weight store has room", now)
 }
 
-// staging makes VMs in no group load what their domain's layout gives them. A
-// standby is a group of one that is never opened: its next group has its weights in
-// the accelerators already and is ready in a fraction of a second, where weights on
-// the host would take one or two.
-func staging(v View, now time.Time, a *Actions) {
+// stageStandbys makes VMs that are in no group load the models that their domain's layout assigns
+// to them. A standby is a group of one that never opens. Its accelerators already hold the
+// weights, so it is ready in its next group within a fraction of a second; loading from the host
+// would take one or two seconds.
+func stageStandbys(v View, now time.Time, a *Actions) {
 	for _, s := range standbys(v, now) {
-		stageOne(v, now, a, s)
+		stageStandby(v, now, a, s)
 	}
 }
 
@@ -48,21 +48,20 @@
 type standby struct {
 	vm    blackboard.VM
 	model string
-	// short is how many loaded VMs its domain lacks for its next group of the model.
-	short int
-	// fetches says that the weights come from the store.
+	// missing is how many loaded VMs its domain lacks for its next group of the model.
+	missing int
+	// fetches is true if the weights come from the store.
 	fetches bool
 }
 
-// domainModel names the VMs of one domain that hold, or are to hold, one model.
+// domainModel identifies the VMs of one domain that hold, or are to hold, one model.
 type domainModel struct{ domain, model string }
 
-// standbys returns the VMs that have to load, those first whose domain is
-// nearest to its next group.
+// standbys returns the VMs that have to load. VMs whose domain is nearest to its next complete
+// group come first.
 //
-// Load: half a domain comes back empty while others lack one member each. The
-// store serves a few loads at full speed; the first to end should make a group
-// whole.
+// Load: half a domain comes back empty while other domains lack one member each. The store serves
+// a few loads at full speed; the first loads to end should complete a group.
 func standbys(v View, now time.Time) []standby {
 	loaded := make(map[domainModel]int)
 	var wait []standby
@@ -76,7 +75,7 @@
 		fresh := hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge()
 		switch {
 		case model == "" || !fresh:
-		case joining(r), v.Memory.loaded(vm) == model:
+		case isJoining(r), v.Memory.modelOf(vm) == model:
 			loaded[domainModel{vm.FabricDomain, model}]++
 		case isLoadingFromStore(v, now, vm):
 		default:
@@ -85,13 +84,13 @@
 	}
 	for i := range wait {
 		size := max(1, v.Board.Config.Groups[wait[i].model].VMsPerReplica)
-		wait[i].short = size - loaded[domainModel{wait[i].vm.FabricDomain, wait[i].model}]%size
+		wait[i].missing = size - loaded[domainModel{wait[i].vm.FabricDomain, wait[i].model}]%size
 	}
-	sort.SliceStable(wait, func(i, j int) bool { return wait[i].short < wait[j].short })
+	sort.SliceStable(wait, func(i, j int) bool { return wait[i].missing < wait[j].missing })
 	return wait
 }
 
-func stageOne(v View, now time.Time, a *Actions, s standby) {
+func stageStandby(v View, now time.Time, a *Actions, s standby) {
 	e := v.Board.Config.Services[s.vm.Pool].Engine
 	if e == nil {
 		return
@@ -105,14 +104,14 @@
 	sendStandby(v, now, a, s.vm, s.model)
 }
 
-// joining tells whether a VM is at a join already.
-func joining(r evidence.Report) bool { return r.Phase == backend.PhaseLoading }
+// isJoining reports whether a VM is already joining a group.
+func isJoining(r evidence.Report) bool { return r.Phase == backend.PhaseLoading }
 
-// standbyPrefix begins the names of groups of one that are never opened.
+// standbyPrefix begins the names of groups of one that never open.
 const standbyPrefix = "standby-"
 
-// sendStandby makes a VM that is in no group load a model. The epoch is one
-// that is given already, so that any group formed later is newer.
+// sendStandby makes a VM that is in no group load a model. The order carries an epoch that is
+// already assigned, so that the epoch of any later group is newer.
 func sendStandby(v View, now time.Time, a *Actions, vm blackboard.VM, model string) {
 	send(v, now, a, vm, vm.Incarnation, backend.Order{
 		Kind: backend.OrderLoad, Group: standbyPrefix + model, Model: model,
@@ -121,9 +120,9 @@
 	})
 }
 
-// noteModels notes which model each VM has in its accelerators: that of the last
-// group that it was ready in since its start.
-func (m *Memory) noteModels(v View) {
+// recordModels records which model each VM has in its accelerators: the model of the last group
+// in which it was ready since its start.
+func (m *Memory) recordModels(v View) {
 	for id, vm := range v.Board.VMs {
 		r, hasReport := v.Evidence.Get(id)
 		if vm.Pool == "" || !hasReport || (r.Phase != backend.PhaseReady && r.Phase != backend.PhaseOpen) {
@@ -141,8 +140,8 @@
 
 type loadedModel struct{ incarnation, model string }
 
-// loaded returns the model in a VM's accelerators, or "" if none is known.
-func (m *Memory) loaded(vm blackboard.VM) string {
+// modelOf returns the model in a VM's accelerators, or "" if none is known.
+func (m *Memory) modelOf(vm blackboard.VM) string {
 	if l := m.models[vm.ID]; l.incarnation == vm.Incarnation {
 		return l.model
 	}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -90,7 +90,7 @@
 	v.Memory.window.adapt()
 	v.Memory.updateCoverage(v, now)
 	v.Memory.recordStates(v, now)
-	v.Memory.noteModels(v)
+	v.Memory.recordModels(v)
 	countLoads(v, now)
 	planLayouts(v, now, &a)
 	recordAnnouncements(v, now, &a)
@@ -103,7 +103,7 @@
 	correcting(v, now, &a)
 	loading(v, now, &a)
 	formGroups(v, now, &a)
-	staging(v, now, &a)
+	stageStandbys(v, now, &a)
 	v.Memory.removeObsolete(v)
 	return a
 }
--- a/internal/controller/weight_store.go
+++ b/internal/controller/weight_store.go
@@ -88,7 +88,7 @@
 // needsFetch reports whether a VM has to fetch a model from the store because neither its
 // accelerators nor its host hold the weights.
 func needsFetch(v View, vm blackboard.VM, model string) bool {
-	return !holdsWeights(v, vm.ID, model) && v.Memory.loaded(vm) != model
+	return !holdsWeights(v, vm.ID, model) && v.Memory.modelOf(vm) != model
 }
 
 // isLoadingFromStore reports whether a VM loads from the store: its engine reports a load of a
