--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -111,8 +111,8 @@
 	if c.DrainedGroups[g.ID] || v.Memory.beingReplaced[groupEpoch{g.ID, g.Epoch}] || v.Board.EvacuatesGroup(g) {
 		return true
 	}
-	if v.order != nil {
-		return v.order.losing[g.ID]
+	if v.rows != nil {
+		return v.rows.losing[g.ID]
 	}
 	return losesMember(v, g)
 }
--- a/internal/controller/sorting.go
+++ b/internal/controller/sorting.go
@@ -15,37 +15,37 @@
 	return keys
 }
 
-// order holds the rows of the board in the orders that controllers walk them in. It is
-// made once for each run: at 1,095 VMs each controller's own sorting cost as much as
-// what it decided.
-type order struct {
+// sortedRows holds the rows of the board in the orders in which controllers iterate over them.
+// Run computes it once: at 1,095 VMs the sorting in each controller cost as much as its
+// decisions.
+type sortedRows struct {
 	vms    []string
 	groups []blackboard.Group
 	// losing holds the groups of which a member is leaving or drained.
 	losing map[string]bool
 }
 
-// sorted returns the view with the order of its board.
-func (v View) sorted() View {
-	o := &order{vms: sortedKeys(v.Board.VMs), groups: sortByWorth(v), losing: make(map[string]bool)}
+// withRows returns the view with the sorted rows of its board.
+func (v View) withRows() View {
+	o := &sortedRows{vms: sortedKeys(v.Board.VMs), groups: sortByWorth(v), losing: make(map[string]bool)}
 	for _, g := range o.groups {
 		if losesMember(v, g) {
 			o.losing[g.ID] = true
 		}
 	}
-	v.order = o
+	v.rows = o
 	return v
 }
 
-// vmIDs returns the ids of all VMs in order.
+// vmIDs returns the sorted IDs of all VMs.
 func (v View) vmIDs() []string {
-	if v.order == nil {
+	if v.rows == nil {
 		return sortedKeys(v.Board.VMs)
 	}
-	return v.order.vms
+	return v.rows.vms
 }
 
-// worthOf returns a group's worth under the preset in force.
+// worthOf returns the worth of a group under the preset in force.
 func worthOf(v View, g blackboard.Group) int {
 	if _, ok := v.Board.Config.Groups[g.Spec]; !ok {
 		return g.Worth
@@ -53,12 +53,12 @@
 	return v.Board.Config.GroupWorth(g.Spec)
 }
 
-// groupsByWorth returns all groups, worth most first, then by id.
+// groupsByWorth returns all groups, the highest worth first, then by ID.
 func groupsByWorth(v View) []blackboard.Group {
-	if v.order == nil {
+	if v.rows == nil {
 		return sortByWorth(v)
 	}
-	return v.order.groups
+	return v.rows.groups
 }
 
 func sortByWorth(v View) []blackboard.Group {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -1,9 +1,10 @@
-// Package controller holds the controllers that work on the blackboard.
+// Package controller holds the controllers that reconcile the blackboard with what backend
+// servers report.
 //
-// Each controller is a file and one function of (View, now) that adds commands
-// for the blackboard and orders for engines to an Actions. Controllers know
-// the tables and not each other; Run calls them in a fixed order. Nothing here
-// has I/O, a goroutine or a clock: now is passed in and must be monotonic.
+// Each controller is one function of (View, now) that adds commands for the blackboard and orders
+// for engines to an Actions. Controllers read the tables of the blackboard and do not depend on
+// each other; Run calls them in a fixed order. Nothing in this package does I/O, starts a
+// goroutine or reads a clock: the caller passes now, which must be monotonic.
 package controller
 
 import (
@@ -14,26 +15,25 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// View is what the controllers see.
+// View is the input of the controllers.
 type View struct {
 	Board    *blackboard.Board
 	Evidence *evidence.Table
-	// Memory is this leader's own; a new leader starts with a new one.
+	// Memory belongs to this leader; a new leader starts with an empty one.
 	Memory *Memory
 	// Term is the leader's term.
 	Term uint64
 	// LeaseUntil is the end of the leader's lease by this process's clock.
 	LeaseUntil time.Time
-	// Stalled holds when an entry last told of a group epoch that it makes no
-	// progress on requests.
+	// Stalled holds when entries last confirmed that a group epoch makes no progress on requests.
 	Stalled map[StalledGroup]time.Time
-	// Timing holds what differs from the defaults.
+	// Timing holds the times that differ from the defaults.
 	Timing Timing
-	// order is that of the board's rows while Run runs; nil elsewhere.
-	order *order
+	// rows holds the sorted rows of the board while Run runs; nil otherwise.
+	rows *sortedRows
 }
 
-// StalledGroup names one epoch of a group.
+// StalledGroup identifies one epoch of a group.
 type StalledGroup struct {
 	Group string
 	Epoch uint64
@@ -41,17 +41,16 @@
 
 func (v View) timing() Timing { return v.Timing.withDefaults() }
 
-// Actions is what the controllers want done. Commands are proposed in their
-// order; each checks its own preconditions, so one that comes twice or too late
-// is refused and does no harm.
+// Actions is the output of the controllers. Commands are proposed in their order. Each command
+// checks its own preconditions, so a duplicate or late command is refused and does no harm.
 type Actions struct {
 	Commands  []blackboard.Command
 	Orders    []PlannedOrder
 	Decisions []Decision
 }
 
-// PlannedOrder is an order for one engine. The caller sends it at once, gives
-// up at Deadline, and passes the outcome to Memory.Answered.
+// PlannedOrder is an order for one engine. The caller sends it immediately, cancels it at
+// Deadline, and passes the outcome to Memory.Answered.
 type PlannedOrder struct {
 	VM       string
 	Address  string
@@ -73,7 +72,7 @@
 
 func (a *Actions) decide(d Decision) { a.Decisions = append(a.Decisions, d) }
 
-// moveGroup asks for a change of state of one epoch of a group.
+// moveGroup requests a state change of one epoch of a group.
 func (a *Actions) moveGroup(g blackboard.Group, to blackboard.GroupState, reason string, now time.Time) {
 	a.command(&blackboard.SetGroupState{
 		Group: g.ID, Epoch: g.Epoch, From: g.State, To: to,
@@ -81,12 +80,12 @@
 	})
 }
 
-// Run composes the controllers. Facts about VMs come first, then what takes
-// groups out of service, then what brings groups into service, so that a
-// command of one run never builds on a VM that the same run gives up.
+// Run runs all controllers. Controllers that record facts about VMs come first, then those that
+// take groups out of service, then those that bring groups into service. A command therefore
+// never builds on a VM that the same run gives up.
 func Run(v View, now time.Time) Actions {
 	var a Actions
-	v = v.sorted()
+	v = v.withRows()
 	v.Memory.window.adapt()
 	v.Memory.updateCoverage(v, now)
 	v.Memory.recordStates(v, now)
