--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -18,7 +18,7 @@
 	drainQuiet = 2 * time.Second
 	// replaceLimit is how long a drain that an operator asked for waits for
 	// its replacement: as long as a load may take. A leaving VM is not waited for.
-	replaceLimit = loadLimit
+	replaceLimit = loadTimeout
 	// noSpareWait is how long such a drain waits for a replacement to form; when
 	// there is no spare, none will.
 	noSpareWait = 5 * time.Second
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -11,9 +11,9 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// heardView returns a view in which the VM "1" has just announced a and is the
-// only member of the group demo-0, epoch 7, in the given state.
-func heardView(state blackboard.GroupState, change func(*backend.Announcement)) (View, time.Time) {
+// reportedView returns a view in which the VM "1" has just announced a and is the only member of
+// the group demo-0, epoch 7, in the given state.
+func reportedView(state blackboard.GroupState, change func(*backend.Announcement)) (View, time.Time) {
 	now := simStart
 	a := backend.Announcement{
 		ID: "1", Kind: backend.KindEngine, Incarnation: "a", Sequence: 5, Address: "x:1", FabricDomain: "d",
@@ -42,58 +42,59 @@
 	}, now
 }
 
-// A group goes on getting work, or is torn down needlessly. Each line is what a
-// member of a serving group announces, and how long it is waited for.
+// Guards against a faulty group that continues to receive work, and against a needless teardown.
+// Each case gives the announcement of a member of a serving group, and how long the fault must
+// last.
 func TestFaultsOfAServingGroup(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		change   func(*backend.Announcement)
-		text     string
-		patience time.Duration
+		name    string
+		change  func(*backend.Announcement)
+		text    string
+		timeout time.Duration
 	}{
 		{"ready", nil, "", 0},
 		{"failed", func(a *backend.Announcement) { a.Phase = backend.PhaseFailed }, "member 1 failed", 0},
-		{"loads again", func(a *backend.Announcement) { a.Phase = backend.PhaseLoading }, "member 1 is loading", faultPatience},
-		{"idle", func(a *backend.Announcement) { a.Group, a.Epoch = "", 0 }, "member 1 left the epoch", faultPatience},
-		{"another epoch", func(a *backend.Announcement) { a.Epoch = 6 }, "member 1 left the epoch", faultPatience},
-		{"lost another", func(a *backend.Announcement) { a.Unreachable = []string{"2"} }, "member 1 has lost 2, which is silent", lostPatience},
-		{"restarted once heard", func(a *backend.Announcement) { a.Incarnation = "b" }, "member 1 restarted", faultPatience},
+		{"loads again", func(a *backend.Announcement) { a.Phase = backend.PhaseLoading }, "member 1 is loading", faultTimeout},
+		{"idle", func(a *backend.Announcement) { a.Group, a.Epoch = "", 0 }, "member 1 left the epoch", faultTimeout},
+		{"another epoch", func(a *backend.Announcement) { a.Epoch = 6 }, "member 1 left the epoch", faultTimeout},
+		{"lost another", func(a *backend.Announcement) { a.Unreachable = []string{"2"} }, "member 1 has lost 2, which is silent", lostMemberTimeout},
+		{"one announcement of another incarnation", func(a *backend.Announcement) { a.Incarnation = "b" }, "member 1 restarted", faultTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v, now := heardView(blackboard.Serving, c.change)
+			v, now := reportedView(blackboard.Serving, c.change)
 			faults := groupFaults(v, now, v.Board.Groups["demo-0"])
 			if c.text == "" {
 				assert.Equal(t, len(faults), 0)
 				return
 			}
 			assert.DeepEqual(t, faults[0].text, c.text)
-			assert.Equal(t, faults[0].patience, c.patience)
+			assert.Equal(t, faults[0].timeout, c.timeout)
 		})
 	}
-	v, now := heardView(blackboard.Serving, nil)
+	v, now := reportedView(blackboard.Serving, nil)
 	row := v.Board.VMs["1"]
 	row.Incarnation = "b"
 	v.Board.VMs["1"] = row
 	assert.Equal(t, groupFaults(v, now, v.Board.Groups["demo-0"])[0], fault{"member 1 restarted", 0})
 }
 
-// An engine is told to load a group while it still runs another: the board
-// gives it a new epoch, and it reports an old one. It must be told to leave
-// first, and to load only once it reports idle.
+// Guards against an order to load a group for an engine that still runs another: the board
+// assigns a new epoch to the engine, which reports an old one. The engine must receive the order
+// to leave first, and the order to load only once it reports idle.
 func TestAnEngineInAnotherEpochLeavesFirst(t *testing.T) {
-	v, now := heardView(blackboard.Loading, func(a *backend.Announcement) { a.Group, a.Epoch = "demo-4", 5 })
+	v, now := reportedView(blackboard.Loading, func(a *backend.Announcement) { a.Group, a.Epoch = "demo-4", 5 })
 	a := Run(v, now)
 	assert.Equal(t, len(a.Orders), 1)
 	assert.Equal(t, a.Orders[0].Order.Kind, backend.OrderRelease)
 	assert.Equal(t, a.Orders[0].Order.Group, "demo-4")
 	assert.Equal(t, a.Orders[0].Order.Token, backend.FencingToken{Term: 3, Epoch: 5})
 
-	v, now = heardView(blackboard.Broken, func(a *backend.Announcement) { a.Group, a.Epoch = "demo-4", 5 })
+	v, now = reportedView(blackboard.Broken, func(a *backend.Announcement) { a.Group, a.Epoch = "demo-4", 5 })
 	a = Run(v, now)
 	assert.Equal(t, len(a.Orders), 1, "one order at a time")
 	assert.Equal(t, a.Orders[0].Order.Group, "demo-4")
 
-	v, now = heardView(blackboard.Loading, func(a *backend.Announcement) { a.Group, a.Epoch, a.Phase = "", 0, backend.PhaseIdle })
+	v, now = reportedView(blackboard.Loading, func(a *backend.Announcement) { a.Group, a.Epoch, a.Phase = "", 0, backend.PhaseIdle })
 	a = Run(v, now)
 	assert.Equal(t, len(a.Orders), 1)
 	assert.Equal(t, a.Orders[0].Order.Kind, backend.OrderLoad)
@@ -102,11 +103,10 @@
 	assert.Equal(t, len(a.Orders), 0, "not again before resendAfter")
 }
 
-// A VM that is leaving is given work again after a leader change: an entry that
-// it left long ago passed on what it had said then. Only what was heard of late
-// may change a row.
-func TestOldNewsChangesNoRow(t *testing.T) {
-	v, now := heardView(blackboard.Serving, func(a *backend.Announcement) { a.Weights = []string{"demo"} })
+// Guards against new work for a leaving VM after a leader change: an entry that the VM left long
+// ago forwarded an old announcement of it. Only recent announcements may change a row.
+func TestOldAnnouncementsChangeNoRow(t *testing.T) {
+	v, now := reportedView(blackboard.Serving, func(a *backend.Announcement) { a.Weights = []string{"demo"} })
 	puts := func(at time.Time) (n int) {
 		var a Actions
 		recordAnnouncements(v, at, &a)
@@ -116,19 +116,19 @@
 	assert.Equal(t, puts(now.Add(pausedAfter)), 1)
 }
 
-// A new group breaks at once, as a VM was put into it that could not take part.
+// Guards against a new group that breaks at once because it includes a VM that can't take part.
 func TestOnlyAHealthyVMIsUsable(t *testing.T) {
 	idle := func(a *backend.Announcement) { a.Group, a.Epoch, a.Phase = "", 0, backend.PhaseIdle }
 	for _, c := range []struct {
-		name   string
-		say    func(*backend.Announcement)
-		change func(*View, *blackboard.VM)
-		want   bool
+		name     string
+		announce func(*backend.Announcement)
+		change   func(*View, *blackboard.VM)
+		want     bool
 	}{
 		{"idle", idle, nil, true},
 		{"still runs a group", nil, nil, false},
 		{"another incarnation", func(a *backend.Announcement) { idle(a); a.Incarnation = "b" }, nil, false},
-		{"held", idle, func(_ *View, vm *blackboard.VM) { vm.Group = "demo-1" }, false},
+		{"held by a group", idle, func(_ *View, vm *blackboard.VM) { vm.Group = "demo-1" }, false},
 		{"paused", idle, func(_ *View, vm *blackboard.VM) { vm.Liveness = blackboard.Paused }, false},
 		{"leaving", idle, func(_ *View, vm *blackboard.VM) { vm.Leaving = true }, false},
 		{"too few accelerators", idle, func(_ *View, vm *blackboard.VM) { vm.Accelerators = 2 }, false},
@@ -136,7 +136,7 @@
 		{"failed its load", idle, func(v *View, _ *blackboard.VM) { v.Memory.avoidUntil["1"] = simStart.Add(time.Second) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v, now := heardView(blackboard.Released, c.say)
+			v, now := reportedView(blackboard.Released, c.announce)
 			vm := v.Board.VMs["1"]
 			vm.Group, vm.Epoch, vm.Accelerators = "", 0, 4
 			if c.change != nil {
@@ -147,8 +147,8 @@
 	}
 }
 
-// All groups load at once from a store of fixed rate, and all finish last; or
-// the one worth most waits behind a load that is stuck.
+// Guards against two faults: all groups load at once from a store of fixed rate and all finish
+// last, or the group with the highest worth waits behind a load that does not end.
 func TestLoadsBeginInOrderOfWorth(t *testing.T) {
 	config := func(worths ...int) blackboard.ConfigChange {
 		var c blackboard.ConfigChange
--- a/internal/controller/opening_test.go
+++ b/internal/controller/opening_test.go
@@ -120,7 +120,7 @@
 	w.run(8 * time.Second)
 	assert.Assert(t, w.board.Groups["wide-0"].State != blackboard.Serving, "its head has said that it broke")
 	assert.Assert(t, w.board.Groups["wide-1"].State == blackboard.Serving, "nothing but silence speaks against it yet")
-	w.run(silentLimit)
+	w.run(silentMemberLimit)
 	assert.Assert(t, w.board.Groups["wide-1"].State != blackboard.Serving)
 }
 
--- a/internal/controller/timing.go
+++ b/internal/controller/timing.go
@@ -31,7 +31,7 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&t.Paused, pausedAfter}, {&t.Dead, deadAfter}, {&t.Fault, faultPatience}, {&t.Start, startLimit},
+		{&t.Paused, pausedAfter}, {&t.Dead, deadAfter}, {&t.Fault, faultTimeout}, {&t.Start, startTimeout},
 		{&t.Resend, resendAfter}, {&t.Settle, rejoinWait}, {&t.SettleMost, maxRejoinWait}, {&t.Stall, DefaultStall},
 	} {
 		if *d.field == 0 {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -94,7 +94,7 @@
 	planLayouts(v, now, &a)
 	recordAnnouncements(v, now, &a)
 	updateLiveness(v, now, &a)
-	breaking(v, now, &a)
+	breakGroups(v, now, &a)
 	straggling(v, now)
 	marking(v, now, &a)
 	draining(v, now, &a)
