--- a/internal/controller/cooling_test.go
+++ b/internal/controller/cold_marks_test.go
@@ -11,7 +11,8 @@
 
 const simCold = 3 * time.Second
 
-// newColdWorld is a pool whose engines are cold for a while after they have started.
+// newColdWorld returns a pool whose engines are cold (within their slow-start period) for a while
+// after each start.
 func newColdWorld(t *testing.T, seed uint64) *poolWorld {
 	w := newPoolWorld(t, seed, 1, 9)
 	w.cold, w.coldPerSecond = simCold, 26
@@ -22,7 +23,8 @@
 	return w
 }
 
-// Guards against a cold head that serves before the board marks it, and a mark that stays.
+// Guards against a cold head that serves before the board marks it, and against a mark that
+// stays.
 func TestAColdHeadIsMarkedBeforeItServes(t *testing.T) {
 	w := newColdWorld(t, 1)
 	w.load = 500 * time.Millisecond
@@ -43,7 +45,7 @@
 	assert.Equal(t, len(w.board.ColdServers), 0)
 }
 
-// Guards against a head that has just started where a member that is warm could be it.
+// Guards against a head that has just started where a warm member could be the head.
 func TestAWarmMemberBecomesTheHead(t *testing.T) {
 	w := newColdWorld(t, 2)
 	w.run(25 * time.Second)
@@ -63,8 +65,8 @@
 	assert.Equal(t, w.serving()["wide"], 2)
 }
 
-// Guards against the end of an evacuation that takes the word of before it for the present
-// state: only an announcement that left after it shows that a backend server is not cold.
+// Guards against a mark that is removed for an announcement from before the end of an evacuation.
+// Only an announcement sent after that end shows that a backend server is not cold.
 func TestAMarkStaysUntilALaterAnnouncement(t *testing.T) {
 	w := newColdWorld(t, 3)
 	for _, e := range w.engines {
@@ -83,7 +85,7 @@
 	assert.Equal(t, len(w.board.ColdServers), 0)
 }
 
-// Guards against a mark that a new leader takes off at once.
+// Guards against a new leader that removes a mark at once.
 func TestANewLeaderKeepsAMark(t *testing.T) {
 	w := newColdWorld(t, 4)
 	for _, e := range w.engines {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -96,7 +96,7 @@
 	updateLiveness(v, now, &a)
 	breakGroups(v, now, &a)
 	straggling(v, now)
-	marking(v, now, &a)
+	updateColdMarks(v, now, &a)
 	draining(v, now, &a)
 	releasing(v, now, &a)
 	correcting(v, now, &a)
