--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// drainLimit is the least time for work in flight of a draining group; the
-	// longest timeout of a request class counts when it is longer. Past it no
-	// caller waits, and what still runs is resumed on another group.
-	drainLimit = 2 * time.Minute
-	// drainQuiet is how long all members must report no work, for work that
-	// moves between the engine's queue and its batch while it counts.
-	drainQuiet = 2 * time.Second
-	// replaceLimit is how long a drain that an operator asked for waits for
-	// its replacement: as long as a load may take. A leaving VM is not waited for.
-	replaceLimit = loadTimeout
-	// noSpareWait is how long such a drain waits for a replacement to form; when
-	// there is no spare, none will.
+	// drainTimeout is the shortest limit for work in flight of a draining group; a longer timeout
+	// of a request class replaces it. After that time no caller waits, and work that still runs
+	// is resumed on another group.
+	drainTimeout = 2 * time.Minute
+	// drainIdleTime is how long all members must report no work, because work may move between
+	// the engine's queue and its batch while the engine counts it.
+	drainIdleTime = 2 * time.Second
+	// replaceTimeout is how long a drain by an operator waits for the replacement: as long as a
+	// load may take. A leaving VM is not waited for.
+	replaceTimeout = loadTimeout
+	// noSpareWait is how long such a drain waits for a replacement to form; without a spare, none
+	// will form.
 	noSpareWait = 5 * time.Second
-	// surplusHold is how long a group must be unwanted before it is drained,
-	// so that a preset switched there and back reloads nothing.
-	surplusHold = 10 * time.Second
+	// surplusDelay is how long a group must be surplus before it is drained, so that switching a
+	// preset there and back reloads nothing.
+	surplusDelay = 10 * time.Second
 )
 
-// draining takes groups out of service that should not serve: a member is
-// leaving or drained, the group is drained, or more run than are wanted.
-func draining(v View, now time.Time, a *Actions) {
+// drainGroups takes groups out of service that should not serve: a member is leaving or drained,
+// the group is drained, or more groups run than are wanted.
+func drainGroups(v View, now time.Time, a *Actions) {
 	surplus := surplusGroups(v)
 	for _, g := range groupsByWorth(v) {
 		if g.State != blackboard.Serving && g.State != blackboard.Loading && g.State != blackboard.Forming {
 			continue
 		}
-		reason, due := drainReason(v, now, g, surplus[g.ID])
+		reason, delay := drainReason(v, now, g, surplus[g.ID])
 		epoch := groupEpoch{g.ID, g.Epoch}
 		if reason == "" {
 			delete(v.Memory.drainSince, epoch)
 			continue
 		}
-		if now.Sub(firstSeen(v.Memory.drainSince, epoch, now)) < due {
+		if now.Sub(firstSeen(v.Memory.drainSince, epoch, now)) < delay {
 			continue
 		}
 		to := blackboard.Draining
@@ -53,8 +53,8 @@
 	}
 }
 
-// drainReason returns why a group should go, and how long that must last.
-func drainReason(v View, now time.Time, g blackboard.Group, surplus bool) (reason string, due time.Duration) {
+// drainReason returns why a group should be drained, and how long the reason must last.
+func drainReason(v View, now time.Time, g blackboard.Group, surplus bool) (reason string, delay time.Duration) {
 	c := &v.Board.Config
 	for _, m := range g.Members {
 		if v.Board.VMs[m.VM].Leaving {
@@ -67,7 +67,7 @@
 	if c.DrainedGroups[g.ID] {
 		return "group is drained", replaceWait(v, g)
 	}
-	if partlyEvacuated(v, g) {
+	if isPartlyEvacuated(v, g) {
 		return "a part of its members lies in a data centre that is evacuated", 0
 	}
 	for _, m := range g.Members {
@@ -76,15 +76,15 @@
 		}
 	}
 	if surplus {
-		return "more replicas than wanted", surplusHold
+		return "more replicas than wanted", surplusDelay
 	}
 	return "", 0
 }
 
-// partlyEvacuated tells whether some members of a group lie in data centres that are
-// evacuated and some do not. The latter are of use elsewhere, while a group that lies
-// there whole is kept for the return.
-func partlyEvacuated(v View, g blackboard.Group) bool {
+// isPartlyEvacuated reports whether some members of a group are in evacuated data centres and
+// some are not. The latter are useful elsewhere, whereas a group that is completely in evacuated
+// data centres is kept for their return.
+func isPartlyEvacuated(v View, g blackboard.Group) bool {
 	if len(g.OtherDataCentres) == 0 || !v.Board.EvacuatesGroup(g) {
 		return false
 	}
@@ -92,8 +92,7 @@
 		slices.ContainsFunc(g.OtherDataCentres, func(dataCentre string) bool { return !v.Board.Evacuated(dataCentre) })
 }
 
-// replaceWait returns how long a drain that an operator asked for leaves the
-// group serving.
+// replaceWait returns how long a drain by an operator leaves the group serving.
 func replaceWait(v View, g blackboard.Group) time.Duration {
 	switch {
 	case g.State != blackboard.Serving || shortage(v, g.Spec) <= 0:
@@ -101,12 +100,12 @@
 	case missingGroups(v, g.Spec) > 0:
 		return noSpareWait
 	}
-	return replaceLimit
+	return replaceTimeout
 }
 
-// outgoing tells whether a group is on its way out, so that it does not count
-// towards the wanted replicas and a replacement may form beside it.
-func outgoing(v View, g blackboard.Group) bool {
+// isOutgoing reports whether a group is to be taken out of service. Such a group does not count
+// towards the wanted replicas, so a replacement may form beside it.
+func isOutgoing(v View, g blackboard.Group) bool {
 	c := &v.Board.Config
 	if c.DrainedGroups[g.ID] || v.Memory.beingReplaced[groupEpoch{g.ID, g.Epoch}] || v.Board.EvacuatesGroup(g) {
 		return true
@@ -117,7 +116,7 @@
 	return losesMember(v, g)
 }
 
-// losesMember tells whether a member of a group is leaving or drained.
+// losesMember reports whether a member of a group is leaving or drained.
 func losesMember(v View, g blackboard.Group) bool {
 	for _, m := range g.Members {
 		if v.Board.Config.DrainedVMs[m.VM] || v.Board.VMs[m.VM].Leaving {
@@ -127,7 +126,7 @@
 	return false
 }
 
-// wanted returns how many replicas of a spec should run.
+// wantedGroups returns how many replicas of a spec should run.
 func wantedGroups(v View, spec string) int {
 	c := &v.Board.Config
 	declared, ok := c.Groups[spec]
@@ -140,20 +139,20 @@
 	return c.GroupReplicas(spec)
 }
 
-// shortage returns how many groups of a spec still have to serve before an
-// outgoing one may go.
+// shortage returns how many groups of a spec still have to serve before an outgoing group may be
+// drained.
 func shortage(v View, spec string) int {
 	serving := 0
 	for _, g := range v.Board.Groups {
-		if g.Spec == spec && g.State == blackboard.Serving && !outgoing(v, g) {
+		if g.Spec == spec && g.State == blackboard.Serving && !isOutgoing(v, g) {
 			serving++
 		}
 	}
 	return wantedGroups(v, spec) - serving
 }
 
-// surplusGroups returns the groups beyond the wanted replicas: not yet serving
-// ones first, as they cost callers nothing, then the highest numbers.
+// surplusGroups returns the groups beyond the wanted replicas: groups that do not serve yet come
+// first, as callers do not notice their loss, then those with the highest numbers.
 func surplusGroups(v View) map[string]bool {
 	surplus := make(map[string]bool)
 	counts := make(map[string]int)
@@ -161,13 +160,13 @@
 	for _, state := range []blackboard.GroupState{blackboard.Serving, blackboard.Loading, blackboard.Forming} {
 		for _, id := range ids {
 			g := v.Board.Groups[id]
-			if g.State != state || outgoing(v, g) {
+			if g.State != state || isOutgoing(v, g) {
 				continue
 			}
 			counts[g.Spec]++
 			if g.Opens && wantedGroups(v, g.Spec) > 0 {
-				// What a pool has formed beyond its share serves on: a pool that
-				// shrinks is no reason to break up what works.
+				// The groups that a pool has formed beyond its share continue to serve: the
+				// shrinking of a pool is no reason to break up a working group.
 				continue
 			}
 			if counts[g.Spec] > wantedGroups(v, g.Spec) {
@@ -178,36 +177,36 @@
 	return surplus
 }
 
-// drained tells whether a draining group's work is done: each member has
-// reported none for drainQuiet, or no caller can still wait for any.
-func drained(v View, now time.Time, g blackboard.Group) bool {
+// isDrained reports whether a draining group's work is done: each member has reported no work for
+// drainIdleTime, or no caller can still wait for any work.
+func isDrained(v View, now time.Time, g blackboard.Group) bool {
 	epoch := groupEpoch{g.ID, g.Epoch}
 	draining := v.Memory.timeInState(g, now)
-	if draining > workLimit(v) {
+	if draining > maxWorkTime(v) {
 		return true
 	}
 	for _, m := range g.Members {
-		if !withoutWork(v, g, m, now.Add(-draining)) {
+		if !isIdle(v, g, m, now.Add(-draining)) {
 			delete(v.Memory.idleSince, epoch)
 			return false
 		}
 	}
-	return now.Sub(firstSeen(v.Memory.idleSince, epoch, now)) >= drainQuiet
+	return now.Sub(firstSeen(v.Memory.idleSince, epoch, now)) >= drainIdleTime
 }
 
-func workLimit(v View) time.Duration {
-	limit := drainLimit
+func maxWorkTime(v View) time.Duration {
+	limit := drainTimeout
 	for _, c := range v.Board.Config.Classes {
 		limit = max(limit, time.Duration(c.TimeoutMillis)*time.Millisecond)
 	}
 	return limit
 }
 
-// withoutWork tells whether a member's load report, made once no entry could
-// still hold the group routable, shows no work. Its age does not matter then, as
-// nothing new arrives. An engine that reports no load is waited for until the
+// isIdle reports whether a member's load report shows no work. The report must date from a time
+// when no entry could still consider the group routable. A later age of the report does not
+// matter, as no new work arrives. The drain waits for an engine that reports no load until the
 // limit.
-func withoutWork(v View, g blackboard.Group, m blackboard.GroupMember, drainedFrom time.Time) bool {
+func isIdle(v View, g blackboard.Group, m blackboard.GroupMember, drainedFrom time.Time) bool {
 	r, hasReport := v.Evidence.Get(m.VM)
 	if !hasReport {
 		return false
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -144,7 +144,7 @@
 // isKept reports whether a group is to stay: it serves or is about to, and is not outgoing.
 func isKept(v View, g blackboard.Group) bool {
 	active := g.State == blackboard.Forming || g.State == blackboard.Loading || g.State == blackboard.Serving
-	return active && !outgoing(v, g)
+	return active && !isOutgoing(v, g)
 }
 
 // packingVM returns the row of a VM as package packing needs it.
--- a/internal/controller/releasing.go
+++ b/internal/controller/releasing.go
@@ -43,7 +43,7 @@
 	if g.Opens {
 		return g.State == blackboard.Draining && finishRequests(v, now, a, g)
 	}
-	return g.State == blackboard.Draining && drained(v, now, g)
+	return g.State == blackboard.Draining && isDrained(v, now, g)
 }
 
 func releaseMember(v View, now time.Time, a *Actions, g blackboard.Group, m blackboard.GroupMember, vm blackboard.VM) {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -97,7 +97,7 @@
 	breakGroups(v, now, &a)
 	straggling(v, now)
 	updateColdMarks(v, now, &a)
-	draining(v, now, &a)
+	drainGroups(v, now, &a)
 	releasing(v, now, &a)
 	correcting(v, now, &a)
 	loading(v, now, &a)
