--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -9,22 +9,21 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// storeLoads is how many groups load from the weight store at once.
+// maxStoreLoads is how many groups load from the weight store at the same time.
 //
-// Load: many groups are rebuilt at once after a fabric domain went dark, and
-// the store's rate is fixed. Harm: when all load side by side, all finish
-// last; one after the other, the average group waits half as long, and the
-// one worth most is first. Reason for two and not one: a load spends part of
-// its time off the store, copying weights into accelerators.
-const storeLoads = 2
+// Load: many groups are rebuilt at once after the loss of a fabric domain, and the store's rate
+// is fixed. Harm: if all groups load in parallel, all finish last. One after the other, the
+// average group waits half as long, and the group with the highest worth is first. Reason for two
+// and not one: a load spends part of its time off the store, copying weights into accelerators.
+const maxStoreLoads = 2
 
-// loading lets formed groups load in order of worth, sends and resends the
-// orders, and takes a group into service when each member reports ready.
-func loading(v View, now time.Time, a *Actions) {
-	var at store
+// loadGroups lets formed groups load in order of worth, sends and resends the orders, and takes a
+// group into service when each member reports ready.
+func loadGroups(v View, now time.Time, a *Actions) {
+	var running storeLoads
 	for _, g := range v.Board.Groups {
-		if g.State == blackboard.Loading && !g.Opens && readsStore(v, g) {
-			at.begin(worthOf(v, g))
+		if g.State == blackboard.Loading && !g.Opens && needsStore(v, g) {
+			running.begin(worthOf(v, g))
 		}
 	}
 	for _, g := range loadingOrder(v) {
@@ -34,20 +33,20 @@
 		case g.Opens && g.State == blackboard.Loading:
 			continueOpening(v, now, a, g)
 		case g.State == blackboard.Forming:
-			startLoading(v, now, a, g, &at)
+			startLoading(v, now, a, g, &running)
 		case g.State == blackboard.Loading:
 			continueLoading(v, now, a, g)
 		}
 	}
 }
 
-// loadingOrder returns the groups that are on their way to serve, in the order in which they are to load: those worth
-// most first; of equal worth, those of the models that have the smallest part of the groups
-// that they should have.
+// loadingOrder returns the groups that form or load, in the order in which they are to load: the
+// highest worth first; of equal worth, the groups of the models that have the smallest part of
+// their wanted groups.
 //
-// Load: a pool of 3,000 VMs starts, and the callers of all its models come before all
-// groups serve. In the order of their ids the groups of one model came last, and while half
-// of the pool served, that model's callers found nobody.
+// Load: a pool of 3,000 VMs starts, and the callers of all its models arrive before all groups
+// serve. In the order of their IDs, the groups of one model came last. While half of the pool
+// served, that model's callers found no group.
 func loadingOrder(v View) []blackboard.Group {
 	groups := groupsByWorth(v)
 	served := make(map[string]int)
@@ -77,40 +76,40 @@
 	return ordered
 }
 
-// store is what loads from the weight store.
-type store struct {
+// storeLoads counts the groups that load from the weight store.
+type storeLoads struct {
 	loads int
-	// top is the worth of the group worth most that loads.
-	top int
+	// topWorth is the highest worth of the groups that load.
+	topWorth int
 }
 
-func (s *store) begin(worth int) {
-	if s.loads == 0 || worth > s.top {
-		s.top = worth
+func (s *storeLoads) begin(worth int) {
+	if s.loads == 0 || worth > s.topWorth {
+		s.topWorth = worth
 	}
 	s.loads++
 }
 
-func (s *store) room(worth int) bool {
-	return s.loads < storeLoads || worth > s.top
+func (s *storeLoads) hasCapacity(worth int) bool {
+	return s.loads < maxStoreLoads || worth > s.topWorth
 }
 
-func startLoading(v View, now time.Time, a *Actions, g blackboard.Group, at *store) {
-	if !readsStore(v, g) {
+func startLoading(v View, now time.Time, a *Actions, g blackboard.Group, running *storeLoads) {
+	if !needsStore(v, g) {
 		a.moveGroup(g, blackboard.Loading, "members hold the weights", now)
 		return
 	}
 	worth := worthOf(v, g)
-	if !at.room(worth) {
+	if !running.hasCapacity(worth) {
 		return
 	}
-	at.begin(worth)
+	running.begin(worth)
 	a.moveGroup(g, blackboard.Loading, "from the weight store", now)
-	a.decide(Decision{Kind: "load", Subject: g.ID, Choice: g.Model, Reason: "worth most of those that wait"})
+	a.decide(Decision{Kind: "load", Subject: g.ID, Choice: g.Model, Reason: "highest worth of the waiting groups"})
 }
 
-// readsStore tells whether a member still has to fetch weights.
-func readsStore(v View, g blackboard.Group) bool {
+// needsStore reports whether a member still has to fetch weights.
+func needsStore(v View, g blackboard.Group) bool {
 	for _, m := range g.Members {
 		if !holdsWeights(v, m.VM, g.Model) {
 			return true
@@ -138,7 +137,7 @@
 		case r.Group == "":
 			sendLoad(v, now, a, g, rank)
 		}
-		// An engine in another epoch is told to leave it by correcting first.
+		// releaseStrayEngines first orders an engine in another epoch to leave it.
 	}
 	if ready == len(g.Members) {
 		a.moveGroup(g, blackboard.Serving, "all members ready", now)
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -28,7 +28,7 @@
 // startOpening lets a group of a pool load when the weight store has capacity.
 func startOpening(v View, now time.Time, a *Actions, g blackboard.Group) {
 	pool := v.Board.Config.Groups[g.Spec].Pool
-	if readsStore(v, g) && !v.Memory.storeOf(pool).hasCapacity(engineSpec(v, g.Spec)) {
+	if needsStore(v, g) && !v.Memory.storeOf(pool).hasCapacity(engineSpec(v, g.Spec)) {
 		return
 	}
 	a.moveGroup(g, blackboard.Loading, "the weight store has room", now)
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -100,7 +100,7 @@
 	drainGroups(v, now, &a)
 	releasing(v, now, &a)
 	correcting(v, now, &a)
-	loading(v, now, &a)
+	loadGroups(v, now, &a)
 	formGroups(v, now, &a)
 	stageStandbys(v, now, &a)
 	v.Memory.removeObsolete(v)
