--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -134,7 +134,7 @@
 			}
 			r := reportOf("vm", c.incarnation, c.sequence, c.phase, now)
 			g := blackboard.Group{ID: "demo-0", Epoch: 5}
-			got := freed(v, now, g, blackboard.GroupMember{VM: "vm", Incarnation: "a"}, r)
+			got := isProvenFree(v, now, g, blackboard.GroupMember{VM: "vm", Incarnation: "a"}, r)
 			assert.Equal(t, got, c.want)
 		})
 	}
--- a/internal/controller/opening.go
+++ b/internal/controller/opening.go
@@ -108,7 +108,7 @@
 	r, hasReport := v.Evidence.Get(head.VM)
 	inEpoch := hasReport && r.Incarnation == head.Incarnation && r.Group == g.ID && r.Epoch == g.Epoch
 	switch {
-	case draining > finishTimeout, hasReport && r.Incarnation != head.Incarnation && succeeded(v, head, r):
+	case draining > finishTimeout, hasReport && r.Incarnation != head.Incarnation && isSuperseded(v, head, r):
 		return true
 	case inEpoch && r.Phase != backend.PhaseOpen && r.Phase != backend.PhaseClosing:
 		return true
@@ -156,7 +156,7 @@
 	head := g.Head()
 	r, hasReport := v.Evidence.Get(head.VM)
 	if hasReport && r.Incarnation != head.Incarnation {
-		return succeeded(v, head, r)
+		return isSuperseded(v, head, r)
 	}
 	if now.Before(v.Memory.ordersFrom) {
 		return false
--- a/internal/controller/releasing.go
+++ b/internal/controller/releasing.go
@@ -8,11 +8,11 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// releasing gets the members of broken and drained groups out of their epoch,
-// frees each VM on proof, and closes the group when all are free.
-func releasing(v View, now time.Time, a *Actions) {
+// releaseGroups orders the members of broken and drained groups to leave their epoch, frees each
+// VM on proof, and closes the group when all its VMs are free.
+func releaseGroups(v View, now time.Time, a *Actions) {
 	for _, g := range groupsByWorth(v) {
-		if !toRelease(v, now, a, g) {
+		if !prepareRelease(v, now, a, g) {
 			continue
 		}
 		if g.Opens {
@@ -36,7 +36,7 @@
 	}
 }
 
-func toRelease(v View, now time.Time, a *Actions, g blackboard.Group) bool {
+func prepareRelease(v View, now time.Time, a *Actions, g blackboard.Group) bool {
 	if g.State == blackboard.Broken {
 		return true
 	}
@@ -52,38 +52,38 @@
 		return
 	}
 	if r.Group != "" && (r.Group != g.ID || r.Epoch != g.Epoch) {
-		// It runs something else, which correcting tells it to leave first.
+		// The engine runs another epoch, which releaseStrayEngines first orders it to leave.
 		return
 	}
-	if freed(v, now, g, m, r) {
+	if isProvenFree(v, now, g, m, r) {
 		a.command(&blackboard.FreeVM{VM: m.VM, Group: g.ID, Epoch: g.Epoch, Incarnation: vm.Incarnation})
 		return
 	}
 	sendRelease(v, now, a, vm, vm.Incarnation, groupEpoch{g.ID, g.Epoch})
 }
 
-// succeeded tells whether the incarnation that a member had is gone: the
-// blackboard holds the one of the report, or will.
-func succeeded(v View, m blackboard.GroupMember, r evidence.Report) bool {
+// isSuperseded reports whether the incarnation of a member has ended: the blackboard holds the
+// incarnation of the report, or will hold it.
+func isSuperseded(v View, m blackboard.GroupMember, r evidence.Report) bool {
 	vm := v.Board.VMs[m.VM]
 	return vm.Incarnation == r.Incarnation || supersedes(r, vm.StartedMillis)
 }
 
-// freed tells whether a VM has proved that the epoch no longer runs on it.
+// isProvenFree reports whether a VM has proved that the epoch no longer runs on it.
 //
-// Failure: a VM is thought free while its old group still runs, or will run
-// once a late order arrives, and it ends up in two groups. Silence proves
-// nothing. Proof is one of two, and an idle engine in both:
+// Failure: a VM counts as free while its old group still runs, or will run once a late order
+// arrives, and the VM ends up in two groups. Silence proves nothing. Proof is one of the
+// following two facts, together with an idle engine:
 //
 //   - The engine accepted this leader's release order and announced that it is
-//     idle after that. The first announcement heard after the acceptance may
-//     have left before it, so the proof is a later one; engines announce one
-//     at a time.
-//   - The process that held the epoch is gone: a new incarnation announces.
+//     idle after that. The first announcement received after the acceptance may
+//     have been sent before it, so the proof is a later one; engines send one
+//     announcement at a time.
+//   - The process that ran the epoch has ended: a new incarnation announces.
 //
-// And no load order of this leader may still be on its way; those of earlier
+// In addition, no load order of this leader may still be in transit. Load orders of earlier
 // leaders ended with their leases, before this leader's first order.
-func freed(v View, now time.Time, g blackboard.Group, m blackboard.GroupMember, r evidence.Report) bool {
+func isProvenFree(v View, now time.Time, g blackboard.Group, m blackboard.GroupMember, r evidence.Report) bool {
 	if r.Phase != backend.PhaseIdle || r.Group != "" {
 		return false
 	}
@@ -110,14 +110,14 @@
 	return r.Sequence > o.firstSequence
 }
 
-// correcting tells engines to leave an epoch that the blackboard does not give
+// releaseStrayEngines orders engines to leave an epoch that the blackboard does not assign to
 // them.
 //
-// Failure: an order is delivered long after it was sent, or an engine that
-// ignores fencing obeys a leader that was replaced, and the engine runs what
-// nobody routes to, holding its accelerators. What engines report is compared
-// with the blackboard, and they are told to leave.
-func correcting(v View, now time.Time, a *Actions) {
+// Failure: an order is delivered long after it was sent, or an engine that ignores fencing obeys
+// a leader that was replaced. The engine then runs a group to which nobody routes and keeps its
+// accelerators busy. The controller compares the engines' reports with the blackboard and orders
+// such engines to leave.
+func releaseStrayEngines(v View, now time.Time, a *Actions) {
 	for _, id := range v.vmIDs() {
 		vm := v.Board.VMs[id]
 		r, hasReport := v.Evidence.Get(id)
@@ -131,12 +131,12 @@
 			continue
 		}
 		if vm.Pool != "" && r.Phase != backend.PhaseOpen && r.Phase != backend.PhaseClosing {
-			// A member of a pool that does not serve harms nobody, and the next
-			// join takes it out.
+			// A member of a pool that does not serve harms nobody, and its next join ends its old
+			// group.
 			continue
 		}
 		if sendRelease(v, now, a, vm, r.Incarnation, groupEpoch{r.Group, r.Epoch}) {
-			a.decide(Decision{Kind: "release", Subject: id, Choice: r.Group, Reason: "the blackboard gives the VM another epoch"})
+			a.decide(Decision{Kind: "release", Subject: id, Choice: r.Group, Reason: "the blackboard assigns another epoch to the VM"})
 		}
 	}
 }
