--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -133,7 +133,7 @@
 		w := newWorld(t, 47, 1, 2+spare, defaultPolicy, demoConfig(1, 2))
 		w.run(30 * time.Second)
 		w.byID[w.board.Groups["demo-0"].Members[0].VM].slow = 6
-		w.run(stragglerPatience + 40*time.Second)
+		w.run(stragglerTimeout + 40*time.Second)
 		finish(t, w)
 		if spare < 2 {
 			assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Serving, w.states())
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -29,7 +29,7 @@
 			delete(v.Memory.shortSince, spec.Name)
 			continue
 		}
-		if short <= replacing(v, spec.Name) || spec.Pool != "" {
+		if short <= countReplacing(v, spec.Name) || spec.Pool != "" {
 			continue
 		}
 		if domain := domainToReserve(v, now, spec, u); domain != "" {
--- a/internal/controller/straggling.go
+++ b/internal/controller/straggling.go
@@ -6,19 +6,18 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// stragglerPatience is how long a member of a serving group must have been out
-// of order before the group is replaced. A VM that only pauses is back or dead
-// by then.
-const stragglerPatience = 20 * time.Second
+// stragglerTimeout is how long a member of a serving group must have been unhealthy before the
+// group is replaced. A VM that only pauses is back or dead by then.
+const stragglerTimeout = 20 * time.Second
 
-// straggling marks serving groups for replacement in which one member straggles.
+// markStragglers marks serving groups for replacement in which one member straggles.
 //
-// Failure: a member announces itself every few seconds. It never counts as
-// dead, but its evidence is too old to route by half of the time, and the group
-// answers now and then. The group is replaced only when free VMs allow it now:
-// one that answers now and then is better than none, and one replacement at a
-// time per spec keeps a slow network, which slows all, from moving everything.
-func straggling(v View, now time.Time) {
+// Failure: a member announces itself only every few seconds. It never counts as dead, but half of
+// the time its evidence is too old for routing, and the group answers only now and then. The
+// group is replaced only if free VMs allow it now, because a group that answers now and then is
+// better than none. One replacement at a time per spec keeps a slow network, which slows down all
+// groups, from moving everything.
+func markStragglers(v View, now time.Time) {
 	busy := make(map[string]bool)
 	for _, g := range v.Board.Groups {
 		if v.Memory.beingReplaced[groupEpoch{g.ID, g.Epoch}] {
@@ -27,12 +26,12 @@
 	}
 	for _, g := range groupsByWorth(v) {
 		k := groupEpoch{g.ID, g.Epoch}
-		if g.State != blackboard.Serving || !outOfOrder(v, g) {
+		if g.State != blackboard.Serving || !hasUnhealthyMember(v, g) {
 			delete(v.Memory.unhealthySince, k)
 			delete(v.Memory.beingReplaced, k)
 			continue
 		}
-		if now.Sub(firstSeen(v.Memory.unhealthySince, k, now)) < stragglerPatience || busy[g.Spec] {
+		if now.Sub(firstSeen(v.Memory.unhealthySince, k, now)) < stragglerTimeout || busy[g.Spec] {
 			continue
 		}
 		spec, ok := v.Board.Config.Groups[g.Spec]
@@ -43,7 +42,7 @@
 	}
 }
 
-func outOfOrder(v View, g blackboard.Group) bool {
+func hasUnhealthyMember(v View, g blackboard.Group) bool {
 	for _, m := range g.Members {
 		if v.Board.VMs[m.VM].Liveness != blackboard.Alive {
 			return true
@@ -52,9 +51,9 @@
 	return false
 }
 
-// replacing returns how many groups of a spec serve on while their replacement
-// loads. No other group is broken up for these.
-func replacing(v View, spec string) int {
+// countReplacing returns how many groups of a spec continue to serve while their replacement
+// loads. No other group is broken up for their replacement.
+func countReplacing(v View, spec string) int {
 	n := 0
 	for _, g := range v.Board.Groups {
 		if g.Spec == spec && v.Memory.beingReplaced[groupEpoch{g.ID, g.Epoch}] {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -95,7 +95,7 @@
 	recordAnnouncements(v, now, &a)
 	updateLiveness(v, now, &a)
 	breakGroups(v, now, &a)
-	straggling(v, now)
+	markStragglers(v, now)
 	updateColdMarks(v, now, &a)
 	drainGroups(v, now, &a)
 	releaseGroups(v, now, &a)
