--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -10,11 +10,11 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// A group that serves loses a member though nothing died: a load order of an
-// earlier leader, held up on its way, reaches a VM that has since been released
-// and serves in another epoch. An engine that checks fencing must refuse it.
-// One that doesn't will obey; then the group must be unroutable within the
-// freshness bound, the engine must be told to leave, and a new epoch serve.
+// Guards against a serving group that loses a member through a late order. The load order of an
+// earlier leader is delayed and reaches a VM that has since been released and serves in another
+// epoch. An engine that checks fencing must refuse the order. An engine that does not check will
+// obey. Then the group must be unroutable within the freshness bound, the engine must receive an
+// order to leave, and a new epoch must serve.
 func TestAnOrderDelayedPastALeaderChange(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		t.Run(map[bool]string{true: "engine checks", false: "engine ignores"}[fencing], func(t *testing.T) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// Two leaders order one engine about at once. The old one is cut off and still
-// believes its lease; the new one must send nothing before that lease ends.
+// Guards against two leaders that send orders to one engine at the same time. The old leader is
+// cut off and still relies on its lease; the new leader must send nothing before that lease ends.
 func TestANewLeaderWaitsOutTheOldLease(t *testing.T) {
 	w := newWorld(t, 12, 1, 3, defaultPolicy, demoConfig(1, 3))
 	w.run(1500 * time.Millisecond)
@@ -71,8 +71,8 @@
 	assert.Assert(t, sent >= simLease+driftMargin, "sent after %s", sent)
 }
 
-// A leader is about to lose its lease. An order whose deadline would come after
-// the lease must get the shorter deadline, or not be sent at all.
+// A leader is about to lose its lease. An order whose deadline would come after the end of the
+// lease must get the shorter deadline, or not be sent at all.
 func TestAnOrdersDeadlineEndsBeforeTheLease(t *testing.T) {
 	now := simStart
 	for _, c := range []struct {
@@ -92,9 +92,8 @@
 	}
 }
 
-// A VM is put into a second group while the first still runs on it. Each line
-// is what the leader knows of a member of a broken group, and whether that
-// proves the VM free.
+// Guards against a VM that joins a second group while the first still runs on it. Each case gives
+// what the leader knows about a member of a broken group, and whether that proves the VM free.
 func TestAVMIsFreedOnProofOnly(t *testing.T) {
 	now := simStart.Add(time.Minute)
 	released := func(change func(*orderRecord)) *orderRecord {
--- a/internal/controller/measures.go
+++ b/internal/controller/measures.go
@@ -8,23 +8,22 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// Measures returns the present values of the brief's two measures; the caller
-// adds them up over time.
+// Measures returns the present values of the two measures, groups down and stranded accelerators;
+// the caller adds them up over time.
 //
-// A wanted replica is down unless a group of its spec is routable by the
-// evidence of this process: a group with a paused member does not work though
-// the blackboard still says serving. A group that drains works until it is
-// released, but does not count for its spec. Stranded are the accelerators of
-// VMs that are heard and whose group does not work. While this process does not
-// hear a majority of the entries it knows too little and goes by the
-// blackboard.
+// A wanted replica is down unless a group of its spec is routable by the evidence of this
+// process: a group with a paused member does not work although the blackboard still states
+// serving. A draining group works until it is released, but does not count for its spec. Stranded
+// accelerators are those of VMs that are neither paused nor dead and whose group does not work.
+// While this process does not receive announcements from a majority of the entries, its evidence
+// is insufficient and it uses the blackboard instead.
 func Measures(board *blackboard.Board, table *evidence.Table, now time.Time) adminapi.Measures {
 	var m adminapi.Measures
 	covered := table.Covered(now, board)
 	working := make(map[string]bool)
 	serving := make(map[string]int)
 	for id, g := range board.Groups {
-		if !works(board, table, now, g, covered) {
+		if !isWorking(board, table, now, g, covered) {
 			continue
 		}
 		working[id] = true
@@ -46,7 +45,7 @@
 	return m
 }
 
-func works(board *blackboard.Board, table *evidence.Table, now time.Time, g blackboard.Group, covered bool) bool {
+func isWorking(board *blackboard.Board, table *evidence.Table, now time.Time, g blackboard.Group, covered bool) bool {
 	if g.State == blackboard.Draining {
 		return true
 	}
--- a/internal/controller/measures_test.go
+++ b/internal/controller/measures_test.go
@@ -14,10 +14,9 @@
 	return Measures(w.board, w.entries[0].table, w.now)
 }
 
-// Nobody is told of a dead group at night: the measures went by the
-// blackboard, where a group with a paused member still serves, and one spec's
-// surplus made up for another's shortage.
-func TestMeasuresCountWhatDoesNotWork(t *testing.T) {
+// Guards against measures that hide a dead group: they used only the blackboard, where a group
+// with a paused member still serves, and one spec's surplus compensated for another's shortage.
+func TestMeasuresCountGroupsThatDoNotWork(t *testing.T) {
 	w := newWorld(t, 51, 1, 4, defaultPolicy, demoConfig(1, 3))
 	assert.Equal(t, w.measures().GroupsDown, 1)
 	w.run(30 * time.Second)
@@ -36,10 +35,10 @@
 	finish(t, w)
 }
 
-// A whole fabric domain goes dark and comes back, for engines the same
-// incarnations. Groups worth most must be rebuilt elsewhere, in order of worth;
-// nothing that still serves may be torn down, and on return no VM may be used
-// before its release is confirmed, which the world checks.
+// A complete fabric domain becomes unreachable and returns with the same incarnations of its
+// engines. The groups with the highest worth must be rebuilt elsewhere, in order of worth, and no
+// group that still serves may be torn down. After the return no VM may be used before its release
+// is confirmed, which the world checks.
 func TestADarkDomainIsRebuiltElsewhereByWorth(t *testing.T) {
 	w := newWorld(t, 52, 3, 6, defaultPolicy, blackboard.ConfigChange{Groups: []blackboard.GroupSpec{
 		{Name: "large", Model: "large", Replicas: 2, VMsPerReplica: 4, Worth: 100},
@@ -55,7 +54,7 @@
 	finish(t, w)
 	serving := make(map[string]int)
 	for _, g := range w.board.Groups {
-		if w.works(g) {
+		if w.isWorking(g) {
 			serving[g.Spec]++
 		}
 	}
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -9,29 +9,27 @@
 )
 
 const (
-	// driftMargin covers clocks that run at different speeds: 100 ms is over
-	// 1% of the longest lease in use, and crystals stay within 0.1%.
+	// driftMargin covers clocks that run at different speeds: 100 ms is over 1% of the longest
+	// lease in use, and crystals stay within 0.1%.
 	driftMargin = 100 * time.Millisecond
-	// orderTimeout bounds one order. Engines answer when they have taken the
-	// order, not when it is done.
+	// orderTimeout limits one order. Engines answer when they have accepted the order, not when
+	// they have completed it.
 	orderTimeout = 2 * time.Second
-	// minOrderTime is the least time worth sending an order with; an answer
+	// minOrderTime is the shortest time left for which an order is worth sending; an answer
 	// across data centres takes a few milliseconds.
 	minOrderTime = 100 * time.Millisecond
-	// resendAfter is when an order that shows no effect is sent again: after
+	// resendAfter is the time after which an order without a visible effect is sent again: after
 	// its deadline, and after an announcement could have shown the effect.
 	resendAfter = 3 * time.Second
 )
 
-// orderDeadline returns the deadline of an order sent now, and whether one may
-// be sent.
+// orderDeadline returns the deadline of an order sent now, and whether an order may be sent.
 //
-// Failure: a leader that has been replaced goes on giving orders, and an engine
-// that ignores fencing tokens obeys the old leader after the new one. The guard
-// holds because an order is given up before the sender's lease ends, and a new
-// leader sends nothing before it. What is delivered later still, out of the
-// buffers of a stopped engine, is found by correcting, and no group is
-// routable on the strength of an order alone.
+// Failure: a leader that has been replaced continues to send orders, and an engine that ignores
+// fencing tokens obeys the old leader after the new one. The guard holds because an order is
+// cancelled before the sender's lease ends, and a new leader sends nothing before that end.
+// releaseStrayEngines finds the effect of an order that is delivered even later, out of the
+// buffers of a stopped engine. No group is routable on the strength of an order alone.
 func orderDeadline(v View, now time.Time) (time.Time, bool) {
 	if now.Before(v.Memory.ordersFrom) {
 		return time.Time{}, false
@@ -43,9 +41,9 @@
 	return deadline, deadline.Sub(now) >= minOrderTime
 }
 
-// send plans an order unless the lease is too short, the same order was sent
-// less than resendAfter ago, too many are in flight, or the weight store has no room for
-// what it makes the VM load; then a later run plans it.
+// send plans an order. It plans nothing if the lease is too short, the same order was sent less
+// than Timing.Resend ago, too many orders are in flight, or the weight store has no capacity for
+// the load that the order starts; then a later run plans the order.
 func send(v View, now time.Time, a *Actions, vm blackboard.VM, incarnation string, o backend.Order) bool {
 	deadline, ok := orderDeadline(v, now)
 	if !ok {
--- a/internal/controller/sim_world_test.go
+++ b/internal/controller/sim_world_test.go
@@ -326,7 +326,7 @@
 }
 
 // works tells whether a group truly serves.
-func (w *world) works(g blackboard.Group) bool {
+func (w *world) isWorking(g blackboard.Group) bool {
 	if g.State != blackboard.Serving {
 		return false
 	}
@@ -347,7 +347,7 @@
 	}
 	working := make(map[string]int)
 	for _, g := range w.board.Groups {
-		if w.works(g) {
+		if w.isWorking(g) {
 			working[g.Spec]++
 			live -= len(g.Members) * 4
 		}
@@ -376,7 +376,7 @@
 func (w *world) whole() bool {
 	working := make(map[string]int)
 	for _, g := range w.board.Groups {
-		if w.works(g) {
+		if w.isWorking(g) {
 			working[g.Spec]++
 		}
 	}
