--- a/internal/controller/cold_marks_test.go
+++ b/internal/controller/cold_marks_test.go
@@ -79,9 +79,9 @@
 	w.apply(&blackboard.SetEvacuation{DataCentre: "dc", End: true})
 	marked := len(w.board.ColdServers)
 	assert.Equal(t, marked, w.serving()["wide"])
-	w.run(simBeat - simStep)
+	w.run(simAnnounceInterval - simStep)
 	assert.Equal(t, len(w.board.ColdServers), marked)
-	w.run(2 * simBeat)
+	w.run(2 * simAnnounceInterval)
 	assert.Equal(t, len(w.board.ColdServers), 0)
 }
 
@@ -97,6 +97,6 @@
 	marked := len(w.board.ColdServers)
 	w.term++
 	w.memory = NewMemory(w.now, 500*time.Millisecond)
-	w.run(simBeat / 2)
+	w.run(simAnnounceInterval / 2)
 	assert.Equal(t, len(w.board.ColdServers), marked)
 }
--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -10,8 +10,8 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// newEvacuationWorld is a pool of one domain of nine VMs in each of three data centres, all
-// of which serve.
+// newEvacuationWorld returns a pool with one domain of nine VMs in each of three data centres;
+// all VMs serve.
 func newEvacuationWorld(t *testing.T, seed uint64) *poolWorld {
 	w := newPoolWorld(t, seed, 3, 9)
 	for _, e := range w.engines {
@@ -21,7 +21,7 @@
 	return w
 }
 
-// servingIn counts the groups that serve in a domain.
+// servingIn counts the serving groups of a domain.
 func (w *poolWorld) servingIn(domain string) int {
 	n := 0
 	for _, g := range w.board.Groups {
@@ -32,8 +32,8 @@
 	return n
 }
 
-// Guards against groups that are taken apart, or formed anew, in a data centre that is
-// evacuated, so that its return waits for weights.
+// Guards against groups in an evacuated data centre that are taken apart or formed again, so that
+// the return of the data centre waits for weights.
 func TestGroupsStandByInAnEvacuatedDataCentre(t *testing.T) {
 	w := newEvacuationWorld(t, 1)
 	standing := w.servingIn("d0")
@@ -52,7 +52,7 @@
 		break
 	}
 	w.run(15 * time.Second)
-	assert.Equal(t, w.servingIn("d0"), standing-1, "formed anew while it is evacuated")
+	assert.Equal(t, w.servingIn("d0"), standing-1, "formed again while it is evacuated")
 
 	w.apply(&blackboard.SetEvacuation{DataCentre: "dc-d0", End: true})
 	w.run(4 * time.Second)
@@ -60,7 +60,7 @@
 	assert.Equal(t, w.servingIn("d1")+w.servingIn("d2") > 0, true)
 }
 
-// epochs returns the epochs of the groups that serve in a domain, by group.
+// epochs returns the epochs of the serving groups of a domain, by group.
 func (w *poolWorld) epochs(domain string) map[string]uint64 {
 	epochs := make(map[string]uint64)
 	for id, g := range w.board.Groups {
@@ -71,7 +71,7 @@
 	return epochs
 }
 
-// Guards against groups that are drained when all data centres are evacuated and nothing is
+// Guards against groups that are drained because all data centres are evacuated and no group is
 // wanted anywhere.
 func TestEvacuatingAllDataCentresTakesNoGroupApart(t *testing.T) {
 	w := newEvacuationWorld(t, 2)
@@ -88,8 +88,8 @@
 	assert.DeepEqual(t, w.serving(), all)
 }
 
-// Guards against free VMs elsewhere that form no group in the place of those that are
-// evacuated.
+// Guards against free VMs in another data centre that form no group to replace the evacuated
+// ones.
 func TestGroupsFormElsewhereForThoseThatAreEvacuated(t *testing.T) {
 	w := newPoolWorld(t, 3, 2, 9)
 	for _, e := range w.engines {
@@ -97,7 +97,7 @@
 	}
 	w.serveOnly("wide")
 	for i, e := range w.engines {
-		// One domain has a group and one VM less than another.
+		// Domain d1 has one group fewer than d0, and too few VMs for another.
 		if e.domain == "d1" && i%9 > 5 {
 			e.alive = false
 		}
@@ -114,8 +114,8 @@
 	assert.Equal(t, w.servingIn("d1"), 2)
 }
 
-// Guards against a group with members in two data centres that keeps those of the other from
-// use while one is evacuated.
+// Guards against a group with members in two data centres that keeps its VMs in the one from use
+// while the other is evacuated.
 func TestAGroupThatIsEvacuatedInPartIsReleased(t *testing.T) {
 	w := newPoolWorld(t, 4, 1, 4)
 	w.serveOnly("wide")
--- a/internal/controller/forecast_test.go
+++ b/internal/controller/forecast_test.go
@@ -113,7 +113,7 @@
 	w := newPoolWorld(t, 3, 5, 19)
 	w.configure(2, wideOfNineteen)
 	w.run(25 * time.Second)
-	w.way = 300 * time.Millisecond
+	w.orderDelay = 300 * time.Millisecond
 	for _, e := range w.engines[:19] {
 		e.alive, e.staged, e.backAt = false, "", w.now.Add(4*time.Second)
 	}
--- a/internal/controller/opening_sim_test.go
+++ b/internal/controller/opening_sim_test.go
@@ -15,22 +15,22 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// poolEngine is an engine that forms groups with others on their word alone,
-// and checks neither that all members are there nor that it is in one group.
+// poolEngine is an engine that forms groups with others as the orders state. It checks neither
+// that all members have joined nor that it is in one group only.
 type poolEngine struct {
 	address, id, domain string
 	dataCentre          string
-	// coldUntil is until when it is cold.
+	// coldUntil is the end of its slow-start period.
 	coldUntil time.Time
-	// born is when the present life began. It stays 0 unless reborn, which says that
-	// the engine keeps its id when it starts again.
-	born             int64
-	reborn           bool
+	// startedMillis is when the present incarnation started. It stays 0 unless keepsID is true;
+	// then the engine keeps its ID when it restarts.
+	startedMillis    int64
+	keepsID          bool
 	sequence         uint64
 	starts           int
 	alive, cut       bool
 	backAt, cutUntil time.Time
-	// What it has been told.
+	// The fields from group to phase hold the last order.
 	group   string
 	epoch   uint64
 	highest uint64
@@ -39,28 +39,28 @@
 	phaseAt time.Time
 	model   string
 	staged  string
-	// last is the head of the last group that it was in since its start, and
-	// that group, also once it has left.
+	// last is the head of the last group that the engine was in since its start, and lastGroup
+	// and lastEpoch identify that group, also after the engine has left it.
 	last      string
 	lastGroup string
 	lastEpoch uint64
 	// lostAt is when an open head lost a member.
-	lostAt time.Time
-	beatAt time.Time
+	lostAt     time.Time
+	announceAt time.Time
 }
 
-// poolOrder is an order on its way.
+// poolOrder is an order in transit.
 type poolOrder struct {
 	at   time.Time
 	to   string
 	from *Memory
 	plan PlannedOrder
-	// answered says that the sender hears of it.
+	// answered is true if the sender receives the answer.
 	answered bool
 }
 
-// poolWorld is the real board, evidence and controllers before fake engines of
-// one pool, on a virtual clock.
+// poolWorld simulates one pool on a virtual clock: the real board, evidence and controllers with
+// fake engines.
 type poolWorld struct {
 	t       *testing.T
 	r       *rand.Rand
@@ -71,59 +71,59 @@
 	term    uint64
 	engines []*poolEngine
 	orders  []poolOrder
-	late    []lateWord
+	delayed []delayedAnnouncement
 	ready   map[string]bool
 	served  time.Duration
-	// load is how long weights take from the store, and busyLoad from when callers are
-	// there, if that is longer.
+	// load is how long loading weights from the store takes, and busyLoad how long it takes once
+	// callers have arrived, if that is longer.
 	load, busyLoad time.Duration
 	// storeRate and storeAtOnce are the limits of the store.
 	storeRate   float64
 	storeAtOnce int
 
 	faulty bool
-	// unused says that no callers use the groups, so that no entry tells anything.
+	// unused is true if no callers use the groups, so that no entry reports a stall.
 	unused bool
-	// way is how long an order is on its way.
-	way time.Duration
-	// processor is what the leader sends orders with; nil sends at once.
+	// orderDelay is the transit time of an order.
+	orderDelay time.Duration
+	// processor sends the leader's orders; if nil, orders are sent at once.
 	processor *busyProcessor
-	// callersAt is when callers come; zero lets them come once a group serves.
+	// callersAt is when callers arrive; if zero, they arrive once a group serves.
 	callersAt time.Time
-	// cold is how long engines are cold after they have started, and coldPerSecond what their
-	// service states for it.
+	// cold is how long engines are cold after their start, and coldPerSecond the rate for cold
+	// instances in the service's configuration.
 	cold          time.Duration
 	coldPerSecond float64
-	// fetched are the times at which engines began to load from the store after that.
+	// fetched holds when engines began to load from the store after callers had arrived.
 	fetched []time.Time
 }
 
 const (
-	simBeat  = 1200 * time.Millisecond
-	simStep  = 50 * time.Millisecond
-	simStall = 4 * time.Second
+	simAnnounceInterval = 1200 * time.Millisecond
+	simStep             = 50 * time.Millisecond
+	simStall            = 4 * time.Second
 )
 
 func newPoolWorld(t *testing.T, seed uint64, domains, each int) *poolWorld {
 	return newPoolWorldOf(t, seed, domains, each, false)
 }
 
-// newPoolWorldOf returns a pool whose engines keep their ids when they start
-// again, if reborn, or get new ones.
-func newPoolWorldOf(t *testing.T, seed uint64, domains, each int, reborn bool) *poolWorld {
+// newPoolWorldOf returns a pool whose engines keep their IDs when they restart, if keepsID, or
+// get new ones.
+func newPoolWorldOf(t *testing.T, seed uint64, domains, each int, keepsID bool) *poolWorld {
 	w := &poolWorld{
 		t: t, r: rand.New(rand.NewPCG(seed, 99)), now: simStart, board: blackboard.New(),
-		table: evidence.NewTable("e", 1), ready: make(map[string]bool), term: 1, load: 14 * time.Second, way: 10 * time.Millisecond,
+		table: evidence.NewTable("e", 1), ready: make(map[string]bool), term: 1, load: 14 * time.Second, orderDelay: 10 * time.Millisecond,
 		storeRate: 4.5, storeAtOnce: 6,
 	}
-	w.table.SetInterval(simBeat)
+	w.table.SetInterval(simAnnounceInterval)
 	w.memory = NewMemory(w.now, 0)
 	w.apply(&blackboard.Found{ClusterID: "c", NowMillis: w.now.UnixMilli()})
 	w.apply(&blackboard.PutEntry{Entry: blackboard.Entry{ID: "e"}})
 	w.configure(1, simModels)
 	for d := range domains {
 		for i := range each {
-			e := &poolEngine{address: fmt.Sprintf("vm-%d-%d", d, i), domain: fmt.Sprintf("d%d", d), reborn: reborn}
+			e := &poolEngine{address: fmt.Sprintf("vm-%d-%d", d, i), domain: fmt.Sprintf("d%d", d), keepsID: keepsID}
 			e.start(w.now)
 			w.engines = append(w.engines, e)
 		}
@@ -131,7 +131,7 @@
 	return w
 }
 
-// simModels are served from the pool unless a test says otherwise.
+// simModels are the models of the pool unless a test configures others.
 var simModels = []blackboard.ModelSpec{
 	{Name: "wide", VMs: 4, Share: 0.57, LoadMillis: 14_000, StagedMillis: 1500},
 	{Name: "narrow", VMs: 3, Share: 0.43, LoadMillis: 14_000, StagedMillis: 1500},
@@ -144,7 +144,7 @@
 	}}})
 }
 
-// serveOnly leaves one of the models.
+// serveOnly configures only the given model.
 func (w *poolWorld) serveOnly(model string) {
 	for _, m := range simModels {
 		if m.Name == model {
@@ -162,39 +162,41 @@
 
 func (e *poolEngine) start(now time.Time) {
 	e.starts++
-	if e.reborn {
-		e.id, e.born = e.address+"#1", now.UnixMilli()
+	if e.keepsID {
+		e.id, e.startedMillis = e.address+"#1", now.UnixMilli()
 	} else {
 		e.id = e.address + "#" + strconv.Itoa(e.starts)
 	}
 	e.alive, e.sequence, e.highest = true, 0, 0
 	e.leave(now)
 	e.model, e.last = "", ""
-	e.beatAt = now
+	e.announceAt = now
 }
 
-// incarnation is the product's name of the present life.
-func (e *poolEngine) incarnation() string { return e.id + lifeMark + strconv.FormatInt(e.born, 10) }
+// incarnation returns the name of the present incarnation as backend servers announce it.
+func (e *poolEngine) incarnation() string {
+	return e.id + incarnationSeparator + strconv.FormatInt(e.startedMillis, 10)
+}
 
-// lifeMark ends the id in an incarnation.
-const lifeMark = "@"
+// incarnationSeparator separates the ID in an incarnation from the start time.
+const incarnationSeparator = "@"
 
-// engineID is the id in an incarnation, which is all that orders carry.
+// engineID returns the ID in an incarnation; fake engines compare only the ID of an order.
 func engineID(incarnation string) string {
-	id, _, _ := strings.Cut(incarnation, lifeMark)
+	id, _, _ := strings.Cut(incarnation, incarnationSeparator)
 	return id
 }
 
 func (e *poolEngine) leave(now time.Time) {
 	e.group, e.epoch, e.members, e.phase, e.phaseAt, e.lostAt = "", 0, nil, backend.PhaseIdle, now, time.Time{}
-	e.beatAt = now
+	e.announceAt = now
 }
 
 func (e *poolEngine) to(now time.Time, p backend.Phase) {
-	e.phase, e.phaseAt, e.beatAt = p, now, now
+	e.phase, e.phaseAt, e.announceAt = p, now, now
 }
 
-// engine returns the engine with this id, or that of this incarnation.
+// engine returns the engine with this ID or incarnation, or nil.
 func (w *poolWorld) engine(name string) *poolEngine {
 	for _, e := range w.engines {
 		if e.id == engineID(name) {
@@ -208,8 +210,8 @@
 	return fmt.Sprint(id, group, epoch, members)
 }
 
-// head returns the engine that heads the group that e was last in, if it still
-// does: a member that has left an open group is not free to join another.
+// head returns the head of the group that e was last in, if that engine is still in the group. A
+// member that has left an open group may not join another yet.
 func (w *poolWorld) head(e *poolEngine) *poolEngine {
 	h := w.engine(e.last)
 	if h == nil || !h.alive || h.group != e.lastGroup || h.epoch != e.lastEpoch {
@@ -218,7 +220,7 @@
 	return h
 }
 
-// step lets an engine's time pass.
+// step advances one engine to the present time.
 func (w *poolWorld) step(e *poolEngine) {
 	now := w.now
 	if !e.backAt.IsZero() && !now.Before(e.backAt) {
@@ -244,8 +246,8 @@
 	}
 }
 
-// watchMembers makes a head stall and break that has lost a member, and checks
-// that it opened whole.
+// watchMembers makes an open head stall and then fail when it has lost a member. It also checks
+// that the head opened with all members.
 func (w *poolWorld) watchMembers(e *poolEngine) {
 	lost := false
 	for _, id := range e.members {
@@ -267,7 +269,7 @@
 	}
 }
 
-// take carries an order out and tells whether it was accepted.
+// take carries out an order and reports whether the engine accepted it.
 func (w *poolWorld) take(e *poolEngine, o backend.Order) bool {
 	inEpoch := e.group == o.Group && e.epoch == o.Token.Epoch
 	switch o.Kind {
@@ -305,7 +307,7 @@
 	if same {
 		return fmt.Sprint(members) == fmt.Sprint(e.members)
 	}
-	// An order that comes late may take it into the group that it has left.
+	// A late order may make the engine join the group that it has left.
 	again := e.lastGroup == o.Group && e.lastEpoch == o.Token.Epoch
 	if h := w.head(e); h != nil && !again {
 		serving := h.phase == backend.PhaseOpen || h.phase == backend.PhaseClosing
@@ -327,50 +329,50 @@
 	}
 	e.group, e.epoch, e.members, e.model, e.lostAt = o.Group, o.Token.Epoch, members, o.Model, time.Time{}
 	e.last, e.lastGroup, e.lastEpoch = members[0], o.Group, o.Token.Epoch
-	e.phase, e.phaseAt, e.beatAt = backend.PhaseLoading, w.now.Add(delay), w.now
+	e.phase, e.phaseAt, e.announceAt = backend.PhaseLoading, w.now.Add(delay), w.now
 	return true
 }
 
-func (w *poolWorld) beat(e *poolEngine) {
-	if !e.alive || e.cut || w.now.Before(e.beatAt) {
+func (w *poolWorld) announce(e *poolEngine) {
+	if !e.alive || e.cut || w.now.Before(e.announceAt) {
 		return
 	}
 	e.sequence++
-	e.beatAt = w.now.Add(simBeat)
+	e.announceAt = w.now.Add(simAnnounceInterval)
 	var staged []string
 	if e.staged != "" {
 		staged = []string{e.staged}
 	}
 	a := backend.Announcement{
-		ID: e.address, Incarnation: e.incarnation(), StartedMillis: e.born, Sequence: e.sequence, Kind: backend.KindEngine,
+		ID: e.address, Incarnation: e.incarnation(), StartedMillis: e.startedMillis, Sequence: e.sequence, Kind: backend.KindEngine,
 		Address: e.address, DataCentre: e.dataCentre, ColdMillis: max(0, e.coldUntil.Sub(w.now).Milliseconds()), FabricDomain: e.domain, Accelerators: 1, Service: "pool",
 		Group: e.group, Epoch: e.epoch, Phase: e.phase, Weights: staged,
 	}
-	if e.reborn && w.faulty && w.r.IntN(8) == 0 {
-		// Held up on its way; the sender may have started again by then.
-		w.late = append(w.late, lateWord{w.now.Add(time.Duration(w.r.IntN(9000)) * time.Millisecond), a})
+	if e.keepsID && w.faulty && w.r.IntN(8) == 0 {
+		// The announcement is delayed; its sender may have restarted when it arrives.
+		w.delayed = append(w.delayed, delayedAnnouncement{w.now.Add(time.Duration(w.r.IntN(9000)) * time.Millisecond), a})
 		return
 	}
 	w.table.Hear(w.now, "e", a)
 }
 
-// lateWord is an announcement on its way.
-type lateWord struct {
+// delayedAnnouncement is an announcement in transit.
+type delayedAnnouncement struct {
 	at time.Time
 	a  backend.Announcement
 }
 
-// hearLate lets announcements arrive that were held up.
-func (w *poolWorld) hearLate() {
-	var left []lateWord
-	for _, l := range w.late {
+// receiveDelayed delivers the delayed announcements that are due.
+func (w *poolWorld) receiveDelayed() {
+	var left []delayedAnnouncement
+	for _, l := range w.delayed {
 		if w.now.Before(l.at) {
 			left = append(left, l)
 			continue
 		}
 		w.table.Hear(w.now, "e", l.a)
 	}
-	w.late = left
+	w.delayed = left
 }
 
 // lead runs the controllers once, as the leader does.
@@ -390,7 +392,7 @@
 	}
 }
 
-// letCallersCome notes callers on the board once they are there.
+// letCallersCome records callers on the board once they have arrived.
 func (w *poolWorld) letCallersCome() {
 	if w.board.CallersMillis != 0 || (w.callersAt.IsZero() && len(w.serving()) == 0) || w.now.Before(w.callersAt) {
 		return
@@ -398,8 +400,8 @@
 	w.apply(&blackboard.NoteCallers{NowMillis: w.now.UnixMilli()})
 }
 
-// stalled is what entries would tell: heads that have stood still for a while,
-// and now and then one that has not.
+// stalled returns the stalls that entries would report: heads that have stalled for some time,
+// and now and then a head that has not.
 func (w *poolWorld) stalled() map[StalledGroup]time.Time {
 	out := make(map[StalledGroup]time.Time)
 	if w.unused {
@@ -417,10 +419,10 @@
 	return out
 }
 
-// send puts an order on its way: most arrive at once, some are lost, some are
-// carried out seconds later without an answer.
+// send sends an order. Most orders arrive at once, some are lost, and some are carried out
+// seconds later without an answer.
 func (w *poolWorld) send(p PlannedOrder) {
-	o := poolOrder{at: w.now.Add(w.way), to: p.VM, from: w.memory, plan: p, answered: true}
+	o := poolOrder{at: w.now.Add(w.orderDelay), to: p.VM, from: w.memory, plan: p, answered: true}
 	if w.processor != nil {
 		sent, inTime := w.processor.send(w.now, p.Deadline)
 		if !inTime {
@@ -449,8 +451,8 @@
 			continue
 		}
 		for _, e := range w.engines {
-			// An order names the id; any other refuses it, but not a later life of
-			// the same id.
+			// An order names the ID. An engine with another ID refuses it, but a later
+			// incarnation with the same ID does not.
 			if e.address != o.to || !e.alive || e.cut || e.id != engineID(o.plan.Order.Incarnation) {
 				continue
 			}
@@ -463,26 +465,26 @@
 	w.orders = left
 }
 
-// disturb lets one of the troubles begin now and then.
-func (w *poolWorld) disturb() {
+// injectFault starts a random fault in some of the steps.
+func (w *poolWorld) injectFault() {
 	e := w.engines[w.r.IntN(len(w.engines))]
 	switch w.r.IntN(120) {
-	case 0: // crashes and comes back as another incarnation
+	case 0: // crashes and returns as another incarnation
 		if e.alive {
 			e.alive = false
 			e.backAt = w.now.Add(time.Duration(500+w.r.IntN(6000)) * time.Millisecond)
 		}
-	case 1: // is cut off from the control processes and works on
+	case 1: // is cut off from the control processes and continues to work
 		if e.alive {
 			e.cut = true
 			e.cutUntil = w.now.Add(time.Duration(1000+w.r.IntN(11_000)) * time.Millisecond)
 		}
-	case 2: // the leader changes and remembers nothing
+	case 2: // the leader changes and starts with an empty memory
 		if w.r.IntN(4) == 0 {
 			w.term++
 			w.memory = NewMemory(w.now, 500*time.Millisecond)
 		}
-	case 3: // a whole domain goes dark
+	case 3: // a complete domain fails
 		if w.r.IntN(12) == 0 {
 			for _, o := range w.engines {
 				if o.domain == e.domain && o.alive {
@@ -497,13 +499,13 @@
 func (w *poolWorld) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(simStep) {
 		if w.faulty {
-			w.disturb()
+			w.injectFault()
 		}
 		w.deliver()
-		w.hearLate()
+		w.receiveDelayed()
 		for _, e := range w.engines {
 			w.step(e)
-			w.beat(e)
+			w.announce(e)
 		}
 		w.lead()
 	}
--- a/internal/controller/opening_test.go
+++ b/internal/controller/opening_test.go
@@ -14,18 +14,17 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// A pool starts empty: each domain gets one model by its share, all groups
-// stand within the time of one load, and no VM is left loading for nothing.
+// A pool starts empty. Each domain gets its models by their shares, all groups must serve within
+// the time of one load, and no VM may be left loading without need.
 func TestAPoolFormsAllItsGroups(t *testing.T) {
 	w := newPoolWorld(t, 1, 6, 9)
 	w.run(25 * time.Second)
 	assert.DeepEqual(t, w.serving(), map[string]int{"wide": 6, "narrow": 9})
 }
 
-// The VMs of a pool come to be known one after the other, and later those of one
-// more domain, while the VMs of the others are loading. Nothing may be chosen by a
-// part of them; a layout that was given must stand, and all VMs be divided by the
-// models' shares in the end.
+// The VMs of a pool become known one after the other, and later those of one more domain while
+// the VMs of the others load. No layout may be chosen from a part of the VMs, an existing layout
+// must stay, and in the end all VMs must be divided by the models' shares.
 func TestDomainsThatComeOneByOneKeepTheirModels(t *testing.T) {
 	w := newPoolWorld(t, 4, 0, 0)
 	const apart = 5 * time.Millisecond
@@ -35,7 +34,7 @@
 		planLayouts(View{Board: w.board, Evidence: w.table, Memory: w.memory}, w.now, &Actions{})
 	}
 	settle := func() {
-		w.now = w.now.Add(simBeat)
+		w.now = w.now.Add(simAnnounceInterval)
 		planLayouts(View{Board: w.board, Evidence: w.table, Memory: w.memory}, w.now, &Actions{})
 	}
 	first := []string{"d5", "d4", "d3", "d2", "d1"}
@@ -66,9 +65,8 @@
 	assert.DeepEqual(t, total, map[string]int{"wide": 6, "narrow": 9})
 }
 
-// A member of a serving group dies. The group must serve again on the domain's
-// standby within two seconds of the entries' word, and no VM stay in the old
-// one.
+// A member of a serving group dies. The group must serve again on the domain's standby within two
+// seconds of the entries' reports, and no VM may stay in the old group.
 func TestAStandbyReplacesALostMember(t *testing.T) {
 	w := newPoolWorld(t, 2, 1, 9)
 	w.serveOnly("wide")
@@ -85,10 +83,9 @@
 	assert.DeepEqual(t, w.serving(), map[string]int{"wide": 2})
 }
 
-// The paths from half of the VMs to the control processes fail for eight seconds,
-// while callers' requests still reach them. All groups answer all the while; taken
-// out of service for the silence of a member, they would be missing for as long
-// as it takes to form them again.
+// Guards against groups that are broken for the silence of members while they answer. The paths
+// from half of the VMs to the control processes fail for eight seconds, while callers' requests
+// still reach the VMs. Forming the groups again would leave them out of service for longer.
 func TestGroupsThatAnswerServeOnWhileTheirMembersAreSilent(t *testing.T) {
 	w := newPoolWorld(t, 5, 6, 9)
 	w.run(25 * time.Second)
@@ -106,10 +103,10 @@
 	assert.DeepEqual(t, w.serving(), all)
 }
 
-// Members of a group die that nobody uses, so that no entry can tell. The head
-// says so once it has noticed; a group whose head dies is found by silence alone,
-// and its other members must serve again in the end.
-func TestAGroupThatNobodyUsesIsGivenUpInTheEnd(t *testing.T) {
+// Members of unused groups die, so that no entry can report it. One head reports the loss once it
+// has noticed. The other group loses its head, which only silence shows; it must be broken in the
+// end.
+func TestAnUnusedGroupIsBrokenEventually(t *testing.T) {
 	w := newPoolWorld(t, 6, 1, 9)
 	w.serveOnly("wide")
 	w.unused = true
@@ -118,15 +115,15 @@
 	w.engine(w.board.Groups["wide-0"].Members[1].Incarnation).alive = false
 	w.engine(w.board.Groups["wide-1"].Members[0].Incarnation).alive = false
 	w.run(8 * time.Second)
-	assert.Assert(t, w.board.Groups["wide-0"].State != blackboard.Serving, "its head has said that it broke")
-	assert.Assert(t, w.board.Groups["wide-1"].State == blackboard.Serving, "nothing but silence speaks against it yet")
+	assert.Assert(t, w.board.Groups["wide-0"].State != blackboard.Serving, "its head has reported failed")
+	assert.Assert(t, w.board.Groups["wide-1"].State == blackboard.Serving, "only silence indicates its loss so far")
 	w.run(silentMemberLimit)
 	assert.Assert(t, w.board.Groups["wide-1"].State != blackboard.Serving)
 }
 
-// The head of a group is cut off from the control processes and goes on
-// serving; another member dies at the same time. The survivors must not be
-// used before the head has surely given up.
+// The head of a group is cut off from the control processes and continues to serve, and another
+// member dies at the same time. The survivors must not be used before the head has certainly
+// stopped serving.
 func TestSurvivorsWaitForAHeadThatIsCutOff(t *testing.T) {
 	w := newPoolWorld(t, 3, 1, 4)
 	w.run(25 * time.Second)
@@ -139,9 +136,9 @@
 	assert.Equal(t, head.phase, backend.PhaseFailed)
 }
 
-// A group loads, and a late order of an earlier leader makes one of its members
-// serve for an older group again. Joined to the new one it would serve for two; it
-// must be told to leave the old one first, and join once it has.
+// Guards against a VM that serves for two groups. A group loads, and a late order of an earlier
+// leader makes one of its members serve for an older group again. The member must receive the
+// order to leave the old group first, and may join once it has left.
 func TestNoJoinWhileAMemberHeadsAnotherGroup(t *testing.T) {
 	w := newPoolWorld(t, 8, 1, 4)
 	for step := 0; step < 400 && w.board.Groups["wide-0"].State != blackboard.Loading; step++ {
@@ -150,8 +147,8 @@
 	g := w.board.Groups["wide-0"]
 	assert.Equal(t, g.State, blackboard.Loading)
 	e := w.engine(g.Members[1].Incarnation)
-	e.group, e.epoch, e.members, e.phase, e.beatAt = "old-0", 1, []string{e.id}, backend.PhaseOpen, w.now
-	w.beat(e)
+	e.group, e.epoch, e.members, e.phase, e.announceAt = "old-0", 1, []string{e.id}, backend.PhaseOpen, w.now
+	w.announce(e)
 	w.orders = nil
 	for range 20 {
 		w.now = w.now.Add(simStep)
@@ -167,9 +164,9 @@
 	assert.Assert(t, kinds[backend.OrderRelease] > 0)
 }
 
-// A group loads, a member crashes and its address answers under a new incarnation,
-// which repeats what its predecessor last said: ready, in this group and epoch. It
-// has joined nothing. A group that is opened on its word answers with half a model.
+// Guards against a group that answers with half a model. A group loads, a member crashes, and a
+// new incarnation at its address repeats the last report of its predecessor: ready, in this group
+// and epoch. The new incarnation has joined nothing, so the group must not open on its report.
 func TestAReadyReportOfAnotherIncarnationOpensNothing(t *testing.T) {
 	w := newPoolWorld(t, 8, 1, 4)
 	for step := 0; step < 400 && w.board.Groups["wide-0"].State != blackboard.Loading; step++ {
@@ -179,11 +176,11 @@
 	assert.Equal(t, g.State, blackboard.Loading)
 	for i, m := range g.Members {
 		e := w.engine(m.Incarnation)
-		e.group, e.epoch, e.phase, e.beatAt = g.ID, g.Epoch, backend.PhaseReady, w.now
+		e.group, e.epoch, e.phase, e.announceAt = g.ID, g.Epoch, backend.PhaseReady, w.now
 		if i == 1 {
 			e.id += "-again"
 		}
-		w.beat(e)
+		w.announce(e)
 	}
 	w.orders = nil
 	w.lead()
@@ -192,21 +189,20 @@
 	}
 }
 
-// Members die, return, are cut off and work on, domains go dark, leaders change
-// and forget, orders are lost or carried out up to 12 s late, and entries
-// suspect groups wrongly. Never may a group serve without each member having
-// been ready in its epoch, nor a VM join another group while the head of its
-// own serves; and when the troubles end, all groups must stand again.
+// Random faults: members die, return, or are cut off and continue to work; domains fail; leaders
+// change and lose their memory; orders are lost or carried out up to 12 s late; entries report
+// stalls wrongly. A group must never serve unless each member has been ready in its epoch. A VM
+// must never join another group while the head of its own group serves. After the faults all
+// groups must serve again.
 //
 // CITRONSTEP_SIM_SEEDS and CITRONSTEP_SIM_FIRST choose more seeds.
 func TestPoolsUnderRandomFaults(t *testing.T) { poolsUnderRandomFaults(t, false) }
 
-// The same, and engines keep their ids when they start again: orders to the life
-// before are carried out by the next, and announcements of the life before arrive
-// up to 9 s late.
-func TestPoolsWhoseEnginesAreRebornUnderRandomFaults(t *testing.T) { poolsUnderRandomFaults(t, true) }
+// The same faults with engines that keep their IDs when they restart: an incarnation carries out
+// orders for its predecessor, and announcements of the predecessor arrive up to 9 s late.
+func TestPoolsWithRestartingEnginesUnderRandomFaults(t *testing.T) { poolsUnderRandomFaults(t, true) }
 
-func poolsUnderRandomFaults(t *testing.T, reborn bool) {
+func poolsUnderRandomFaults(t *testing.T, keepsID bool) {
 	seeds, first := 24, 1
 	if text := os.Getenv("CITRONSTEP_SIM_SEEDS"); text != "" {
 		seeds, _ = strconv.Atoi(text)
@@ -216,14 +212,14 @@
 	}
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
-			w := newPoolWorldOf(t, uint64(seed), 3, 9, reborn)
+			w := newPoolWorldOf(t, uint64(seed), 3, 9, keepsID)
 			w.run(20 * time.Second)
 			w.faulty = true
 			w.run(60 * time.Second)
 			w.faulty = false
 			w.run(75 * time.Second)
 			got := w.serving()
-			assert.Assert(t, got["wide"] >= 2 && got["wide"]*4+got["narrow"]*3 >= 24, "after the troubles: %v", got)
+			assert.Assert(t, got["wide"] >= 2 && got["wide"]*4+got["narrow"]*3 >= 24, "after the faults: %v", got)
 		})
 	}
 }
--- a/internal/controller/order_window_test.go
+++ b/internal/controller/order_window_test.go
@@ -59,7 +59,7 @@
 func TestOrdersOfAStartDoNotDelayConsensus(t *testing.T) {
 	p := &busyProcessor{each: 2 * time.Millisecond}
 	w := newLargeWorld(t, 5, p)
-	w.run(simBeat)
+	w.run(simAnnounceInterval)
 	w.run(4 * time.Second)
 	requirePoolServing(t, w, p)
 }
@@ -78,7 +78,7 @@
 func TestALeaderChangeDuringAStartDelaysItLittle(t *testing.T) {
 	p := &busyProcessor{each: 2 * time.Millisecond}
 	w := newLargeWorld(t, 5, p)
-	w.run(simBeat + 1500*time.Millisecond)
+	w.run(simAnnounceInterval + 1500*time.Millisecond)
 	w.term++
 	w.memory = NewMemory(w.now, time.Second)
 	w.run(4500 * time.Millisecond)
--- a/internal/controller/weight_store_test.go
+++ b/internal/controller/weight_store_test.go
@@ -32,7 +32,7 @@
 	w.busyLoad = 12 * time.Second
 	w.storeRate, w.storeAtOnce = 4.5, 6
 	w.configure(3, largeModels)
-	w.callersAt = w.now.Add(simBeat + 3*time.Second)
+	w.callersAt = w.now.Add(simAnnounceInterval + 3*time.Second)
 	w.run(20 * time.Second)
 	// Such a store sustains its rate plus a tenth and three loads.
 	ceiling := int(w.storeRate*storeWindow.Seconds()*1.1) + 3
