--- a/internal/controller/basic_test.go
+++ b/internal/controller/basic_test.go
@@ -21,7 +21,7 @@
 	}}
 }
 
-func finish(t *testing.T, w *world) {
+func requireNoFailure(t *testing.T, w *world) {
 	t.Helper()
 	assert.Assert(t, w.failed == "", w.failed)
 }
@@ -29,15 +29,15 @@
 func TestGroupsAreFormedLoadedAndServing(t *testing.T) {
 	w := newWorld(t, 1, 2, 4, defaultPolicy, demoConfig(2, 3))
 	w.run(time.Minute)
-	finish(t, w)
-	assert.Assert(t, w.whole())
+	requireNoFailure(t, w)
+	assert.Assert(t, w.allServing())
 	a, b := w.board.Groups["demo-0"], w.board.Groups["demo-1"]
 	assert.Assert(t, a.FabricDomain != b.FabricDomain, "both groups in one domain")
 }
 
-// A caller's requests hang. A VM of a serving group dies; the group must be
-// unroutable within the freshness bound, be torn down once the VM counts as
-// dead, and come back on the spare. Cause: losing one VM kills the group.
+// Guards against callers' requests that hang after the loss of one VM, which ends its group. The
+// group must be unroutable within the freshness bound, be torn down once the VM counts as dead,
+// and return on the spare VM.
 func TestADeadMemberBreaksTheGroupAndASpareRepairsIt(t *testing.T) {
 	w := newWorld(t, 2, 1, 4, defaultPolicy, demoConfig(1, 3))
 	w.run(time.Minute)
@@ -51,21 +51,20 @@
 		assert.Assert(t, !ok)
 	}
 	w.run(deadAfter + 30*time.Second)
-	finish(t, w)
-	assert.Assert(t, w.whole())
+	requireNoFailure(t, w)
+	assert.Assert(t, w.allServing())
 	assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Broken, "its dead member proves nothing")
 	assert.Equal(t, w.board.VMs[dead].Group, "demo-0")
 	w.byID[dead].start()
 	w.run(20 * time.Second)
-	finish(t, w)
+	requireNoFailure(t, w)
 	assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Released)
 	assert.Equal(t, w.board.VMs[dead].Group, "")
 }
 
-// Lookups stop for a moment though nothing died. A member pauses for six
-// seconds; the group must be unroutable meanwhile, and serve on in the same
-// epoch after it, whenever in the round of announcements the pause begins.
-// Cause: a paused member taken for a dead one costs a reload.
+// Guards against a reload for a member that only pauses. The member pauses for six seconds. The
+// group must be unroutable meanwhile and then serve again in the same epoch, at whatever point of
+// the announcement interval the pause begins.
 func TestAPausedMemberStopsRoutingButKeepsTheEpoch(t *testing.T) {
 	for offset := range 16 {
 		w := newWorld(t, int64(offset), 1, 4, defaultPolicy, demoConfig(1, 3))
@@ -77,9 +76,9 @@
 		ok, _ := w.entries[0].table.Routable(w.now, w.board, g.ID)
 		assert.Assert(t, !ok)
 		w.run(10 * time.Second)
-		finish(t, w)
+		requireNoFailure(t, w)
 		assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Serving, "offset %d: %s", offset, w.states())
 		assert.Equal(t, w.board.NextEpoch, g.Epoch+1)
-		assert.Assert(t, w.whole())
+		assert.Assert(t, w.allServing())
 	}
 }
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -20,9 +20,10 @@
 	}
 }
 
-// All groups are torn down at once. The leader is cut off from most entries and
-// hears of no VM; as it can't tell its own cut from their death, it must
-// conclude nothing until a majority of entries has been heard for long enough.
+// Guards against the teardown of all groups by a leader that is cut off from most entries and
+// receives no announcements. Such a leader can't distinguish its own isolation from the death of
+// the VMs. It must conclude nothing until a majority of entries has been reachable for long
+// enough.
 func TestALeaderThatIsCutOffConcludesNothing(t *testing.T) {
 	w := newWorld(t, 21, 1, 3, defaultPolicy, demoConfig(1, 3))
 	w.run(20 * time.Second)
@@ -40,14 +41,14 @@
 		n.cut = false
 	}
 	w.run(deadAfter - time.Second)
-	assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Serving, "silence counts from when it can be heard")
+	assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Serving, "silence counts only while announcements can arrive")
 	w.run(3 * time.Second)
-	finish(t, w)
+	requireNoFailure(t, w)
 	assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Broken)
 }
 
-// A flapping VM breaks group after group. It must stay alive longer with each
-// return before it may join again.
+// Guards against a flapping VM that breaks group after group. With each return it must stay alive
+// longer before it may join again.
 func TestAFlappingVMWaitsLongerEachTime(t *testing.T) {
 	now := simStart.Add(time.Hour)
 	vm := blackboard.VM{Liveness: blackboard.Alive}
@@ -68,9 +69,9 @@
 	assert.Assert(t, !isStable(View{}, vm, now))
 }
 
-// Liveness thrashes when one announcement is late. A straggler is told from a
-// VM in good order by the smoothed interval, with space between the bounds.
-func TestAStragglerIsToldWithHysteresis(t *testing.T) {
+// Guards against liveness that changes with each late announcement. The smoothed interval decides
+// between a straggler and a healthy VM, with a gap between both thresholds.
+func TestStragglerHysteresis(t *testing.T) {
 	for _, c := range []struct {
 		is   blackboard.Liveness
 		gap  time.Duration
@@ -87,9 +88,9 @@
 	}
 }
 
-// A large group waits for its survivors while narrow groups worth less take
-// them one by one as they come free, and it never comes back. It must come back
-// in one new epoch, on its survivors and one VM of the least group.
+// Guards against a large group that never returns because narrow groups worth less take its
+// survivors one by one as they become free. The large group must return in one new epoch, on its
+// survivors and one VM of a small group.
 func TestSurvivorsAreHeldForTheGroupWorthMore(t *testing.T) {
 	w := newWorld(t, 31, 1, 6, defaultPolicy, blackboard.ConfigChange{Groups: []blackboard.GroupSpec{
 		{Name: "large", Model: "large", Replicas: 1, VMsPerReplica: 4, Worth: 100},
@@ -101,14 +102,14 @@
 	epochs := w.board.NextEpoch
 	w.byID[g.Members[2].VM].kill()
 	w.run(deadAfter + takeOverAfter + 30*time.Second)
-	finish(t, w)
+	requireNoFailure(t, w)
 	assert.Equal(t, w.board.Groups["large-1"].State, blackboard.Serving, w.states())
 	assert.Equal(t, w.board.NextEpoch, epochs+1)
 }
 
-// A takeover saves callers of one group and strands accelerators. The preset's
-// weights must decide: the same loss is taken over where downtime weighs more,
-// and waited out where stranded accelerators weigh more.
+// A takeover shortens the downtime of one group and strands accelerators. The preset's weights
+// must decide: a takeover where downtime weighs more, waiting where stranded accelerators weigh
+// more.
 func TestTheWeightsDecideATakeover(t *testing.T) {
 	gain := func(downtime, stranded float64, worth, vms int) float64 {
 		b := blackboard.New()
@@ -125,16 +126,16 @@
 	assert.Assert(t, gain(3, 1, 90, 4) < 0, "nearly equal worth is not worth a reload")
 }
 
-// A group answers now and then only: one member announces itself so rarely that
-// its evidence is old half of the time. With a spare, a replacement must load
-// beside it and then take over; without one, the group must be left as it is.
+// Guards against a group that answers only now and then, because one member announces itself so
+// rarely that half of the time its evidence is too old. With a spare, a replacement must load
+// beside the group and then take over. Without a spare, the group must stay as it is.
 func TestAGroupWithAStragglerIsReplaced(t *testing.T) {
 	for _, spare := range []int{2, 1} {
 		w := newWorld(t, 47, 1, 2+spare, defaultPolicy, demoConfig(1, 2))
 		w.run(30 * time.Second)
 		w.byID[w.board.Groups["demo-0"].Members[0].VM].slow = 6
 		w.run(stragglerTimeout + 40*time.Second)
-		finish(t, w)
+		requireNoFailure(t, w)
 		if spare < 2 {
 			assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Serving, w.states())
 			continue
@@ -144,8 +145,8 @@
 	}
 }
 
-// A VM that is leaving still gets new work seconds later. Its group must stop
-// being routable at once and be drained; the group must come back elsewhere.
+// Guards against new work for a VM that has been leaving for seconds. Its group must stop being
+// routable at once and be drained, and the group must return on other VMs.
 func TestALeavingVMGetsNoNewWork(t *testing.T) {
 	w := newWorld(t, 41, 1, 7, defaultPolicy, demoConfig(1, 3))
 	w.run(30 * time.Second)
@@ -155,13 +156,13 @@
 	ok, _ := w.entries[1].table.Routable(w.now, w.board, g.ID)
 	assert.Assert(t, !ok)
 	w.run(30 * time.Second)
-	finish(t, w)
+	requireNoFailure(t, w)
 	assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Released)
-	assert.Assert(t, w.whole())
+	assert.Assert(t, w.allServing())
 }
 
-// Callers lose a group to a planned drain. With a spare, the group must serve
-// on until its replacement does; without one, it must drain all the same.
+// Guards against downtime by a planned drain. With a spare, the group must serve until its
+// replacement serves; without one, it must drain all the same.
 func TestADrainedVMIsReplacedFirst(t *testing.T) {
 	for _, spare := range []int{3, 0} {
 		w := newWorld(t, 42, 1, 3+spare, defaultPolicy, demoConfig(1, 3))
@@ -169,18 +170,18 @@
 		before := w.score.down["demo"]
 		w.change(blackboard.ConfigChange{DrainVMs: []string{w.board.Groups["demo-0"].Members[0].VM}})
 		w.run(time.Minute)
-		finish(t, w)
+		requireNoFailure(t, w)
 		assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Released)
 		if spare > 0 {
 			assert.Equal(t, w.score.down["demo"], before, "no downtime")
-			assert.Assert(t, w.whole())
+			assert.Assert(t, w.allServing())
 		}
 	}
 }
 
-// Answers are cut off by a planned drain: it waited three minutes for its
-// replacement to load, and that time counted against the work in flight. The
-// group must be released when its work is done and not before.
+// Guards against answers cut off by a planned drain: the wait of three minutes for the
+// replacement counted against the time for work in flight. The group must be released when its
+// work is done and not before.
 func TestADrainCutsOffNoWork(t *testing.T) {
 	w := newWorld(t, 46, 1, 6, defaultPolicy, demoConfig(1, 3))
 	w.run(30 * time.Second)
@@ -199,12 +200,12 @@
 		w.byID[m.VM].running = 0
 	}
 	w.run(15 * time.Second)
-	finish(t, w)
+	requireNoFailure(t, w)
 	assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Released)
 }
 
-// A preset lowers the replicas. The surplus must be drained, but not when the
-// operator switches back at once.
+// A preset lowers the replicas. The surplus group must be drained, but not if the operator
+// switches back at once.
 func TestASurplusIsDrainedAfterAWhile(t *testing.T) {
 	c := demoConfig(2, 2)
 	c.Presets = []blackboard.Preset{{Name: "day"}, {Name: "night", GroupReplicas: map[string]int{"demo": 1}}}
@@ -215,28 +216,28 @@
 	w.run(surplusDelay / 2)
 	w.change(blackboard.ConfigChange{UsePreset: "day"})
 	w.run(surplusDelay)
-	assert.Assert(t, w.whole())
+	assert.Assert(t, w.allServing())
 	assert.Equal(t, w.board.NextEpoch, uint64(3), "nothing was reloaded")
 	w.change(blackboard.ConfigChange{UsePreset: "night"})
 	w.run(30 * time.Second)
-	finish(t, w)
+	requireNoFailure(t, w)
 	assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Serving)
 	assert.Equal(t, w.board.Groups["demo-1"].State, blackboard.Released)
 }
 
-// Calls go to a plain service's instance that is gone. Its row must follow what
-// is heard: alive, paused, dead, and dropped when it is long gone.
-func TestAPlainServicesInstanceIsFollowed(t *testing.T) {
+// Guards against calls to an instance of a plain service that has ended. The liveness of its row
+// must become alive, paused and dead with its announcements, and the row must be removed later.
+func TestPlainServiceInstanceLiveness(t *testing.T) {
 	w := newWorld(t, 44, 1, 1, defaultPolicy, blackboard.ConfigChange{})
-	say := func(sequence uint64) {
+	announce := func(sequence uint64) {
 		n := w.entries[0]
 		n.table.Hear(w.now, n.id, backend.Announcement{
 			ID: "files-1", Kind: backend.KindService, Service: "files", Incarnation: "a", Sequence: sequence, Address: "x:1",
 		})
 	}
-	say(1)
+	announce(1)
 	w.run(time.Second)
-	say(2)
+	announce(2)
 	assert.Equal(t, w.board.Services["files-1"].Liveness, blackboard.Alive)
 	for _, c := range []struct {
 		after time.Duration
@@ -245,12 +246,12 @@
 		w.run(c.after)
 		assert.Equal(t, w.board.Services["files-1"].Liveness, c.want)
 	}
-	finish(t, w)
+	requireNoFailure(t, w)
 }
 
-// A VM was replaced under a new name; its row stays for ever, and the group that
-// it held stays broken.
-func TestAVMThatIsLongDeadIsForgotten(t *testing.T) {
+// Guards against the row of a VM that was replaced under a new name: the row would stay, and the
+// group that the VM held would stay broken.
+func TestALongDeadVMIsRemoved(t *testing.T) {
 	w := newWorld(t, 45, 1, 3, defaultPolicy, demoConfig(1, 2))
 	w.run(30 * time.Second)
 	id := w.board.Groups["demo-0"].Members[0].VM
@@ -267,16 +268,15 @@
 		}
 	}
 	w.run(time.Second)
-	finish(t, w)
+	requireNoFailure(t, w)
 	_, known := w.board.VMs[id]
 	assert.Assert(t, !known)
 	assert.Equal(t, w.board.Groups["demo-0"].State, blackboard.Released)
 }
 
-// At night the path from all backend servers to the entries fails for half a
-// minute and comes back. Every group was torn down meanwhile, and all weights
-// had to be loaded again through the store, for hours. Cause: the silence of
-// nearly all was taken for the death of each.
+// Guards against the teardown of all groups when the path from all backend servers to the entries
+// fails for half a minute. The silence of nearly all VMs was taken for their death, and all
+// weights were loaded again through the store, for hours.
 func TestTheSilenceOfMostTearsNothingDown(t *testing.T) {
 	w := newWorld(t, 3, 2, 4, defaultPolicy, demoConfig(2, 3))
 	w.run(time.Minute)
@@ -289,7 +289,7 @@
 		e.pause(30 * time.Second)
 	}
 	w.run(2 * time.Minute)
-	finish(t, w)
+	requireNoFailure(t, w)
 	for id, epoch := range before {
 		g := w.board.Groups[id]
 		assert.Equal(t, g.State, blackboard.Serving, g.Reason)
@@ -297,9 +297,9 @@
 	}
 }
 
-// Most backend servers are gone for good. What is left must still be put to
-// use, after a longer wait.
-func TestTheDeathOfMostIsConcludedInTheEnd(t *testing.T) {
+// Most backend servers have ended for good. The controllers must still put the rest to use, after
+// a longer wait.
+func TestTheLossOfMostVMsIsConcludedEventually(t *testing.T) {
 	w := newWorld(t, 4, 2, 4, defaultPolicy, demoConfig(2, 3))
 	w.run(time.Minute)
 	dead := 0
@@ -310,7 +310,7 @@
 		}
 	}
 	w.run(massDeadAfter + 30*time.Second)
-	finish(t, w)
+	requireNoFailure(t, w)
 	count := 0
 	for _, v := range w.board.VMs {
 		if v.Liveness == blackboard.Dead {
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -171,6 +171,6 @@
 	assert.Equal(t, states(w), "a-0 forming, b-0 loading, c-0 loading, d-0 forming, ")
 	w.change(config(1, 4, 3, 2, 9))
 	w.run(5 * time.Second)
-	finish(t, w)
+	requireNoFailure(t, w)
 	assert.Equal(t, states(w), "a-0 forming, b-0 loading, c-0 loading, d-0 forming, e-0 loading, ")
 }
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -31,7 +31,7 @@
 			w.lead(1)
 			w.byID[first.Members[1].VM].kill()
 			w.run(40 * time.Second)
-			assert.Assert(t, w.whole())
+			assert.Assert(t, w.allServing())
 			second := w.board.VMs[late.VM]
 			assert.Assert(t, second.Epoch > first.Epoch, "the VM serves in a later epoch")
 
@@ -42,8 +42,8 @@
 			routable, _ := w.entries[2].table.Routable(w.now, w.board, second.Group)
 			assert.Equal(t, routable, fencing)
 			w.run(40 * time.Second)
-			finish(t, w)
-			assert.Assert(t, w.whole() && w.settledDown(), w.states())
+			requireNoFailure(t, w)
+			assert.Assert(t, w.allServing() && w.matchesBoard(), w.states())
 			assert.Equal(t, w.board.VMs[late.VM].Epoch == second.Epoch, fencing)
 		})
 	}
--- a/internal/controller/measures_test.go
+++ b/internal/controller/measures_test.go
@@ -32,7 +32,7 @@
 	}})
 	w.run(time.Second)
 	assert.Equal(t, w.measures().GroupsDown, 1)
-	finish(t, w)
+	requireNoFailure(t, w)
 }
 
 // A complete fabric domain becomes unreachable and returns with the same incarnations of its
@@ -45,13 +45,13 @@
 		{Name: "small", Model: "small", Replicas: 3, VMsPerReplica: 2, Worth: 10},
 	}})
 	w.run(time.Minute)
-	assert.Assert(t, w.whole(), w.states())
+	assert.Assert(t, w.allServing(), w.states())
 	dark := w.board.Groups["large-0"].FabricDomain
 	for _, e := range w.engines {
 		e.dark = e.domain == dark
 	}
 	w.run(3 * time.Minute)
-	finish(t, w)
+	requireNoFailure(t, w)
 	serving := make(map[string]int)
 	for _, g := range w.board.Groups {
 		if w.isWorking(g) {
@@ -65,8 +65,8 @@
 		e.dark = false
 	}
 	w.run(time.Minute)
-	finish(t, w)
-	assert.Assert(t, w.whole(), w.states())
-	assert.Assert(t, w.settledDown())
+	requireNoFailure(t, w)
+	assert.Assert(t, w.allServing(), w.states())
+	assert.Assert(t, w.matchesBoard())
 	assert.Equal(t, w.board.NextEpoch, epochs+1, "only the missing group is formed")
 }
--- a/internal/controller/sim_engine_test.go
+++ b/internal/controller/sim_engine_test.go
@@ -7,8 +7,8 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// simEngine is a fake engine on the virtual clock. It obeys orders as the
-// protocol says; when fencing is false it ignores tokens and incarnations.
+// simEngine is a fake engine on the virtual clock. It obeys orders as the protocol requires; if
+// fencing is false, it ignores tokens and incarnations.
 type simEngine struct {
 	w            *world
 	id, domain   string
@@ -21,7 +21,7 @@
 	up, dark    bool
 	leaving     bool
 	running     int
-	// slow is how many intervals the engine is late with each announcement.
+	// slow is how many intervals each announcement of the engine is late.
 	slow        int
 	pausedUntil time.Time
 	entry       int
@@ -29,37 +29,37 @@
 	group       string
 	epoch       uint64
 	model       string
-	// byLate says that the epoch was taken by an order delivered after its
-	// deadline. Such an order is corrected once it is reported, not prevented.
-	byLate  bool
-	members []backend.GroupMember
-	phase   backend.Phase
-	weights map[string]bool
-	// work counts loads and releases, so that a timer of an earlier one
-	// changes nothing.
+	// loadedLate is true if the engine took up its epoch through an order delivered after its
+	// deadline. The controllers correct such an order once the engine reports it; they can't
+	// prevent it.
+	loadedLate bool
+	members    []backend.GroupMember
+	phase      backend.Phase
+	weights    map[string]bool
+	// work counts loads and releases, so that a timer of an earlier one has no effect.
 	work  int
 	inbox []func()
-	// lost is since when the engine has not been ready in its epoch.
-	lost time.Time
-	// wholeAt is when the engine last reached all members.
-	wholeAt time.Time
+	// lastReady is when the engine was last ready in its epoch.
+	lastReady time.Time
+	// allReachedAt is when the engine last reached all members.
+	allReachedAt time.Time
 }
 
 func (e *simEngine) name() string { return e.named }
 
 func (e *simEngine) paused() bool { return e.w.now.Before(e.pausedUntil) }
 
-// here tells whether the engine truly runs one epoch, ready.
-func (e *simEngine) here(incarnation, group string, epoch uint64) bool {
+// isReadyIn reports whether the engine really is ready in the given epoch.
+func (e *simEngine) isReadyIn(incarnation, group string, epoch uint64) bool {
 	return e.up && !e.paused() && !e.dark && e.name() == incarnation &&
 		e.group == group && e.epoch == epoch && e.phase == backend.PhaseReady
 }
 
-// noteHere keeps lost. It is called at each check and at each announcement, as
-// an engine may be ready and pause between two checks.
-func (e *simEngine) noteHere() {
-	if e.here(e.name(), e.group, e.epoch) {
-		e.lost = e.w.now
+// recordReady updates lastReady. It runs at each check and at each announcement, as an engine may
+// become ready and pause between two checks.
+func (e *simEngine) recordReady() {
+	if e.isReadyIn(e.name(), e.group, e.epoch) {
+		e.lastReady = e.w.now
 	}
 }
 
@@ -102,8 +102,8 @@
 	})
 }
 
-// announce posts to the engine's entry, or moves on to the next entry when
-// that one does not answer.
+// announce sends an announcement to the engine's entry, or moves on to the next entry if this one
+// does not answer.
 func (e *simEngine) announce() {
 	interval := 350*time.Millisecond + e.w.upTo(100*time.Millisecond)
 	defer e.w.after(interval*time.Duration(1+e.slow), e.announce)
@@ -115,12 +115,12 @@
 		e.entry = (e.entry + 1) % len(e.w.entries)
 		return
 	}
-	e.noteHere()
+	e.recordReady()
 	e.sequence++
 	lost := e.unreachable()
 	if len(lost) == 0 || e.phase != backend.PhaseReady {
-		e.wholeAt = e.w.now
-	} else if e.w.now.Sub(e.wholeAt) > groupTimeout {
+		e.allReachedAt = e.w.now
+	} else if e.w.now.Sub(e.allReachedAt) > groupTimeout {
 		e.phase = backend.PhaseFailed
 	}
 	a := backend.Announcement{
@@ -132,13 +132,13 @@
 	n.table.Hear(e.w.now, n.id, a)
 }
 
-// unreachable lists members that are gone, at once when their connection was
-// reset, and after two seconds when they only went silent.
+// unreachable lists the lost members: at once if their connection was reset, and after two
+// seconds if they only became silent.
 func (e *simEngine) unreachable() []string {
 	var lost []string
 	for _, m := range e.members {
 		o := e.w.byID[m.VM]
-		silent := (o.dark || o.paused()) && e.w.now.Sub(o.lost) > 2*time.Second
+		silent := (o.dark || o.paused()) && e.w.now.Sub(o.lastReady) > 2*time.Second
 		if !o.up || silent {
 			lost = append(lost, m.VM)
 		}
@@ -146,7 +146,7 @@
 	return lost
 }
 
-// take is the arrival of an order; answer gets the reply.
+// take receives an order; answer receives the reply.
 func (e *simEngine) take(o PlannedOrder, answer func(backend.OrderReply)) {
 	if !e.up || e.dark {
 		return
@@ -183,18 +183,18 @@
 		return
 	}
 	inTime := !e.w.now.After(o.Deadline)
-	if e.group != "" && inTime && !e.byLate {
-		e.w.fail("engine %s holds %s/%d and is told in time to load %s/%d",
+	if e.group != "" && inTime && !e.loadedLate {
+		e.w.fail("engine %s holds %s/%d and receives an order in time to load %s/%d",
 			e.name(), e.group, e.epoch, o.Order.Group, o.Order.Token.Epoch)
 	}
 	if row := e.w.board.VMs[e.id]; inTime && (row.Group != o.Order.Group || row.Epoch != o.Order.Token.Epoch) {
-		e.w.fail("engine %s is told in time to load %s/%d after it was freed from it",
+		e.w.fail("engine %s receives an order in time to load %s/%d after it was freed from it",
 			e.name(), o.Order.Group, o.Order.Token.Epoch)
 	}
 	e.clear()
 	e.group, e.epoch, e.model = o.Order.Group, o.Order.Token.Epoch, o.Order.Model
 	e.members = o.Order.Members
-	e.byLate = !inTime
+	e.loadedLate = !inTime
 	e.phase = backend.PhaseLoading
 	work, model := e.work, e.model
 	ready := func() {
@@ -227,7 +227,7 @@
 }
 
 const (
-	// groupTimeout is when an engine that has lost a member says failed.
+	// groupTimeout is when an engine that has lost a member reports failed.
 	groupTimeout = 8 * time.Second
 	storeTick    = 250 * time.Millisecond
 )
--- a/internal/controller/sim_random_test.go
+++ b/internal/controller/sim_random_test.go
@@ -11,7 +11,7 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// Seeds beyond the fixed ones are run by command:
+// The following command runs seeds beyond the fixed ones:
 //
 //	CITRONSTEP_SIM_SEEDS=2000 CITRONSTEP_SIM_FIRST=1000 \
 //	  go test -run TestRandomFaults -timeout 30m ./internal/controller
@@ -43,26 +43,25 @@
 	}
 }
 
-// Groups are left half-built, or serve with a member missing, when faults come
-// together: members die, pause and return, two at once or the second right
-// after a repair, a domain goes dark, leaders change with orders still on
-// their way, operators drain and switch presets. Half of the engines ignore
-// fencing tokens. Whatever the order, the invariants that the world asserts
-// must hold, and once the faults end each wanted group must serve again.
+// Guards against groups that stay incomplete, or serve with a member missing, when faults
+// coincide. Members die, pause and return, two at once or the second directly after a repair. A
+// domain fails, leaders change with orders still in transit, and operators drain and switch
+// presets. Half of the engines ignore fencing tokens. The invariants that the world asserts must
+// hold in any order of faults, and after the faults each wanted group must serve again.
 func TestRandomFaults(t *testing.T) {
 	first := fromEnv(firstVariable, 1)
 	for seed := first; seed < first+fromEnv(seedsVariable, fixedSeeds); seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, int64(seed), 3, 6, defaultPolicy, randomConfig())
-			w.onMove = w.disturb
-			w.after(20*time.Second, w.fault)
+			w.onMove = w.disturbMove
+			w.after(20*time.Second, w.injectFault)
 			w.run(3 * time.Minute)
-			w.calm()
+			w.endFaults()
 			w.run(3 * time.Minute)
-			finish(t, w)
-			assert.Assert(t, w.whole(), "seed %d: not all wanted groups serve again: %s", seed, w.states())
-			assert.Assert(t, w.settledDown(), "seed %d: an engine runs what the blackboard does not give it", seed)
+			requireNoFailure(t, w)
+			assert.Assert(t, w.allServing(), "seed %d: not all wanted groups serve again: %s", seed, w.states())
+			assert.Assert(t, w.matchesBoard(), "seed %d: an engine runs an epoch that the blackboard does not assign to it", seed)
 		})
 	}
 }
@@ -76,12 +75,12 @@
 	return text
 }
 
-// fault causes one fault and plans the next.
-func (w *world) fault() {
+// injectFault causes one fault and schedules the next.
+func (w *world) injectFault() {
 	if w.onMove == nil {
 		return
 	}
-	w.after(time.Second+w.upTo(15*time.Second), w.fault)
+	w.after(time.Second+w.upTo(15*time.Second), w.injectFault)
 	e := w.engines[w.rng.Intn(len(w.engines))]
 	switch w.rng.Intn(11) {
 	case 0:
@@ -143,7 +142,7 @@
 	})
 }
 
-// leave announces that a VM is leaving; it stops later and comes back.
+// leave announces that a VM is leaving; the VM stops later and returns.
 func (w *world) leave(e *simEngine) {
 	e.leaving = true
 	w.after(10*time.Second+w.upTo(20*time.Second), func() {
@@ -153,7 +152,7 @@
 	})
 }
 
-// cutLeader cuts the leader off; another takes over when its lease has ended.
+// cutLeader cuts off the leader; another process becomes leader when its lease has ended.
 func (w *world) cutLeader() {
 	old := w.leader().entry
 	w.entries[old].cut = true
@@ -165,9 +164,9 @@
 	w.after(2*time.Second+w.upTo(20*time.Second), func() { w.entries[old].cut = false })
 }
 
-// disturb kills a member right after some groups come into service, and drains
-// one while the orders to load are still on their way.
-func (w *world) disturb(g blackboard.Group) {
+// disturbMove kills a member directly after some groups come into service, and drains a member
+// while orders to load are still in transit.
+func (w *world) disturbMove(g blackboard.Group) {
 	m := g.Members[w.rng.Intn(len(g.Members))]
 	switch g.State {
 	case blackboard.Serving:
@@ -181,8 +180,8 @@
 	}
 }
 
-// calm ends all faults and brings everything back.
-func (w *world) calm() {
+// endFaults ends all faults and brings all engines back.
+func (w *world) endFaults() {
 	w.onMove = nil
 	for _, n := range w.entries {
 		n.cut = false
--- a/internal/controller/sim_world_test.go
+++ b/internal/controller/sim_world_test.go
@@ -38,18 +38,18 @@
 	return last
 }
 
-// simEntry is a process with a table of evidence; one of them leads.
+// simEntry is a process with a table of evidence; one of these processes leads.
 type simEntry struct {
 	id    string
 	table *evidence.Table
-	// cut says that nothing reaches the process or leaves it.
+	// cut is true if no message reaches the process or leaves it.
 	cut     bool
 	board   *blackboard.Board
 	cursors map[string]evidence.Cursor
 }
 
-// world is the system under test on a virtual clock: the real board,
-// controllers and evidence, with fake engines, weight store and network.
+// world is the system under test on a virtual clock: the real board, controllers and evidence,
+// with fake engines, weight store and network.
 type world struct {
 	t       testing.TB
 	seed    int64
@@ -62,12 +62,12 @@
 	byID    map[string]*simEngine
 	entries []*simEntry
 	store   []*simFetch
-	// storeSeconds is what one VM's weights take from the store alone, and
-	// localLoad what a load takes beside that.
+	// storeSeconds is how long one VM's weights take from the store alone, and localLoad how long
+	// the rest of a load takes.
 	storeSeconds float64
 	localLoad    time.Duration
-	// leaders holds the present leader last, before it those whose lease has
-	// not ended; these still see the blackboard as it was.
+	// leaders ends with the present leader. The earlier leaders whose lease has not ended still
+	// use the blackboard as it was.
 	leaders []*simLeader
 	policy  policy
 	failed  string
@@ -85,7 +85,7 @@
 	until  time.Time
 }
 
-// score adds up the two measures of the brief.
+// score adds up the two measures, groups down and stranded accelerators.
 type score struct {
 	// down is seconds of wanted replicas not working, by spec.
 	down map[string]float64
@@ -185,8 +185,8 @@
 	w.propose(&c)
 }
 
-// lead makes a process the leader of a new term. The leader before it goes on
-// until its lease ends, unable to change the blackboard.
+// lead makes a process the leader of a new term. The previous leader continues until its lease
+// ends, unable to change the blackboard.
 func (w *world) lead(i int) {
 	l := &simLeader{
 		entry: i, term: uint64(len(w.leaders)) + 1, memory: NewMemory(w.now, simLease),
@@ -198,7 +198,7 @@
 
 func (w *world) leader() *simLeader { return w.leaders[len(w.leaders)-1] }
 
-// exchange lets each process ask each other one for its digest.
+// exchange makes each process request the digest of each other process.
 func (w *world) exchange() {
 	defer w.after(evidence.DigestInterval, w.exchange)
 	for _, a := range w.entries {
@@ -241,7 +241,7 @@
 	}, w.now)
 	for _, o := range actions.Orders {
 		if !o.Deadline.Before(l.until) {
-			w.fail("an order outlives the lease")
+			w.fail("the deadline of an order is after the end of the lease")
 		}
 		if !cut {
 			w.deliver(l, o)
@@ -256,15 +256,15 @@
 	}
 }
 
-// checkCommand compares what a command claims with the truth: a VM that is
-// freed no longer runs the epoch, unless it took it up again by an order
-// delivered after its deadline, and a group goes into service only when each
-// member has just been ready in it.
+// checkCommand compares the claims of a command with the true state of the engines. A VM that is
+// freed must no longer run the epoch, unless it took up the epoch again through an order
+// delivered after its deadline. A group must go into service only when each member has just been
+// ready in it.
 func (w *world) checkCommand(c blackboard.Command) {
 	switch c := c.(type) {
 	case *blackboard.FreeVM:
 		e := w.byID[c.VM]
-		if e.up && e.group == c.Group && e.epoch == c.Epoch && !e.byLate {
+		if e.up && e.group == c.Group && e.epoch == c.Epoch && !e.loadedLate {
 			w.fail("%s is freed while it runs %s/%d", e.id, c.Group, c.Epoch)
 		}
 	case *blackboard.SetGroupState:
@@ -274,8 +274,8 @@
 	}
 }
 
-// deliver carries an order. One in ten is late within its deadline, one in
-// twenty so late that its deadline and perhaps its leader's term are over.
+// deliver delivers an order. One in ten is late within its deadline. One in twenty is so late
+// that its deadline, and perhaps its leader's term, has ended.
 func (w *world) deliver(l *simLeader, o PlannedOrder) {
 	delay := time.Millisecond + w.upTo(10*time.Millisecond)
 	switch n := w.rng.Intn(20); {
@@ -299,7 +299,7 @@
 func (w *world) observe() {
 	defer w.after(scoreTick, w.observe)
 	for _, e := range w.engines {
-		e.noteHere()
+		e.recordReady()
 	}
 	for _, n := range w.entries {
 		for _, id := range sortedKeys(n.board.Groups) {
@@ -311,27 +311,27 @@
 	w.measure()
 }
 
-// checkMembers: no group is routable while a member has been missing for longer
-// than the freshness bound.
+// checkMembers checks that no group is routable while a member has been missing for longer than
+// the freshness bound.
 func (w *world) checkMembers(who string, g blackboard.Group) {
 	for _, m := range g.Members {
 		e := w.byID[m.VM]
-		if e.here(m.Incarnation, g.ID, g.Epoch) {
+		if e.isReadyIn(m.Incarnation, g.ID, g.Epoch) {
 			continue
 		}
-		if missing := w.now.Sub(e.lost); missing > evidence.RoutableAge+scoreTick {
+		if missing := w.now.Sub(e.lastReady); missing > evidence.RoutableAge+scoreTick {
 			w.fail("%s routes to %s/%d while %s is missing for %s", who, g.ID, g.Epoch, m.VM, missing)
 		}
 	}
 }
 
-// works tells whether a group truly serves.
+// isWorking reports whether a group really serves.
 func (w *world) isWorking(g blackboard.Group) bool {
 	if g.State != blackboard.Serving {
 		return false
 	}
 	for _, m := range g.Members {
-		if !w.byID[m.VM].here(m.Incarnation, g.ID, g.Epoch) {
+		if !w.byID[m.VM].isReadyIn(m.Incarnation, g.ID, g.Epoch) {
 			return false
 		}
 	}
@@ -360,9 +360,8 @@
 	w.score.stranded += float64(live) * scoreTick.Seconds()
 }
 
-// settledDown tells whether engines run what the blackboard gives them and
-// nothing else.
-func (w *world) settledDown() bool {
+// matchesBoard reports whether engines run only the epochs that the blackboard assigns to them.
+func (w *world) matchesBoard() bool {
 	for _, e := range w.engines {
 		row := w.board.VMs[e.id]
 		if e.group != "" && (e.group != row.Group || e.epoch != row.Epoch) {
@@ -372,8 +371,8 @@
 	return true
 }
 
-// whole tells whether each spec has its wanted replicas working.
-func (w *world) whole() bool {
+// allServing reports whether each spec has its wanted replicas working.
+func (w *world) allServing() bool {
 	working := make(map[string]int)
 	for _, g := range w.board.Groups {
 		if w.isWorking(g) {
