--- a/internal/controller/repair_bench_test.go
+++ b/internal/controller/repair_bench_test.go
@@ -20,14 +20,14 @@
 	repairVMs     = 8
 )
 
-type repairWay struct {
+type repairStrategy struct {
 	name   string
 	policy policy
-	// follows says that the way looks at the preset's weights.
+	// follows is true if the strategy uses the preset's weights.
 	follows bool
 }
 
-var repairWays = []repairWay{
+var repairStrategies = []repairStrategy{
 	{"rebuild always", policy{}, false},
 	{"keep a fixed spare", policy{reuseSurvivors: true, reserveDomain: true, spares: 1}, false},
 	{"no takeover", policy{reuseSurvivors: true, reserveDomain: true}, false},
@@ -41,7 +41,7 @@
 
 var users = []userWeights{{"Verifica 3:1", 3, 1}, {"Halvorsen 1:3", 1, 3}}
 
-// repairPool is how many small groups a pool of 48 VMs is asked for.
+// repairPool is a pool of 48 VMs and the number of small groups configured on it.
 type repairPool struct {
 	name  string
 	small int
@@ -49,7 +49,7 @@
 
 var repairPools = []repairPool{{"full", 9}, {"one VM in eight spare", 3}}
 
-// repairConfig asks for all VMs of the pool but those that small leaves free.
+// repairConfig configures groups on all VMs of the pool except those that small leaves free.
 func repairConfig(u userWeights, small int) blackboard.ConfigChange {
 	return blackboard.ConfigChange{
 		Groups: []blackboard.GroupSpec{
@@ -62,10 +62,10 @@
 	}
 }
 
-// planFaults draws the faults of one hour from the seed alone, so that each way
-// meets the same ones: a VM lost each 3 minutes and back after 1 to 10, now and
-// then two or a second one soon after; a pause each 2 minutes; a domain dark
-// for 2 to 10 minutes once an hour; a restart announced each 6 minutes.
+// planFaults draws the faults of one hour from the seed alone, so that each strategy meets the
+// same faults. A VM is lost every 3 minutes on average and returns after 1 to 10 minutes; in one
+// case of four a second VM is lost within a minute. A VM pauses every 2 minutes, a domain is
+// unreachable for 2 to 10 minutes once an hour, and a restart is announced every 6 minutes.
 func (w *world) planFaults() {
 	rng := rand.New(rand.NewSource(w.seed))
 	upTo := func(d time.Duration) time.Duration { return time.Duration(rng.Int63n(int64(d))) }
@@ -104,14 +104,14 @@
 	}
 }
 
-// outcome is in hours: downtime of groups by spec and stranded accelerators.
+// outcome is in hours: downtime of groups by spec, and stranded accelerators.
 type outcome struct {
 	down     map[string]float64
 	stranded float64
 }
 
-func repairRun(b *testing.B, seed int64, pool repairPool, way repairWay, u userWeights) outcome {
-	w := newWorld(b, seed, repairDomains, repairVMs, way.policy, repairConfig(u, pool.small))
+func repairRun(b *testing.B, seed int64, pool repairPool, strategy repairStrategy, u userWeights) outcome {
+	w := newWorld(b, seed, repairDomains, repairVMs, strategy.policy, repairConfig(u, pool.small))
 	w.storeSeconds, w.localLoad = 10, 10*time.Second
 	w.planFaults()
 	w.run(repairHour)
@@ -125,25 +125,25 @@
 	return o
 }
 
-// cost weighs the two measures: downtime in hours of a large group, by worth,
-// and stranded accelerators in hours of a large group's sixteen.
+// cost weighs the two measures: downtime in hours of a large group, by worth, and stranded
+// accelerators in hours of the sixteen accelerators of a large group.
 func (o outcome) cost(u userWeights) float64 {
 	down := o.down["large"] + 0.4*o.down["medium"] + 0.1*o.down["small"]
 	return u.downtime*down + u.stranded*o.stranded/16
 }
 
-func repairMean(b *testing.B, pool repairPool, way repairWay, u userWeights) outcome {
+func repairMean(b *testing.B, pool repairPool, strategy repairStrategy, u userWeights) outcome {
 	sum := outcome{down: make(map[string]float64)}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	room := make(chan struct{}, 4)
+	slots := make(chan struct{}, 4)
 	for seed := range int64(repairSeeds) {
 		wg.Add(1)
-		room <- struct{}{}
+		slots <- struct{}{}
 		go func() {
 			defer wg.Done()
-			o := repairRun(b, seed+1, pool, way, u)
-			<-room
+			o := repairRun(b, seed+1, pool, strategy, u)
+			<-slots
 			mu.Lock()
 			defer mu.Unlock()
 			for spec, h := range o.down {
@@ -156,20 +156,20 @@
 	return sum
 }
 
-// BenchmarkRepair prints the means of an hour for each pool, way and user. A
-// way that does not look at the weights is run once.
+// BenchmarkRepair prints the means of an hour for each pool, strategy and user. A strategy that
+// does not use the weights is run once.
 func BenchmarkRepair(b *testing.B) {
 	for b.Loop() {
 		fmt.Printf("\n| pool | way | weights | large down (h) | medium down (h) | small down (h) | stranded (accelerator h) | cost |\n")
 		fmt.Printf("| --- | --- | --- | ---: | ---: | ---: | ---: | ---: |\n")
 		for _, pool := range repairPools {
-			for _, way := range repairWays {
+			for _, strategy := range repairStrategies {
 				var o outcome
 				for i, u := range users {
-					if i == 0 || way.follows {
-						o = repairMean(b, pool, way, u)
+					if i == 0 || strategy.follows {
+						o = repairMean(b, pool, strategy, u)
 					}
-					fmt.Printf("| %s | %s | %s | %.2f | %.2f | %.2f | %.1f | %.2f |\n", pool.name, way.name, u.name,
+					fmt.Printf("| %s | %s | %s | %.2f | %.2f | %.2f | %.1f | %.2f |\n", pool.name, strategy.name, u.name,
 						o.down["large"], o.down["medium"], o.down["small"], o.stranded, o.cost(u))
 				}
 			}
--- a/internal/controller/run_bench_test.go
+++ b/internal/controller/run_bench_test.go
@@ -11,13 +11,13 @@
 	"github.com/citronstep/citronstep/internal/placement/packing"
 )
 
-// BenchmarkRun is one run of all controllers with nothing to do, and the time
-// to take one digest line, at today's size and at the size of docs/CAPACITY.md:
+// BenchmarkRun measures one run of all controllers with nothing to do, at present sizes and at
+// the size of docs/CAPACITY.md:
 //
 //	go test -run '^$' -bench BenchmarkRun -benchmem ./internal/controller
 //
-// BenchmarkRunOfPool is the same for a pool of 1,095 VMs in 15 domains, whose groups of 32 and
-// 8 open.
+// BenchmarkRunOfPool measures the same for a pool of 1,095 VMs in 15 domains with groups of 32
+// and 8 that open.
 func BenchmarkRun(b *testing.B) {
 	for _, vms := range []int{50, 200, 710, 1096} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
@@ -25,14 +25,14 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if a := Run(v, now); len(a.Commands) != 0 {
-					b.Fatalf("a steady system wants %T", a.Commands[0])
+					b.Fatalf("a system in steady state issues %T", a.Commands[0])
 				}
 			}
 		})
 	}
 }
 
-// steadyView returns groups of eight VMs, all serving, each VM just heard.
+// steadyView returns groups of eight VMs, all serving, with a fresh announcement of each VM.
 func steadyView(vms int) (View, time.Time) {
 	now := simStart
 	table := evidence.NewTable("entry", 1)
@@ -71,13 +71,13 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if a := Run(v, now); len(a.Commands) != 0 {
-			b.Fatalf("a steady system wants %T", a.Commands[0])
+			b.Fatalf("a system in steady state issues %T", a.Commands[0])
 		}
 	}
 }
 
-// steadyPool returns a pool that serves: the domains by turns two groups of 32 and
-// nine of 8, the other VMs standing by.
+// steadyPool returns a serving pool. The domains alternate between two groups of 32 and nine
+// groups of 8; the other VMs are standbys.
 func steadyPool(domains, each int) (View, time.Time) {
 	now := simStart
 	table := evidence.NewTable("entry", 1)
@@ -141,8 +141,8 @@
 	}
 }
 
-// BenchmarkStartOfPool is the run that forms all groups of a pool that starts, of 3,003 VMs
-// in 273 domains.
+// BenchmarkStartOfPool measures the run that forms all groups of a starting pool of 3,003 VMs in
+// 273 domains.
 func BenchmarkStartOfPool(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
@@ -151,7 +151,7 @@
 		for range gatherIntervals {
 			Run(v, now)
 			now = now.Add(v.Evidence.Interval())
-			hearPool(v, now)
+			announcePool(v, now)
 		}
 		b.StartTimer()
 		if a := Run(v, now); len(a.Commands) < 273 {
@@ -160,8 +160,8 @@
 	}
 }
 
-// newPool returns a pool whose VMs have just been heard for the first time and hold
-// nothing.
+// newPool returns a pool whose VMs have just announced themselves for the first time and hold no
+// weights.
 func newPool(domains, each int) (View, time.Time) {
 	v, now := steadyPool(domains, each)
 	v.Memory.layouts = make(map[string]packing.Layout)
@@ -178,12 +178,12 @@
 		spec.VMsPerReplica = m.size
 		v.Board.Config.Groups[m.name] = spec
 	}
-	hearPool(v, now)
+	announcePool(v, now)
 	return v, now
 }
 
-// hearPool lets all VMs of a pool announce that they hold nothing.
-func hearPool(v View, now time.Time) {
+// announcePool records an announcement of every VM of a pool that it holds no weights.
+func announcePool(v View, now time.Time) {
 	for id, vm := range v.Board.VMs {
 		v.Evidence.Hear(now, "entry", backend.Announcement{
 			ID: id, Kind: backend.KindEngine, Incarnation: "a", Sequence: uint64(now.UnixMilli()), FabricDomain: vm.FabricDomain,
@@ -193,7 +193,7 @@
 	v.Evidence.Digest(now, evidence.Cursor{})
 }
 
-// BenchmarkRunInAStart is a run while the groups of a pool of 3,003 VMs load.
+// BenchmarkRunInAStart measures a run while the groups of a pool of 3,003 VMs load.
 func BenchmarkRunInAStart(b *testing.B) {
 	v, now := newPool(273, 11)
 	for range gatherIntervals + 4 {
@@ -207,7 +207,7 @@
 			}
 		}
 		now = now.Add(v.Evidence.Interval())
-		hearPool(v, now)
+		announcePool(v, now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
