--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -277,7 +277,7 @@
 // Guards against the teardown of all groups when the path from all backend servers to the entries
 // fails for half a minute. The silence of nearly all VMs was taken for their death, and all
 // weights were loaded again through the store, for hours.
-func TestTheSilenceOfMostTearsNothingDown(t *testing.T) {
+func TestTheSilenceOfMostVMsTearsDownNoGroup(t *testing.T) {
 	w := newWorld(t, 3, 2, 4, defaultPolicy, demoConfig(2, 3))
 	w.run(time.Minute)
 	before := map[string]uint64{}
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -203,9 +203,8 @@
 }
 
 // isIdle reports whether a member's load report shows no work. The report must date from a time
-// when no entry could still consider the group routable. A later age of the report does not
-// matter, as no new work arrives. The drain waits for an engine that reports no load until the
-// limit.
+// when no entry could still consider the group routable; it may be old, as no new work arrives
+// after that. The drain waits until its limit for an engine that reports no load.
 func isIdle(v View, g blackboard.Group, m blackboard.GroupMember, drainedFrom time.Time) bool {
 	r, hasReport := v.Evidence.Get(m.VM)
 	if !hasReport {
--- a/internal/controller/forecast.go
+++ b/internal/controller/forecast.go
@@ -24,8 +24,8 @@
 	priorWeight            = 3
 	// returnHalfLife is the time in which an observation of a return loses half of its weight.
 	returnHalfLife = time.Minute
-	// minReturnProbability is how likely a VM that is away must be to return for the layout of
-	// its domain to include it.
+	// minReturnProbability is the lowest probability of return at which the layout of a domain
+	// includes a VM that is away.
 	minReturnProbability = 0.25
 )
 
@@ -41,7 +41,7 @@
 	// been counted as lost.
 	deadSince map[string]time.Time
 	// returned and lost count the VMs that returned and those that did not, by weight.
-	// returnSeconds is the sum of the times after which VMs returned.
+	// returnSeconds is the weighted sum of the times after which VMs returned.
 	returned, lost, returnSeconds float64
 }
 
@@ -100,10 +100,10 @@
 	if vm.Liveness != blackboard.Dead {
 		switch {
 		case known && !since.IsZero():
-			h.noteReturned(now.Sub(since).Seconds(), 1)
+			h.recordReturn(now.Sub(since).Seconds(), 1)
 		case !h.hasObserved && vm.Flaps > 0:
 			// The VM returned under an earlier leader, and only that leader knows after how long.
-			h.noteReturned(h.meanReturnSeconds(), weightAfter(livenessAge(now, vm)))
+			h.recordReturn(h.meanReturnSeconds(), weightAfter(livenessAge(now, vm)))
 		}
 		delete(h.deadSince, vm.ID)
 		return false
@@ -140,7 +140,7 @@
 	h.returnSeconds = keep*h.returnSeconds + prior*priorReturnProbability*priorWeight*priorReturnTime.Seconds()
 }
 
-func (h *history) noteReturned(after, weight float64) {
+func (h *history) recordReturn(after, weight float64) {
 	h.returned += weight
 	h.returnSeconds += after * weight
 }
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -124,7 +124,8 @@
 }
 
 // isUsable reports whether a VM may join a new group now: it suits the spec, no group holds it,
-// and its engine reports that it is idle.
+// and its engine's report agrees. An engine of a pool must be neither open nor closing; any other
+// engine must be idle.
 func isUsable(v View, now time.Time, vm blackboard.VM, spec blackboard.GroupSpec) bool {
 	if !vm.Free() || !suits(v, now, vm, spec) {
 		return false
@@ -221,8 +222,8 @@
 
 // candidates returns one candidate for each domain with enough VMs, best first. The best
 // candidate has the fewest weights to fetch, as the store is the slowest part; then the fewest
-// groups of the same spec, so that the loss of one domain leaves the others; then the tightest
-// fit, so that wide domains stay free for wide groups.
+// loads from the host; then the fewest groups of the same spec, so that the loss of one domain
+// leaves the others; then the tightest fit, so that wide domains stay free for wide groups.
 func candidates(v View, now time.Time, spec blackboard.GroupSpec, u *allocation) []candidate {
 	var found []candidate
 	for _, domain := range sortedKeys(u.usableVMs(v, now, spec)) {
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -29,9 +29,9 @@
 	for _, g := range loadingOrder(v) {
 		switch {
 		case g.Opens && g.State == blackboard.Forming:
-			startOpening(v, now, a, g)
+			startPoolLoading(v, now, a, g)
 		case g.Opens && g.State == blackboard.Loading:
-			continueOpening(v, now, a, g)
+			continuePoolLoading(v, now, a, g)
 		case g.State == blackboard.Forming:
 			startLoading(v, now, a, g, &running)
 		case g.State == blackboard.Loading:
--- a/internal/controller/opening.go
+++ b/internal/controller/opening.go
@@ -27,14 +27,14 @@
 	finishTimeout = 10 * time.Second
 )
 
-// continueOpening sends the joins of a loading group. It opens the group once each member has
+// continuePoolLoading sends the joins of a loading group. It opens the group once each member has
 // reported ready in this epoch, and takes the group into service once its head reports that it is
 // open.
 //
 // Failure: a group opens with a member that never joined, and half a model produces the answers.
 // The engines do not check this. The order to open is therefore sent only on each member's own
 // report, under the incarnation that received the order to join.
-func continueOpening(v View, now time.Time, a *Actions, g blackboard.Group) {
+func continuePoolLoading(v View, now time.Time, a *Actions, g blackboard.Group) {
 	ready, open := 0, false
 	for rank, m := range g.Members {
 		r, hasReport := v.Evidence.Get(m.VM)
@@ -121,7 +121,7 @@
 	return false
 }
 
-// releaseOpened orders all members to leave and frees each member that has left, once the head
+// releasePoolGroup orders all members to leave and frees each member that has left, once the head
 // has certainly stopped serving. The answer to the order also shows which members are alive,
 // seconds before their silence would.
 //
@@ -129,7 +129,7 @@
 // the VM works for two groups. Each of three facts proves that the head has stopped: its own
 // report; a new incarnation of it; or, while it is silent, that another member left it longer
 // than Timing.Stall ago. After that time the head stops serving by itself wherever it is.
-func releaseOpened(v View, now time.Time, a *Actions, g blackboard.Group) (held int) {
+func releasePoolGroup(v View, now time.Time, a *Actions, g blackboard.Group) (held int) {
 	ended := hasHeadLeft(v, now, g) || hasHeadTimedOut(v, now, g)
 	for _, m := range g.Members {
 		vm, ok := v.Board.VMs[m.VM]
--- a/internal/controller/opening_sim_test.go
+++ b/internal/controller/opening_sim_test.go
@@ -181,7 +181,7 @@
 // incarnationSeparator separates the ID in an incarnation from the start time.
 const incarnationSeparator = "@"
 
-// engineID returns the ID in an incarnation; fake engines compare only the ID of an order.
+// engineID returns the ID in an incarnation; orders to engines carry only the ID.
 func engineID(incarnation string) string {
 	id, _, _ := strings.Cut(incarnation, incarnationSeparator)
 	return id
--- a/internal/controller/order_window.go
+++ b/internal/controller/order_window.go
@@ -67,6 +67,6 @@
 	return !w.wasFull
 }
 
-func (w *orderWindow) sent(vm string, now time.Time) { w.inFlight[vm] = now }
+func (w *orderWindow) recordSent(vm string, now time.Time) { w.inFlight[vm] = now }
 
-func (w *orderWindow) answered(vm string) { delete(w.inFlight, vm) }
+func (w *orderWindow) recordAnswer(vm string) { delete(w.inFlight, vm) }
--- a/internal/controller/order_window_test.go
+++ b/internal/controller/order_window_test.go
@@ -92,7 +92,7 @@
 	w := newOrderWindow()
 	fill := func(now time.Time) (n int) {
 		for ; w.hasCapacity(now); n++ {
-			w.sent(fmt.Sprint(now.UnixNano(), n), now)
+			w.recordSent(fmt.Sprint(now.UnixNano(), n), now)
 		}
 		return n
 	}
@@ -116,10 +116,10 @@
 	now := simStart
 	for n := range initialOrderWindow {
 		assert.Assert(t, w.hasCapacity(now), "order %d", n)
-		w.sent(string(rune('a'+n)), now)
+		w.recordSent(string(rune('a'+n)), now)
 	}
 	assert.Assert(t, !w.hasCapacity(now.Add(answerTimeout/2)))
-	w.answered("b")
+	w.recordAnswer("b")
 	assert.Assert(t, w.hasCapacity(now.Add(answerTimeout/2)))
 	assert.Assert(t, w.hasCapacity(now.Add(answerTimeout)))
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -71,7 +71,7 @@
 		*r = orderRecord{kind: o.Kind, target: target, incarnation: incarnation, firstSentAt: now, lastLoadDeadline: r.lastLoadDeadline}
 	}
 	r.sentAt, r.fetches = now, loads
-	v.Memory.window.sent(vm.ID, now)
+	v.Memory.window.recordSent(vm.ID, now)
 	if loads {
 		store.add(now, vm.ID)
 	}
--- a/internal/controller/releasing.go
+++ b/internal/controller/releasing.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		if g.Opens {
-			if releaseOpened(v, now, a, g) == 0 {
+			if releasePoolGroup(v, now, a, g) == 0 {
 				a.moveGroup(g, blackboard.Released, g.Reason, now)
 			}
 			continue
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -25,8 +25,8 @@
 	return v.Board.Config.Services[v.Board.Config.Groups[spec].Pool].Engine
 }
 
-// startOpening lets a group of a pool load when the weight store has capacity.
-func startOpening(v View, now time.Time, a *Actions, g blackboard.Group) {
+// startPoolLoading lets a group of a pool load when the weight store has capacity.
+func startPoolLoading(v View, now time.Time, a *Actions, g blackboard.Group) {
 	pool := v.Board.Config.Groups[g.Spec].Pool
 	if needsStore(v, g) && !v.Memory.storeOf(pool).hasCapacity(engineSpec(v, g.Spec)) {
 		return
--- a/internal/controller/weight_store.go
+++ b/internal/controller/weight_store.go
@@ -21,11 +21,11 @@
 // arrives, nobody waits, and the store serves loads as fast as it can. From then on the store
 // serves a limited rate, and loads beyond that rate slow down all loads.
 //
-// Harm of counting a load when its group is allowed to load: the leader may send the orders
-// hundreds of orders and some seconds later, and then more loads begin at once than the store's
-// rate allows. A load therefore counts when its order is sent. A resent order counts again,
-// because the engine may carry out the first order late. Before callers arrive, the limit applies
-// to the orders without an answer instead, because these loads may all begin a moment later.
+// Harm of counting a load when its group is allowed to load: the leader sends hundreds of these
+// orders only seconds later, and more loads begin at once than the store's rate allows. A load
+// therefore counts when its order is sent. A resent order counts again, because the engine may
+// carry out the first order late. Before callers arrive, the limit applies to the orders without
+// an answer instead, because these loads may all begin a moment later.
 type weightStore struct {
 	// recent holds the loads that were ordered within storeWindow.
 	recent []load
