--- a/internal/controller/measures.go
+++ b/internal/controller/measures.go
@@ -15,7 +15,7 @@
 // process: a group with a paused member does not work although the blackboard still states
 // serving. A draining group works until it is released, but does not count for its spec. Stranded
 // accelerators are those of VMs that are neither paused nor dead and whose group does not work.
-// While this process does not receive announcements from a majority of the entries, its evidence
+// While this process does not receive evidence from a majority of the entries, its evidence
 // is insufficient and it uses the blackboard instead.
 func Measures(board *blackboard.Board, table *evidence.Table, now time.Time) adminapi.Measures {
 	var m adminapi.Measures
--- a/internal/controller/memory.go
+++ b/internal/controller/memory.go
@@ -14,8 +14,8 @@
 	// ordersFrom is the time from which this leader may send orders: the lease of any earlier
 	// leader has certainly ended.
 	ordersFrom time.Time
-	// coveredSince is the time since which announcements of a majority of the entries have
-	// arrived without a break; zero while they do not arrive.
+	// coveredSince is the time since which evidence from a majority of the entries has arrived
+	// without a break; zero while it does not arrive.
 	coveredSince time.Time
 	// massSilenceAt is when most VMs were last silent at the same time.
 	massSilenceAt time.Time
@@ -44,8 +44,9 @@
 	stores map[string]*weightStore
 	// models holds which model each VM of a pool has in its accelerators.
 	models map[string]loadedModel
-	// layouts holds the groups that each fabric domain of a pool is to form. gatherings tracks
-	// how many VMs of the domains without a layout are known.
+	// layouts holds which groups each fabric domain of a pool is to form and which models its
+	// other VMs are to hold. gatherings tracks how many VMs of the domains without a layout are
+	// known.
 	layouts map[string]packing.Layout
 	// planned is the number of groups of each model over all layouts.
 	planned    map[string]int
