--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -10,11 +10,11 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// A group that serves loses a member though nothing died: a load order of an
-// earlier leader, held up on its way, reaches a VM that has since been released
-// and serves in another epoch. An engine that checks fencing must refuse it.
-// One that doesn't will obey; then the group must be unroutable within the
-// freshness bound, the engine must be told to leave, and a new epoch serve.
+// Guards against a serving group that loses a member through a late order. The load order of an
+// earlier leader is delayed and reaches a VM that has since been released and serves in another
+// epoch. An engine that checks fencing must refuse the order. An engine that does not check will
+// obey. Then the group must be unroutable within the freshness bound, the engine must receive an
+// order to leave, and a new epoch must serve.
 func TestAnOrderDelayedPastALeaderChange(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		t.Run(map[bool]string{true: "engine checks", false: "engine ignores"}[fencing], func(t *testing.T) {
@@ -31,7 +31,7 @@
 			w.lead(1)
 			w.byID[first.Members[1].VM].kill()
 			w.run(40 * time.Second)
-			assert.Assert(t, w.whole())
+			assert.Assert(t, w.allServing())
 			second := w.board.VMs[late.VM]
 			assert.Assert(t, second.Epoch > first.Epoch, "the VM serves in a later epoch")
 
@@ -42,15 +42,15 @@
 			routable, _ := w.entries[2].table.Routable(w.now, w.board, second.Group)
 			assert.Equal(t, routable, fencing)
 			w.run(40 * time.Second)
-			finish(t, w)
-			assert.Assert(t, w.whole() && w.settledDown(), w.states())
+			requireNoFailure(t, w)
+			assert.Assert(t, w.allServing() && w.matchesBoard(), w.states())
 			assert.Equal(t, w.board.VMs[late.VM].Epoch == second.Epoch, fencing)
 		})
 	}
 }
 
-// Two leaders order one engine about at once. The old one is cut off and still
-// believes its lease; the new one must send nothing before that lease ends.
+// Guards against two leaders that send orders to one engine at the same time. The old leader is
+// cut off and still relies on its lease; the new leader must send nothing before that lease ends.
 func TestANewLeaderWaitsOutTheOldLease(t *testing.T) {
 	w := newWorld(t, 12, 1, 3, defaultPolicy, demoConfig(1, 3))
 	w.run(1500 * time.Millisecond)
@@ -71,8 +71,8 @@
 	assert.Assert(t, sent >= simLease+driftMargin, "sent after %s", sent)
 }
 
-// A leader is about to lose its lease. An order whose deadline would come after
-// the lease must get the shorter deadline, or not be sent at all.
+// A leader is about to lose its lease. An order whose deadline would come after the end of the
+// lease must get the shorter deadline, or not be sent at all.
 func TestAnOrdersDeadlineEndsBeforeTheLease(t *testing.T) {
 	now := simStart
 	for _, c := range []struct {
@@ -92,15 +92,14 @@
 	}
 }
 
-// A VM is put into a second group while the first still runs on it. Each line
-// is what the leader knows of a member of a broken group, and whether that
-// proves the VM free.
+// Guards against a VM that joins a second group while the first still runs on it. Each case gives
+// what the leader knows about a member of a broken group, and whether that proves the VM free.
 func TestAVMIsFreedOnProofOnly(t *testing.T) {
 	now := simStart.Add(time.Minute)
 	released := func(change func(*orderRecord)) *orderRecord {
 		o := &orderRecord{
 			kind: backend.OrderRelease, target: groupEpoch{"demo-0", 5}, incarnation: "a",
-			accepted: true, answeredAt: now.Add(-3 * time.Second), sequenceAfter: 20,
+			accepted: true, acceptedAt: now.Add(-3 * time.Second), firstSequence: 20,
 		}
 		if change != nil {
 			change(o)
@@ -120,9 +119,9 @@
 		{"accepted, still releasing", released(nil), "a", 21, backend.PhaseReleasing, false},
 		{"not answered", released(func(o *orderRecord) { o.accepted = false }), "a", 21, backend.PhaseIdle, false},
 		{"the announcement may have left before", released(nil), "a", 20, backend.PhaseIdle, false},
-		{"first announcement after", released(func(o *orderRecord) { o.sequenceAfter = 0 }), "a", 21, backend.PhaseIdle, false},
+		{"first announcement after", released(func(o *orderRecord) { o.firstSequence = 0 }), "a", 21, backend.PhaseIdle, false},
 		{"release of another epoch", released(func(o *orderRecord) { o.target.epoch = 4 }), "a", 21, backend.PhaseIdle, false},
-		{"a load order is on its way", released(func(o *orderRecord) { o.loadsEnd = now.Add(time.Second) }), "a", 21, backend.PhaseIdle, false},
+		{"a load order is on its way", released(func(o *orderRecord) { o.lastLoadDeadline = now.Add(time.Second) }), "a", 21, backend.PhaseIdle, false},
 		{"a new incarnation goes on announcing", nil, "b", 21, backend.PhaseIdle, true},
 		{"one announcement of a new incarnation", nil, "b", 1, backend.PhaseIdle, false},
 		{"a new incarnation obeyed a late order", nil, "b", 21, backend.PhaseLoading, false},
@@ -134,7 +133,7 @@
 			}
 			r := reportOf("vm", c.incarnation, c.sequence, c.phase, now)
 			g := blackboard.Group{ID: "demo-0", Epoch: 5}
-			got := freed(v, now, g, blackboard.GroupMember{VM: "vm", Incarnation: "a"}, r)
+			got := isProvenFree(v, now, g, blackboard.GroupMember{VM: "vm", Incarnation: "a"}, r)
 			assert.Equal(t, got, c.want)
 		})
 	}
