--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -45,7 +45,7 @@
 	now := start
 	b.ReportAllocs()
 	for b.Loop() {
-		now = now.Add(cacheTime)
+		now = now.Add(capacityCacheTTL)
 		if p.HasRoom(now, Request{Model: "m", Tokens: 50000}) {
 			b.Fatal("room")
 		}
--- a/internal/placement/domain.go
+++ b/internal/placement/domain.go
@@ -72,7 +72,7 @@
 		t.rampFrom = now
 	}
 	t.failures = 0
-	t.progressAt = now
+	t.lastProgress = now
 	if len(t.domain.failed) > 0 {
 		t.domain.success(t.ID)
 	}
@@ -87,7 +87,7 @@
 		}
 	}
 	if 2*failing > len(p.targets) {
-		p.outageUntil = now.Add(rampTime)
+		p.outageUntil = now.Add(defaultRampTime)
 	}
 }
 
--- a/internal/placement/health_test.go
+++ b/internal/placement/health_test.go
@@ -71,7 +71,7 @@
 		}
 	}
 	assert.Assert(t, sent <= 2, "%d of 100 sent to the cold target", sent)
-	assert.Equal(t, p.targets["g009"].part(at(rampTime)), 1.0)
+	assert.Equal(t, p.targets["g009"].limitFraction(at(defaultRampTime)), 1.0)
 }
 
 // A fabric domain goes dark. Two of its four groups have failed a request; the
@@ -96,7 +96,7 @@
 	p.Started(start, "a", "g000", 100)
 	p.Finished(start, "a", Result{Cancelled: true})
 	assert.Assert(t, p.HasRoom(start, Request{Model: "m", Tokens: 100}))
-	assert.Equal(t, p.targets["g000"].mine, 0)
+	assert.Equal(t, p.targets["g000"].own, 0)
 }
 
 func TestUnlistedTargetGetsNothingNewAndItsAttemptsEnd(t *testing.T) {
@@ -129,9 +129,9 @@
 	all, one := picker(10), picker(10)
 	fail(all, 10)
 	fail(one, 1)
-	assert.Equal(t, all.targets["g000"].part(at(maxBackoff)), 1.0)
-	assert.Equal(t, all.targets["g009"].part(at(maxBackoff)), 1.0)
-	assert.Equal(t, one.targets["g000"].part(at(maxBackoff)), rampStart)
+	assert.Equal(t, all.targets["g000"].limitFraction(at(maxBackoff)), 1.0)
+	assert.Equal(t, all.targets["g009"].limitFraction(at(maxBackoff)), 1.0)
+	assert.Equal(t, one.targets["g000"].limitFraction(at(maxBackoff)), initialRampFraction)
 }
 
 // A group is taken off the list for a moment and comes back with its requests
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -42,12 +42,12 @@
 		return
 	}
 	t.reported = load
-	t.mostReported = max(t.mostReported, float64(load.TokensInFlight))
-	t.mineAt = t.mine - t.ledger.since(load.At)
-	t.pool.observeOthers(t)
+	t.maxReportedLoad = max(t.maxReportedLoad, float64(load.TokensInFlight))
+	t.ownAtReport = t.own - t.ledger.since(load.At)
+	t.pool.observeWorkRatio(t)
 	t.estimate(now)
 	t.adapt(now, p.options.TokenInterval)
-	t.pool.full.clear()
+	t.pool.misses.clear()
 }
 
 // adapt moves the limit by equal steps up and by a factor down.
@@ -65,8 +65,8 @@
 		t.cut(now)
 		return
 	}
-	if t.blocked && float64(r.TokensInFlight) >= binding*t.limit {
-		t.blocked = false
+	if t.limitReached && float64(r.TokensInFlight) >= binding*t.limit {
+		t.limitReached = false
 		t.limit = min(t.limit+t.step(), t.limitCeiling())
 	}
 }
@@ -86,10 +86,10 @@
 // load, a short queue of small requests would leave no room for larger ones: the
 // load they need is greater than the load at which slots ran out.
 func (t *target) cut(now time.Time) {
-	if now.Before(t.settle) {
+	if now.Before(t.nextCut) {
 		return
 	}
-	t.settle = now.Add(settleTime)
+	t.nextCut = now.Add(settleTime)
 	t.wasCut = true
 	t.limit = max(limitCut*t.limit, t.limitFloor())
 }
@@ -102,16 +102,16 @@
 	if o.Capacity <= 0 {
 		return
 	}
-	if !t.stated && !t.wasCut {
+	if !t.capacityStated && !t.wasCut {
 		t.limit = o.startLimit()
 	}
-	t.stated = true
+	t.capacityStated = true
 	t.limit = min(max(t.limit, t.limitFloor()), t.limitCeiling())
 }
 
 func (t *target) step() float64 {
 	if t.wasCut {
-		return limitStep * t.mostReported
+		return limitStep * t.maxReportedLoad
 	}
 	return limitStep * t.limit
 }
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -50,7 +50,7 @@
 		o.TokenInterval = DefaultTokenInterval
 	}
 	if o.Ramp <= 0 {
-		o.Ramp = rampTime
+		o.Ramp = defaultRampTime
 	}
 	return o
 }
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -42,18 +42,18 @@
 		return false
 	}
 	r.Tokens = max(1, r.Tokens)
-	none := pool.full.lane(r.Tokens >= p.options.LongTokens)
+	none := pool.misses.forLength(r.Tokens >= p.options.LongTokens)
 	if none.covers(now, r.Tokens, r.Reserve) {
 		return false
 	}
-	if pool.room(now, r, &p.options) {
+	if pool.hasCapacity(now, r, &p.options) {
 		return true
 	}
-	if pool.refresh(now) && pool.room(now, r, &p.options) {
+	if pool.refreshStale(now) && pool.hasCapacity(now, r, &p.options) {
 		return true
 	}
 	if r.Homes == nil {
-		none.remember(now, r.Tokens, r.Reserve)
+		none.record(now, r.Tokens, r.Reserve)
 	}
 	return false
 }
@@ -130,20 +130,20 @@
 // score is the load of t with r on it, as a part of what it may be given, and
 // the costs of choosing it.
 func (p *Picker) score(now time.Time, t *target, r Request) float64 {
-	s := (t.load + float64(r.Tokens)) / (t.limit * t.part(now))
+	s := (t.load + float64(r.Tokens)) / (t.limit * t.limitFraction(now))
 	if t.DataCentre != p.options.DataCentre {
 		s += remoteCost
 	}
-	if t.stale(now) {
+	if t.isStale(now) {
 		s += staleCost
 	}
-	if t.pace.slow || t.stalled(now) {
+	if t.pace.slow || t.isStalled(now) {
 		s += slowCost
 	}
-	if t.avoided(now) {
+	if t.isAvoided(now) {
 		return s + avoidedCost
 	}
-	if !t.room(now, r.Tokens, r.Reserve, &p.options) {
+	if !t.hasCapacity(now, r.Tokens, r.Reserve, &p.options) {
 		s += noRoomCost
 	}
 	return s
@@ -166,7 +166,7 @@
 // leastScore is a bound below score that is quick to compute.
 func (t *target) leastScore(r *Request) float64 {
 	s := (t.load + float64(r.Tokens)) / t.limit
-	if t.surelyFull(r.Tokens, r.Reserve) {
+	if t.exceedsLimit(r.Tokens, r.Reserve) {
 		s += noRoomCost
 	}
 	return s
@@ -177,10 +177,10 @@
 	if blocks == 0 {
 		return 0
 	}
-	bound := loadBound * pool.mean()
+	bound := loadBound * pool.meanLoad()
 	gain := cachedGain * float64(blocks) / float64(len(r.Prefix))
 	for _, t := range held {
-		if t.pool == pool && t.listed && !t.barred(now, r) {
+		if t.pool == pool && t.isListed && !t.barred(now, r) {
 			c.offer(t, p.score(now, t, r)-bounded(t, r, bound, gain), ReasonCached)
 		}
 	}
@@ -207,7 +207,7 @@
 	for _, t := range pool.targets {
 		load += t.load
 		limit += t.limit
-		w := weight(key, t.hash)
+		w := weight(key, t.idHash)
 		switch {
 		case first == nil || w > firstWeight:
 			second, secondWeight = first, firstWeight
@@ -276,7 +276,7 @@
 		if !t.pace.slow || due.Before(t.pace.probeAt) || t.barred(now, r) {
 			continue
 		}
-		if t.room(now, r.Tokens, r.Reserve, &p.options) {
+		if t.hasCapacity(now, r.Tokens, r.Reserve, &p.options) {
 			t.pace.probeAt = now.Add(probeInterval)
 			return t
 		}
--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -68,7 +68,7 @@
 func (p *Picker) SetTargets(now time.Time, list []Target) {
 	first := len(p.targets) == 0
 	for _, t := range p.targets {
-		t.listed = false
+		t.isListed = false
 	}
 	for _, o := range list {
 		p.list(now, o, first)
@@ -93,7 +93,7 @@
 	}
 	t.restate(o)
 	t.throttle = p.throttles[o.Server]
-	t.listed = true
+	t.isListed = true
 	t.domain = p.domain(domainKey{o.DataCentre, o.FabricDomain})
 }
 
@@ -124,7 +124,7 @@
 
 func (p *Picker) removeUnlisted() {
 	for id, t := range p.targets {
-		if t.listed {
+		if t.isListed {
 			continue
 		}
 		p.hints.dropAll(t)
@@ -140,7 +140,7 @@
 	for _, pool := range p.pools {
 		pool.targets = pool.targets[:0]
 		pool.reference.slow = 0
-		pool.full.clear()
+		pool.misses.clear()
 	}
 	for _, t := range p.targets {
 		pool := p.pools[t.Model]
@@ -208,7 +208,7 @@
 	a := &attempt{target: t, tokens: tokens, long: tokens >= p.options.LongTokens}
 	p.running[attemptID] = a
 	if a.long {
-		t.pendingLong++
+		t.pendingLongPrefills++
 	}
 	t.give(now, tokens)
 	t.throttle.sent(now)
@@ -216,10 +216,10 @@
 
 // give adds tokens of work, or takes them off if they are negative.
 func (t *target) give(now time.Time, tokens int) {
-	if t.mine == 0 {
-		t.progressAt = now
+	if t.own == 0 {
+		t.lastProgress = now
 	}
-	t.mine += tokens
+	t.own += tokens
 	t.ledger.add(now, tokens)
 	t.estimate(now)
 }
@@ -235,16 +235,16 @@
 	}
 	if a.seen.IsZero() {
 		a.computed()
-		a.target.pool.full.clear()
+		a.target.pool.misses.clear()
 	}
 	a.seen = now
-	a.target.progressAt = now
+	a.target.lastProgress = now
 }
 
 // computed notes that the prompt of a is computed, by its first token or end.
 func (a *attempt) computed() {
 	if a.long && a.seen.IsZero() {
-		a.target.pendingLong--
+		a.target.pendingLongPrefills--
 	}
 }
 
@@ -258,7 +258,7 @@
 	t := a.target
 	a.computed()
 	t.give(now, -a.tokens)
-	t.pool.full.clear()
+	t.pool.misses.clear()
 	switch {
 	case r.OK:
 		t.success(now)
--- a/internal/placement/picker_test.go
+++ b/internal/placement/picker_test.go
@@ -79,7 +79,7 @@
 		assert.Assert(t, c.Reason != ReasonNoRoom)
 		p.Started(start, fmt.Sprint(i), c.ID, 900)
 	}
-	mean := p.pools["m"].mean()
+	mean := p.pools["m"].meanLoad()
 	for _, x := range p.targets {
 		assert.Assert(t, x.load/x.limit <= loadBound*mean+0.1, "%s holds %v", x.ID, x.load)
 	}
@@ -193,10 +193,10 @@
 		p.Started(start, fmt.Sprint(calls), "s", 1)
 		calls++
 	}
-	assert.Equal(t, calls, defaultCalls)
+	assert.Equal(t, calls, defaultCallLimit)
 	now := at(time.Second)
 	p.Report(now, "s", Load{Running: 8, Queued: 24, TokensInFlight: 32, At: now})
-	assert.Assert(t, p.targets["s"].limit < defaultCalls, "%v", p.targets["s"].limit)
+	assert.Assert(t, p.targets["s"].limit < defaultCallLimit, "%v", p.targets["s"].limit)
 	p.Report(at(2*time.Second), "s", Load{Running: 8, Queued: 40, At: at(2 * time.Second)})
 	assert.Equal(t, p.targets["s"].load, 48.0)
 }
@@ -233,7 +233,7 @@
 			load.Queued = 5
 		}
 		for _, p := range []*Picker{a, b} {
-			p.targets["g000"].blocked = true
+			p.targets["g000"].limitReached = true
 			p.Report(now, "g000", load)
 		}
 	}
@@ -306,7 +306,7 @@
 // own, or it would use a third of each group.
 func TestEntryLearnsHowMuchOfTheLoadIsItsOwn(t *testing.T) {
 	p := picker(1)
-	p.pools["m"].meanAll, p.pools["m"].meanMine = 9000, 3000
+	p.pools["m"].meanAll, p.pools["m"].meanOwn = 9000, 3000
 	p.Started(start, "a", "g000", 3000)
 	for i := range 500 {
 		now := at(time.Duration(i) * 200 * time.Millisecond)
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -2,76 +2,78 @@
 
 import "time"
 
-// maxOthers bounds pool.others: the users run at most 9 entries today, and a
-// wrong estimate must not stop an entry from using its part.
-const maxOthers = 16
+// maxWorkRatio bounds pool.workRatio. The users run at most 9 entries today, and a wrong
+// estimate must not keep an entry from using its share.
+const maxWorkRatio = 16
 
-// othersWeight is the weight of one report in pool.others: a hundred reports,
-// about twenty seconds of one target, follow a change of the number of entries.
-const othersWeight = 0.01
+// workRatioWeight is the weight of one report in the means behind pool.workRatio. The means
+// follow a change in the number of entries within a hundred reports, about twenty seconds of
+// one target.
+const workRatioWeight = 0.01
 
 // pool holds the targets of one model.
 type pool struct {
 	targets []*target
-	// others is the work in flight of all entries for each token of this one:
-	// the ratio of the two means below, in tokens a target.
-	others            float64
-	meanAll, meanMine float64
-	reference         reference
-	full              roomCache
-	// outageUntil is until when a return to service counts as the end of an
-	// outage of most of the pool.
+	// workRatio is the work in flight of all entries for each token of this entry's: the ratio
+	// of meanAll to meanOwn, both in tokens for each target.
+	workRatio        float64
+	meanAll, meanOwn float64
+	reference        reference
+	misses           capacityCache
+	// outageUntil is the time until which a target that succeeds again is taken to recover from
+	// an outage of most of the pool.
 	outageUntil time.Time
-	refreshAt   time.Time
+	nextRefresh time.Time
 }
 
-// newPool returns a pool that peers entries send to, this one included.
+// newPool returns a pool for a number of entries that send to it, this one included.
 //
-// Load: all processes come back from an outage, and each entry gets its part of the
-// backlog before any backend server has reported. Taken for alone, each fills all groups
-// by itself: 380 requests went to 312 places within half a second. The balancer gives
-// entries like parts, so as many peers send as much until reports tell.
-func newPool(peers int) *pool { return &pool{others: float64(min(max(1, peers), maxOthers))} }
-
-// observeOthers compares what a target reports with this entry's part of it.
+// After an outage all processes start together, and each entry gets its share of the backlog
+// before any backend server has reported. If each entry assumed to be alone, each would fill
+// all groups by itself: 380 requests went to 312 slots within half a second. The balancer gives
+// all entries equal shares, so workRatio starts at the number of entries until reports correct
+// it.
+func newPool(entries int) *pool { return &pool{workRatio: float64(min(max(1, entries), maxWorkRatio))} }
+
+// observeWorkRatio updates workRatio from a target's report and this entry's work on the
+// target.
 //
-// It takes the ratio of means and not the mean of ratios: a target that holds
-// one small request of this entry would show a ratio of a hundred.
-func (p *pool) observeOthers(t *target) {
-	p.meanAll += othersWeight * (float64(t.reported.TokensInFlight) - p.meanAll)
-	p.meanMine += othersWeight * (float64(max(0, t.mineAt)) - p.meanMine)
-	if p.meanAll > p.meanMine && p.meanMine > 0 {
-		p.others = min(p.meanAll/p.meanMine, maxOthers)
+// It uses the ratio of means, because the mean of ratios is distorted: a target that holds one
+// small request of this entry would show a ratio of a hundred.
+func (p *pool) observeWorkRatio(t *target) {
+	p.meanAll += workRatioWeight * (float64(t.reported.TokensInFlight) - p.meanAll)
+	p.meanOwn += workRatioWeight * (float64(max(0, t.ownAtReport)) - p.meanOwn)
+	if p.meanAll > p.meanOwn && p.meanOwn > 0 {
+		p.workRatio = min(p.meanAll/p.meanOwn, maxWorkRatio)
 		return
 	}
-	p.others = 1
+	p.workRatio = 1
 }
 
-// room tells whether the request fits on some target.
-func (p *pool) room(now time.Time, r Request, o *Options) bool {
+// hasCapacity reports whether the request fits on some target.
+func (p *pool) hasCapacity(now time.Time, r Request, o *Options) bool {
 	for _, t := range p.targets {
-		if t.within(r.Homes) && t.room(now, r.Tokens, r.Reserve, o) {
+		if t.within(r.Homes) && t.hasCapacity(now, r.Tokens, r.Reserve, o) {
 			return true
 		}
 	}
 	return false
 }
 
-// refreshEvery is how often stale targets are looked for at most: under
-// saturation nothing has room many times a second.
-const refreshEvery = time.Second
+// refreshInterval is the shortest time between two searches for stale targets. Under
+// saturation, requests find no capacity many times a second.
+const refreshInterval = time.Second
 
-// refresh estimates anew the load of targets that ceased to report, and tells
-// whether there are any. It is called only when nothing has room, so that the
-// quick look through full targets needs no clock.
-func (p *pool) refresh(now time.Time) bool {
-	if now.Before(p.refreshAt) {
+// refreshStale estimates the load of stale targets again and reports whether there are any. It
+// runs only when no target has free capacity, so that exceedsLimit needs no clock.
+func (p *pool) refreshStale(now time.Time) bool {
+	if now.Before(p.nextRefresh) {
 		return false
 	}
-	p.refreshAt = now.Add(refreshEvery)
+	p.nextRefresh = now.Add(refreshInterval)
 	found := false
 	for _, t := range p.targets {
-		if t.stale(now) {
+		if t.isStale(now) {
 			t.estimate(now)
 			found = true
 		}
@@ -79,8 +81,8 @@
 	return found
 }
 
-// mean returns the load of the pool as a part of its limits.
-func (p *pool) mean() float64 {
+// meanLoad returns the total load of the pool as a fraction of its total limit.
+func (p *pool) meanLoad() float64 {
 	load, limit := 0.0, 0.0
 	for _, t := range p.targets {
 		load += t.load
@@ -92,38 +94,38 @@
 	return load / limit
 }
 
-// cacheTime bounds how long roomCache answers without a look, because ramps
-// and back-offs end with time alone.
-const cacheTime = 20 * time.Millisecond
+// capacityCacheTTL bounds the lifetime of a capacityMiss, because ramps and back-offs end as
+// time passes, without an event.
+const capacityCacheTTL = 20 * time.Millisecond
 
-// roomCache remembers that a request of some size doesn't fit anywhere, until
-// some target gets work back or reports.
+// capacityCache remembers that a request of some size fits on no target, until some target
+// finishes work or reports.
 //
-// It is made for full saturation: each request that arrives or ends asks again
-// for room, and thousands of askings a second would each look at every target.
-type roomCache struct {
-	short, long noRoom
+// Under full saturation each request that arrives or ends asks again for capacity. Without the
+// cache each of thousands of queries a second would scan every target.
+type capacityCache struct {
+	short, long capacityMiss
 }
 
-type noRoom struct {
+type capacityMiss struct {
 	until   time.Time
 	tokens  int
 	reserve float64
 }
 
-func (c *roomCache) clear() { *c = roomCache{} }
+func (c *capacityCache) clear() { *c = capacityCache{} }
 
-func (c *roomCache) lane(long bool) *noRoom {
-	if long {
+func (c *capacityCache) forLength(isLong bool) *capacityMiss {
+	if isLong {
 		return &c.long
 	}
 	return &c.short
 }
 
-func (n *noRoom) covers(now time.Time, tokens int, reserve float64) bool {
-	return now.Before(n.until) && tokens >= n.tokens && reserve >= n.reserve
+func (m *capacityMiss) covers(now time.Time, tokens int, reserve float64) bool {
+	return now.Before(m.until) && tokens >= m.tokens && reserve >= m.reserve
 }
 
-func (n *noRoom) remember(now time.Time, tokens int, reserve float64) {
-	*n = noRoom{until: now.Add(cacheTime), tokens: tokens, reserve: reserve}
+func (m *capacityMiss) record(now time.Time, tokens int, reserve float64) {
+	*m = capacityMiss{until: now.Add(capacityCacheTTL), tokens: tokens, reserve: reserve}
 }
--- a/internal/placement/stats.go
+++ b/internal/placement/stats.go
@@ -39,7 +39,7 @@
 func (p *Picker) Stats(now time.Time) []ModelStats {
 	all := make([]ModelStats, 0, len(p.pools))
 	for model, pool := range p.pools {
-		m := ModelStats{Model: model, Others: pool.others}
+		m := ModelStats{Model: model, Others: pool.workRatio}
 		for _, t := range pool.targets {
 			m.Targets = append(m.Targets, t.stats(now))
 		}
@@ -50,7 +50,7 @@
 
 func (t *target) stats(now time.Time) TargetStats {
 	return TargetStats{
-		Target: t.Target, Load: t.load, Limit: t.limit, Mine: t.mine, Part: t.part(now),
-		Slow: t.pace.slow, Stalled: t.stalled(now), Avoided: t.avoided(now), Hints: len(t.hints.blocks), ReportedAt: t.reported.At,
+		Target: t.Target, Load: t.load, Limit: t.limit, Mine: t.own, Part: t.limitFraction(now),
+		Slow: t.pace.slow, Stalled: t.isStalled(now), Avoided: t.isAvoided(now), Hints: len(t.hints.blocks), ReportedAt: t.reported.At,
 	}
 }
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -185,7 +185,7 @@
 		}
 	}
 	for _, pool := range p.pools {
-		pool.full.clear()
+		pool.misses.clear()
 	}
 }
 
