--- a/internal/placement/health_test.go
+++ b/internal/placement/health_test.go
@@ -107,7 +107,7 @@
 		assert.Equal(t, mustPick(t, p, start, Request{Tokens: 10}).ID, "g000")
 	}
 	p.Finished(start, "a", Result{OK: true})
-	assert.Equal(t, len(p.running), 0)
+	assert.Equal(t, len(p.attempts), 0)
 }
 
 // The network between this entry and all groups is gone for some seconds, too
--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -8,77 +8,77 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// Picker holds what one entry knows of the backend servers.
+// Picker holds the state that one entry keeps of the backend servers.
 type Picker struct {
-	options Options
-	targets map[string]*target
-	pools   map[string]*pool
-	domains map[domainKey]*domain
-	running map[string]*attempt
-	hints   hints
-	random  uint64
-	// self and entries are the hashes of this entry and of all that send to the backend
-	// servers.
-	self    uint64
-	entries []uint64
-	// throttles are by backend server. They outlive the targets that it heads.
+	options  Options
+	targets  map[string]*target
+	pools    map[string]*pool
+	domains  map[domainKey]*domain
+	attempts map[string]*attempt
+	hints    hints
+	random   uint64
+	// selfHash is the hash of this entry's id, entryHashes those of all entries that send to
+	// the backend servers.
+	selfHash    uint64
+	entryHashes []uint64
+	// throttles are keyed by backend server. They outlive the targets that a backend server
+	// heads.
 	throttles map[string]*throttle
-	// left holds targets that were taken off the list. One that returns keeps
-	// its limit, its pace and the attempts that it still holds.
-	left map[string]*target
+	// unlisted holds targets that SetTargets removed. A target that returns keeps its limit,
+	// its pace and its attempts in flight.
+	unlisted map[string]*target
 }
 
-// poolLimit bounds the pools that are kept without a target, for what they have
-// learned of peers and other entries when the targets return.
-const poolLimit = 1024
+// maxPools bounds the number of pools. Pools without targets are kept up to it, because they
+// hold what was learned of peers and of other entries when the targets return.
+const maxPools = 1024
 
-// leftLimit bounds Picker.left, about 6 MB. Past it all are forgotten, and
-// targets that return begin as new ones.
-const leftLimit = 2048
+// maxUnlisted bounds Picker.unlisted, to about 6 MB. When it is reached, all entries of the map
+// are dropped, and targets that return begin as new ones.
+const maxUnlisted = 2048
 
 // attempt is one request in flight on a target.
 type attempt struct {
 	target *target
 	tokens int
-	long   bool
-	// seen is when it last made progress; zero before the first token.
-	seen time.Time
+	isLong bool
+	// lastProgress is when the attempt last made progress; zero before the first token.
+	lastProgress time.Time
 }
 
 // New returns a Picker without targets.
 func New(o Options) *Picker {
 	return &Picker{
-		self:      xxhash.Sum64String(o.Entry),
+		selfHash:  xxhash.Sum64String(o.Entry),
 		throttles: make(map[string]*throttle),
 
-		options: o.withDefaults(),
-		targets: make(map[string]*target),
-		pools:   make(map[string]*pool),
-		domains: make(map[domainKey]*domain),
-		running: make(map[string]*attempt),
-		hints:   make(hints),
-		random:  o.Seed,
-		left:    make(map[string]*target),
+		options:  o.withDefaults(),
+		targets:  make(map[string]*target),
+		pools:    make(map[string]*pool),
+		domains:  make(map[domainKey]*domain),
+		attempts: make(map[string]*attempt),
+		hints:    make(hints),
+		random:   o.Seed,
+		unlisted: make(map[string]*target),
 	}
 }
 
-// SetTargets replaces the set of routable targets. A target that is left out
-// gets nothing new at once; its attempts go on. One that comes beside others
-// gets its part by the ramp.
+// SetTargets replaces the set of routable targets. A target that is no longer listed gets no
+// new requests; its attempts in flight continue. A target that joins others ramps up.
 func (p *Picker) SetTargets(now time.Time, list []Target) {
-	first := len(p.targets) == 0
+	isInitial := len(p.targets) == 0
 	for _, t := range p.targets {
 		t.isListed = false
 	}
 	for _, o := range list {
-		p.list(now, o, first)
+		p.listTarget(now, o, isInitial)
 	}
 	p.removeUnlisted()
 	p.rebuildPools()
 	p.countDomains()
 }
 
-func (p *Picker) list(now time.Time, o Target, first bool) {
+func (p *Picker) listTarget(now time.Time, o Target, isInitial bool) {
 	t := p.targets[o.ID]
 	if t != nil && t.Model != o.Model {
 		p.hints.dropAll(t)
@@ -86,8 +86,8 @@
 		t = nil
 	}
 	if t == nil {
-		t = p.returning(o)
-		if !first {
+		t = p.restoreOrCreate(o)
+		if !isInitial {
 			t.rampFrom = now
 		}
 	}
@@ -97,14 +97,14 @@
 	t.domain = p.domain(domainKey{o.DataCentre, o.FabricDomain})
 }
 
-// returning makes a target of o, or takes the one that left under its id.
+// restoreOrCreate returns the unlisted target with the id of o, or a new one.
 //
-// It is made for groups that are routable to and fro: with a new state each time
-// the requests still in flight there would be forgotten, and it would draw more
-// as if it were idle.
-func (p *Picker) returning(o Target) *target {
-	t := p.left[o.ID]
-	delete(p.left, o.ID)
+// Serving groups may become routable and unroutable repeatedly. With a new state each time, the
+// requests still in flight on the group would be forgotten, and the group would draw more as if
+// it were idle.
+func (p *Picker) restoreOrCreate(o Target) *target {
+	t := p.unlisted[o.ID]
+	delete(p.unlisted, o.ID)
 	if t == nil || t.Model != o.Model {
 		t = newTarget(o, p.options.Ramp)
 	}
@@ -129,10 +129,10 @@
 		}
 		p.hints.dropAll(t)
 		delete(p.targets, id)
-		if len(p.left) >= leftLimit {
-			clear(p.left)
+		if len(p.unlisted) >= maxUnlisted {
+			clear(p.unlisted)
 		}
-		p.left[id] = t
+		p.unlisted[id] = t
 	}
 }
 
@@ -145,7 +145,7 @@
 	for _, t := range p.targets {
 		pool := p.pools[t.Model]
 		if pool == nil {
-			pool = newPool(len(p.entries))
+			pool = newPool(len(p.entryHashes))
 			p.pools[t.Model] = pool
 		}
 		t.pool = pool
@@ -156,7 +156,7 @@
 	}
 	for model, pool := range p.pools {
 		pool.sort()
-		if len(pool.targets) == 0 && len(p.pools) > poolLimit {
+		if len(pool.targets) == 0 && len(p.pools) > maxPools {
 			delete(p.pools, model)
 		}
 	}
@@ -176,10 +176,9 @@
 	}
 }
 
-// CacheEvent takes in what target id announced about its prefix cache. The
-// events are hints: they come late, and after a gap in the sequence all hints
-// of the target are dropped, since a block whose removal was missed would draw
-// requests to a server that must compute it again.
+// CacheEvent applies a change that target id announced in its prefix cache. Events are hints
+// and arrive late. After a gap in the sequence all hints of the target are dropped: a block
+// whose removal was missed would draw requests to a server that has to compute it again.
 func (p *Picker) CacheEvent(_ time.Time, id string, sequence uint64, add, drop []uint64) {
 	t := p.targets[id]
 	if t == nil {
@@ -197,25 +196,25 @@
 	}
 }
 
-// Started notes that an attempt was sent to a target.
+// Started records that an attempt was sent to a target.
 func (p *Picker) Started(now time.Time, attemptID, targetID string, tokens int) {
 	t := p.targets[targetID]
-	_, known := p.running[attemptID]
+	_, known := p.attempts[attemptID]
 	if !invariant.Check(!known, "placement_attempt_unique", "attempt %q started twice", attemptID) || t == nil {
 		return
 	}
 	tokens = max(1, tokens)
-	a := &attempt{target: t, tokens: tokens, long: tokens >= p.options.LongTokens}
-	p.running[attemptID] = a
-	if a.long {
+	a := &attempt{target: t, tokens: tokens, isLong: tokens >= p.options.LongTokens}
+	p.attempts[attemptID] = a
+	if a.isLong {
 		t.pendingLongPrefills++
 	}
-	t.give(now, tokens)
+	t.addWork(now, tokens)
 	t.throttle.sent(now)
 }
 
-// give adds tokens of work, or takes them off if they are negative.
-func (t *target) give(now time.Time, tokens int) {
+// addWork adds tokens of work in flight; a negative number removes them.
+func (t *target) addWork(now time.Time, tokens int) {
 	if t.own == 0 {
 		t.lastProgress = now
 	}
@@ -224,54 +223,55 @@
 	t.estimate(now)
 }
 
-// Progress notes that an attempt received tokens.
+// Progress records that an attempt received tokens.
 func (p *Picker) Progress(now time.Time, attemptID string, tokens int) {
-	a := p.running[attemptID]
+	a := p.attempts[attemptID]
 	if a == nil {
 		return
 	}
-	if !a.seen.IsZero() && now.After(a.seen) {
-		a.target.progress(now, tokens, now.Sub(a.seen))
+	if !a.lastProgress.IsZero() && now.After(a.lastProgress) {
+		a.target.progress(now, tokens, now.Sub(a.lastProgress))
 	}
-	if a.seen.IsZero() {
-		a.computed()
+	if a.lastProgress.IsZero() {
+		a.endPrefill()
 		a.target.pool.misses.clear()
 	}
-	a.seen = now
+	a.lastProgress = now
 	a.target.lastProgress = now
 }
 
-// computed notes that the prompt of a is computed, by its first token or end.
-func (a *attempt) computed() {
-	if a.long && a.seen.IsZero() {
+// endPrefill records that the prompt of a has been computed, shown by its first token or its
+// end.
+func (a *attempt) endPrefill() {
+	if a.isLong && a.lastProgress.IsZero() {
 		a.target.pendingLongPrefills--
 	}
 }
 
-// Finished notes the end of an attempt. It must be called once for each.
+// Finished records the end of an attempt. Call it once for each attempt.
 func (p *Picker) Finished(now time.Time, attemptID string, r Result) {
-	a := p.running[attemptID]
+	a := p.attempts[attemptID]
 	if a == nil {
 		return
 	}
-	delete(p.running, attemptID)
+	delete(p.attempts, attemptID)
 	t := a.target
-	a.computed()
-	t.give(now, -a.tokens)
+	a.endPrefill()
+	t.addWork(now, -a.tokens)
 	t.pool.misses.clear()
 	switch {
 	case r.OK:
 		t.success(now)
-		t.judgeWhole(now, a, r)
+		t.judgeUnstreamed(now, a, r)
 	case !r.Cancelled:
 		t.failure(now, r.RetryAfter)
 	}
 }
 
-// judgeWhole judges the pace of an attempt that gave its answer at once, as
-// plain services do.
-func (t *target) judgeWhole(now time.Time, a *attempt, r Result) {
-	if a.seen.IsZero() && r.Took > 0 {
+// judgeUnstreamed judges the pace of an attempt whose answer arrived at once, as those of plain
+// services do.
+func (t *target) judgeUnstreamed(now time.Time, a *attempt, r Result) {
+	if a.lastProgress.IsZero() && r.Took > 0 {
 		t.judge(now, float64(a.tokens)/r.Took.Seconds())
 	}
 }
--- a/internal/placement/picker_test.go
+++ b/internal/placement/picker_test.go
@@ -282,7 +282,7 @@
 		by := make(map[string]int)
 		for i := range n {
 			c := mustPick(t, p, start, Request{Tokens: 100})
-			p.Started(start, fmt.Sprint(len(p.running), "-", i), c.ID, 100)
+			p.Started(start, fmt.Sprint(len(p.attempts), "-", i), c.ID, 100)
 			by[p.targets[c.ID].DataCentre]++
 		}
 		return by
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -119,9 +119,9 @@
 
 // SetEntries names the entries that send to the backend servers, this one included.
 func (p *Picker) SetEntries(ids []string) {
-	p.entries = p.entries[:0]
+	p.entryHashes = p.entryHashes[:0]
 	for _, id := range ids {
-		p.entries = append(p.entries, xxhash.Sum64String(id))
+		p.entryHashes = append(p.entryHashes, xxhash.Sum64String(id))
 	}
 	for server, t := range p.throttles {
 		t.share, _ = p.sharesOf(server, t)
@@ -224,13 +224,13 @@
 // by chance would be many times the limit.
 func (p *Picker) shareOf(server string, limit RateLimit) (share, phase float64) {
 	key := xxhash.Sum64String(server)
-	mine, rank := weight(key, p.self), 0
-	for _, entry := range p.entries {
-		if entry != p.self && weight(key, entry) > mine {
+	mine, rank := weight(key, p.selfHash), 0
+	for _, entry := range p.entryHashes {
+		if entry != p.selfHash && weight(key, entry) > mine {
 			rank++
 		}
 	}
-	sharing := min(max(len(p.entries), rank+1), limit.Sharing)
+	sharing := min(max(len(p.entryHashes), rank+1), limit.Sharing)
 	if rank >= sharing {
 		return 0, 0
 	}
