--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -108,7 +108,7 @@
 	if t == nil || t.Model != o.Model {
 		t = newTarget(o, p.options.Ramp)
 	}
-	t.vouched()
+	t.resetFailures()
 	p.targets[o.ID] = t
 	return t
 }
@@ -116,7 +116,7 @@
 func (p *Picker) domain(key domainKey) *domain {
 	d := p.domains[key]
 	if d == nil {
-		d = &domain{failed: make(map[string]time.Time)}
+		d = &domain{failedAt: make(map[string]time.Time)}
 		p.domains[key] = d
 	}
 	return d
@@ -261,10 +261,10 @@
 	t.pool.misses.clear()
 	switch {
 	case r.OK:
-		t.success(now)
+		t.recordSuccess(now)
 		t.judgeUnstreamed(now, a, r)
 	case !r.Cancelled:
-		t.failure(now, r.RetryAfter)
+		t.recordFailure(now, r.RetryAfter)
 	}
 }
 
