--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -7,43 +7,42 @@
 )
 
 const (
-	// cachedGain is the load, as a part of the limit, that a wholly cached
-	// prompt is worth: computing a long prompt again costs about that much of
-	// a server's time.
+	// cachedGain is the gain of a completely cached prompt, as a load relative to the limit.
+	// Computing a long prompt again costs about that much of a server's time.
 	cachedGain = 0.4
-	// affinityGain is the same for a prompt that only hashes to the server.
+	// affinityGain is the gain of a prompt that only hashes to the server.
 	affinityGain = 0.2
-	// loadBound is how far above the pool's mean a server's load may be for
-	// affinity to count, as in consistent hashing with bounded loads. It is
-	// for skewed demand: one popular prompt must not overload its server.
+	// loadBound is how far above the pool's mean a server's load may be for affinity to count,
+	// as in consistent hashing with bounded loads. It guards against skewed demand: one popular
+	// prompt must not overload its server.
 	loadBound = 1.25
-	// remoteCost is the load that a server of another data centre must be
-	// better by; the way there costs about a millisecond for each token.
+	// remoteCost is the cost of a server in another data centre. The network between data
+	// centres adds about a millisecond to each token.
 	remoteCost = 0.05
-	// staleCost is the same for a server whose reports ceased.
+	// staleCost is the cost of a server that has stopped reporting.
 	staleCost = 0.25
-	// slowCost puts a slow server behind all others that have room.
+	// slowCost ranks a slow server behind all others that have free capacity.
 	slowCost = 2
-	// noRoomCost puts a server without room behind all that have room.
-	noRoomCost = 10
-	// avoidedCost puts a server that just failed behind all others.
+	// noCapacityCost ranks a server without free capacity behind all that have some.
+	noCapacityCost = 10
+	// avoidedCost ranks a server that has just failed behind all others.
 	avoidedCost = 100
 )
 
-// sort gives pools of equal targets an equal order, for repeatable decisions.
+// sort orders the targets by id, so that equal pools give repeatable decisions.
 func (p *pool) sort() {
 	sort.Slice(p.targets, func(i, j int) bool { return p.targets[i].ID < p.targets[j].ID })
 }
 
-// HasRoom tells whether a request could be placed now.
+// HasRoom reports whether some target has free capacity for a request now.
 func (p *Picker) HasRoom(now time.Time, r Request) bool {
 	pool := p.pools[r.Model]
 	if pool == nil {
 		return false
 	}
 	r.Tokens = max(1, r.Tokens)
-	none := pool.misses.forLength(r.Tokens >= p.options.LongTokens)
-	if none.covers(now, r.Tokens, r.Reserve) {
+	miss := pool.misses.forLength(r.Tokens >= p.options.LongTokens)
+	if miss.covers(now, r.Tokens, r.Reserve) {
 		return false
 	}
 	if pool.hasCapacity(now, r, &p.options) {
@@ -53,18 +52,18 @@
 		return true
 	}
 	if r.Homes == nil {
-		none.record(now, r.Tokens, r.Reserve)
+		miss.record(now, r.Tokens, r.Reserve)
 	}
 	return false
 }
 
-// Serves tells whether a model has a target in one of the regions; nil is any.
+// Serves reports whether a model has a target in one of the regions; nil allows any region.
 func (p *Picker) Serves(model string, homes []string) bool {
 	pool := p.pools[model]
-	return pool != nil && slices.ContainsFunc(pool.targets, func(t *target) bool { return t.within(homes) })
+	return pool != nil && slices.ContainsFunc(pool.targets, func(t *target) bool { return t.isInRegions(homes) })
 }
 
-// choice collects the best and second best of the candidates.
+// choice collects the best and the second best candidate.
 type choice struct {
 	best, second             *target
 	bestScore, secondScore   float64
@@ -83,13 +82,14 @@
 	}
 }
 
-// Pick chooses a target for r. It returns false if the model has no target that r
-// doesn't exclude, that lies in its homes and is open by its backend server's rate limit. A target without
-// room is chosen only if none has.
+// Pick chooses a target for r. It returns false if no target of the model is eligible: not
+// excluded by r, in one of r's regions and not blocked by its backend server's rate limit. A
+// target without free capacity is chosen only if no target has some.
 //
-// Holders of the prefix, the two servers it hashes to, two drawn at random and those whose
-// limited rate this entry shares compete by load. Taking the least loaded of all instead would send every
-// entry's requests to one server until the next report.
+// The candidates are the holders of the prefix, the two targets that the prefix hashes to, two
+// random draws, and the targets whose rate limit this entry shares. The least loaded candidate
+// wins. Choosing the least loaded of all targets instead would send every entry's requests to
+// one server until the next report.
 func (p *Picker) Pick(now time.Time, r Request) (Choice, bool) {
 	pool := p.pools[r.Model]
 	if pool == nil || len(pool.targets) == 0 {
@@ -103,7 +103,7 @@
 	cached := p.offerCached(now, pool, r, &c)
 	p.offerAffinity(now, pool, r, &c)
 	p.offerRandom(now, pool, r, &c)
-	p.offerShared(now, pool, r, &c)
+	p.offerRateLimited(now, pool, r, &c)
 	if c.best == nil || c.bestScore >= slowCost {
 		p.offerAll(now, pool, r, &c)
 	}
@@ -115,7 +115,7 @@
 
 func (c *choice) result(cached int) Choice {
 	out := Choice{ID: c.best.ID, Score: c.bestScore, Reason: c.bestReason}
-	if c.bestScore >= noRoomCost {
+	if c.bestScore >= noCapacityCost {
 		out.Reason = ReasonNoRoom
 	}
 	if out.Reason == ReasonCached {
@@ -127,8 +127,8 @@
 	return out
 }
 
-// score is the load of t with r on it, as a part of what it may be given, and
-// the costs of choosing it.
+// score returns the load of t with r added, as a fraction of t's usable limit, plus the costs
+// of choosing t.
 func (p *Picker) score(now time.Time, t *target, r Request) float64 {
 	s := (t.load + float64(r.Tokens)) / (t.limit * t.limitFraction(now))
 	if t.DataCentre != p.options.DataCentre {
@@ -144,51 +144,51 @@
 		return s + avoidedCost
 	}
 	if !t.hasCapacity(now, r.Tokens, r.Reserve, &p.options) {
-		s += noRoomCost
+		s += noCapacityCost
 	}
 	return s
 }
 
-// barred tells whether t may not be chosen for r at all.
-func (t *target) barred(now time.Time, r Request) bool {
-	return t.throttle.shut(now) || excluded(t, r.Exclude) || !t.within(r.Homes)
+// isIneligible reports whether t must not be chosen for r at all.
+func (t *target) isIneligible(now time.Time, r Request) bool {
+	return t.throttle.shut(now) || isExcluded(t, r.Exclude) || !t.isInRegions(r.Homes)
 }
 
-// within tells whether t lies in one of the regions; nil is any.
-func (t *target) within(homes []string) bool {
-	return homes == nil || slices.Contains(homes, t.Region)
+// isInRegions reports whether t lies in one of the regions; nil allows any region.
+func (t *target) isInRegions(regions []string) bool {
+	return regions == nil || slices.Contains(regions, t.Region)
 }
 
-func excluded(t *target, exclude []string) bool {
+func isExcluded(t *target, exclude []string) bool {
 	return len(exclude) > 0 && slices.Contains(exclude, t.ID)
 }
 
-// leastScore is a bound below score that is quick to compute.
-func (t *target) leastScore(r *Request) float64 {
+// minScore returns a lower bound of score that is quick to compute.
+func (t *target) minScore(r *Request) float64 {
 	s := (t.load + float64(r.Tokens)) / t.limit
 	if t.exceedsLimit(r.Tokens, r.Reserve) {
-		s += noRoomCost
+		s += noCapacityCost
 	}
 	return s
 }
 
 func (p *Picker) offerCached(now time.Time, pool *pool, r Request, c *choice) int {
-	held, blocks := p.hints.longest(r.Prefix)
+	holding, blocks := p.hints.longest(r.Prefix)
 	if blocks == 0 {
 		return 0
 	}
 	bound := loadBound * pool.meanLoad()
 	gain := cachedGain * float64(blocks) / float64(len(r.Prefix))
-	for _, t := range held {
-		if t.pool == pool && t.isListed && !t.barred(now, r) {
-			c.offer(t, p.score(now, t, r)-bounded(t, r, bound, gain), ReasonCached)
+	for _, t := range holding {
+		if t.pool == pool && t.isListed && !t.isIneligible(now, r) {
+			c.offer(t, p.score(now, t, r)-boundedGain(t, r, bound, gain), ReasonCached)
 		}
 	}
 	return blocks
 }
 
-// bounded returns gain unless t is loaded above bound.
-func bounded(t *target, r Request, bound, gain float64) float64 {
+// boundedGain returns gain, or 0 if t is loaded above bound.
+func boundedGain(t *target, r Request, bound, gain float64) float64 {
 	if t.load > 0 && (t.load+float64(r.Tokens))/t.limit > bound {
 		return 0
 	}
@@ -218,11 +218,11 @@
 	}
 	bound := loadBound * load / max(limit, 1)
 	for i, t := range [2]*target{first, second} {
-		if t == nil || t.barred(now, r) {
+		if t == nil || t.isIneligible(now, r) {
 			continue
 		}
 		gain := affinityGain / float64(i+1)
-		c.offer(t, p.score(now, t, r)-bounded(t, r, bound, gain), ReasonAffinity)
+		c.offer(t, p.score(now, t, r)-boundedGain(t, r, bound, gain), ReasonAffinity)
 	}
 }
 
@@ -232,20 +232,20 @@
 	second := (first + 1 + p.draw(max(1, n-1))) % n
 	for _, i := range [2]int{first, second} {
 		t := pool.targets[i]
-		if !t.barred(now, r) {
+		if !t.isIneligible(now, r) {
 			c.offer(t, p.score(now, t, r), ReasonTwoChoices)
 		}
 	}
 }
 
-// offerShared offers the targets of which this entry has a share: few entries do, and in a
-// large pool two draws at random would seldom meet them.
-func (p *Picker) offerShared(now time.Time, pool *pool, r Request, c *choice) {
+// offerRateLimited offers the targets whose rate limit this entry has a share of. Few entries
+// have a share, and in a large pool two random draws would seldom meet these targets.
+func (p *Picker) offerRateLimited(now time.Time, pool *pool, r Request, c *choice) {
 	if len(p.throttles) == 0 {
 		return
 	}
 	for _, t := range pool.targets {
-		if t.throttle != nil && !t.barred(now, r) {
+		if t.throttle != nil && !t.isIneligible(now, r) {
 			c.offer(t, p.score(now, t, r), ReasonTwoChoices)
 		}
 	}
@@ -253,17 +253,17 @@
 
 func (p *Picker) offerAll(now time.Time, pool *pool, r Request, c *choice) {
 	for _, t := range pool.targets {
-		if c.second != nil && t.leastScore(&r) >= c.secondScore {
+		if c.second != nil && t.minScore(&r) >= c.secondScore {
 			continue
 		}
-		if !t.barred(now, r) {
+		if !t.isIneligible(now, r) {
 			c.offer(t, p.score(now, t, r), ReasonLeastLoaded)
 		}
 	}
 }
 
-// probe returns a slow target that is due for a try, if there is one. A
-// request of the greatest worth is spared unless no other came for a while.
+// probe returns a slow target that is due for a trial request, or nil. A request of the
+// greatest worth is used only if no other request came for a whole probe interval.
 func (p *Picker) probe(now time.Time, pool *pool, r Request) *target {
 	if pool.reference.slow == 0 {
 		return nil
@@ -273,7 +273,7 @@
 		due = now.Add(-probeInterval)
 	}
 	for _, t := range pool.targets {
-		if !t.pace.slow || due.Before(t.pace.probeAt) || t.barred(now, r) {
+		if !t.pace.slow || due.Before(t.pace.probeAt) || t.isIneligible(now, r) {
 			continue
 		}
 		if t.hasCapacity(now, r.Tokens, r.Reserve, &p.options) {
@@ -284,8 +284,8 @@
 	return nil
 }
 
-// draw returns a number below n by SplitMix64, a generator small enough to be
-// part of the state, so that a seed repeats all decisions.
+// draw returns a random number below n by SplitMix64. The generator is small enough to be part
+// of the state, so that a seed repeats all decisions.
 func (p *Picker) draw(n int) int {
 	p.random += 0x9e3779b97f4a7c15
 	z := p.random
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -246,7 +246,7 @@
 		return time.Time{}, false, false
 	}
 	for _, t := range pool.targets {
-		if excluded(t, r.Exclude) || !t.within(r.Homes) {
+		if isExcluded(t, r.Exclude) || !t.isInRegions(r.Homes) {
 			continue
 		}
 		if !t.throttle.shut(now) {
@@ -269,7 +269,7 @@
 		return 0, false
 	}
 	for _, t := range pool.targets {
-		if !t.within(homes) {
+		if !t.isInRegions(homes) {
 			continue
 		}
 		if t.throttle == nil || t.throttle.passes() {
