--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -151,7 +151,7 @@
 
 // isIneligible reports whether t must not be chosen for r at all.
 func (t *target) isIneligible(now time.Time, r Request) bool {
-	return t.throttle.shut(now) || isExcluded(t, r.Exclude) || !t.isInRegions(r.Homes)
+	return t.throttle.isBlocked(now) || isExcluded(t, r.Exclude) || !t.isInRegions(r.Homes)
 }
 
 // isInRegions reports whether t lies in one of the regions; nil allows any region.
--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -210,7 +210,7 @@
 		t.pendingLongPrefills++
 	}
 	t.addWork(now, tokens)
-	t.throttle.sent(now)
+	t.throttle.recordSend(now)
 }
 
 // addWork adds tokens of work in flight; a negative number removes them.
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -155,7 +155,7 @@
 // hasCapacity reports whether the request fits now. An idle target takes any request, because a
 // request larger than the limit would never run otherwise.
 func (t *target) hasCapacity(now time.Time, tokens int, reserve float64, o *Options) bool {
-	if t.throttle.shut(now) {
+	if t.throttle.isBlocked(now) {
 		return false
 	}
 	if t.exceedsLimit(tokens, reserve) {
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -7,101 +7,104 @@
 )
 
 const (
-	// sharingEntries is how many entries share a limit that a backend server names, and
-	// one more for each request a second of it. Each may be one request ahead of its
-	// share, so their number bounds what they can send at once.
-	sharingEntries = 5
-	// leastRate is the limit, in requests a second, that one below it is taken for: the
-	// end of a limit shows in answers alone.
-	leastRate = 0.1
-	// countedFor is how long before a limit was learned the requests of this entry count
-	// against it: countedFor where a backend server names the limit, coldWindow where it
-	// is cold.
-	countedFor = 4 * time.Second
-	coldWindow = time.Second
-	// coldSharing is the part of what a cold backend server bears in a second that the
-	// entries which share it may send at once, and coldMargin the part that is left for
-	// entries that do not know yet.
-	coldSharing = 1.0 / 3
-	coldMargin  = 0.1
-	// never is when a throttle opens that has no share.
-	never = 24 * time.Hour
+	// baseSharingEntries is how many entries share a limit that a backend server names; one
+	// more shares it for each request a second of the limit. Each entry may be one request
+	// ahead of its share, so the number of sharing entries bounds the burst that they can send
+	// at once.
+	baseSharingEntries = 5
+	// minRate is the smallest limit, in requests a second; a lower limit is raised to it. Only
+	// an answer shows that a limit has ended, so some requests must be sent.
+	minRate = 0.1
+	// namedWindow and coldWindow are how far back this entry's requests count against a new
+	// limit: namedWindow for a limit that a backend server names, coldWindow for a cold backend
+	// server.
+	namedWindow = 4 * time.Second
+	coldWindow  = time.Second
+	// coldSharingFraction is the fraction of the requests that a cold backend server accepts in
+	// a second which the sharing entries may send at once. coldMarginFraction is the fraction
+	// left for entries that do not know of the limit yet.
+	coldSharingFraction = 1.0 / 3
+	coldMarginFraction  = 0.1
+	// noShareInterval is the time between two requests of an entry without a share.
+	noShareInterval = 24 * time.Hour
 )
 
-// Cause is why a backend server's rate is limited. One may have several limits at once;
-// each holds.
+// Cause is why a backend server's rate is limited. A backend server may have several limits at
+// once; all of them apply.
 type Cause int
 
 // The causes.
 const (
-	// Named is a limit that the backend server itself names.
+	// Named is the cause of a limit that the backend server itself names.
 	Named Cause = iota
-	// Cold is that of a backend server that has just started. It ends by itself.
+	// Cold is the cause of a limit on a backend server that has just started and is within its
+	// slow-start period. This limit ends by itself.
 	Cold
-	causes
+	causeCount
 )
 
-// RateLimit is how many requests a backend server takes from all entries together.
+// RateLimit is how many requests a backend server accepts from all entries together.
 type RateLimit struct {
-	// PerSecond is the rate that they keep to, and Sharing how many of them share it.
+	// PerSecond is the total rate, in requests a second. Sharing is how many entries share it.
 	PerSecond float64
 	Sharing   int
-	// Window is the time before in which their requests count.
+	// Window is how far back requests count against the limit when it is put in force.
 	Window time.Duration
 }
 
-// NamedLimit returns the limit that a backend server names, in requests a second.
+// NamedLimit returns the limit for a rate that a backend server names, in requests a second.
 func NamedLimit(perSecond float64) RateLimit {
-	perSecond = max(perSecond, leastRate)
-	const many = 1 << 20
-	return RateLimit{PerSecond: perSecond, Sharing: sharingEntries + int(min(perSecond, many)), Window: countedFor}
+	perSecond = max(perSecond, minRate)
+	const maxExtraSharing = 1 << 20
+	return RateLimit{PerSecond: perSecond, Sharing: baseSharingEntries + int(min(perSecond, maxExtraSharing)), Window: namedWindow}
 }
 
-// ColdLimit returns the limit of a cold backend server whose service states a rate, in
-// requests a second, where at most allowed requests may reach it in any second.
+// ColdLimit returns the limit of a cold backend server. perSecond is the rate that its service
+// states; allowed is the most requests that may reach it in any one second.
 //
-// Entries that share it, each up to one request ahead, and the rate of all together stay
-// below what is allowed, with some left for entries that were not told.
+// The rate of all sharing entries, plus one request ahead for each of them, stays below
+// allowed. The remainder is for entries that have not received the limit yet.
 func ColdLimit(perSecond, allowed float64) RateLimit {
-	sharing := max(1, int(coldSharing*allowed))
-	rate := min(perSecond, (1-coldMargin)*allowed-float64(sharing))
-	return RateLimit{PerSecond: max(rate, leastRate), Sharing: sharing, Window: coldWindow}
+	sharing := max(1, int(coldSharingFraction*allowed))
+	rate := min(perSecond, (1-coldMarginFraction)*allowed-float64(sharing))
+	return RateLimit{PerSecond: max(rate, minRate), Sharing: sharing, Window: coldWindow}
 }
 
 // throttle paces the requests of this entry to a backend server that limits its rate.
 //
-// Load: a backend server in need, or one that has just started, takes some requests a second
-// from all entries together. Each entry holds to its share; if each held to the whole, the
-// backend server would get as many times its limit as there are entries.
+// An overloaded or newly started backend server accepts some requests a second from all entries
+// together. Each entry keeps to its share of the limit. If each entry used the full limit, the
+// backend server would receive a multiple of it, by the number of entries.
 type throttle struct {
-	limits [causes]*RateLimit
-	// share is this entry's part of the tightest limit, in requests a second.
+	limits [causeCount]*RateLimit
+	// share is this entry's share of the tightest limit, in requests a second.
 	share float64
-	// last is when the last request was sent, or would have been for the next one to be
-	// due one interval later.
-	last time.Time
+	// lastSend is when the last request was sent. For a new limit it is set so that the next
+	// request is due one interval later.
+	lastSend time.Time
 }
 
-// interval is the time between two requests of this entry.
+// interval returns the time between two requests of this entry.
 func (t *throttle) interval() time.Duration {
 	if t.share == 0 {
-		return never
+		return noShareInterval
 	}
 	return time.Duration(float64(time.Second) / t.share)
 }
 
-// opens is when the next request may be sent.
-func (t *throttle) opens() time.Time { return t.last.Add(t.interval()) }
+// nextSend returns when the next request may be sent.
+func (t *throttle) nextSend() time.Time { return t.lastSend.Add(t.interval()) }
 
-// shut tells whether a request must wait or go elsewhere. A nil throttle is open.
-func (t *throttle) shut(now time.Time) bool { return t != nil && now.Before(t.opens()) }
+// isBlocked reports whether a request must wait or use another backend server. A nil throttle
+// never blocks.
+func (t *throttle) isBlocked(now time.Time) bool { return t != nil && now.Before(t.nextSend()) }
 
-// passes tells whether the limit ends by itself within seconds.
-func (t *throttle) passes() bool { return t.limits[Named] == nil }
+// isTemporary reports whether the limit ends by itself within seconds.
+func (t *throttle) isTemporary() bool { return t.limits[Named] == nil }
 
-// places returns how many requests may be sent from now until a time.
-func (t *throttle) places(now, until time.Time) int {
-	first := t.opens()
+// capacity returns how many requests may be sent between now and until.
+func (t *throttle) capacity(now, until time.Time) int {
+	first := t.nextSend()
 	if first.Before(now) {
 		first = now
 	}
@@ -111,25 +114,25 @@
 	return 1 + int(until.Sub(first)/t.interval())
 }
 
-func (t *throttle) sent(now time.Time) {
+func (t *throttle) recordSend(now time.Time) {
 	if t != nil {
-		t.last = now
+		t.lastSend = now
 	}
 }
 
-// SetEntries names the entries that send to the backend servers, this one included.
+// SetEntries sets the ids of the entries that send to the backend servers, this one included.
 func (p *Picker) SetEntries(ids []string) {
 	p.entryHashes = p.entryHashes[:0]
 	for _, id := range ids {
 		p.entryHashes = append(p.entryHashes, xxhash.Sum64String(id))
 	}
 	for server, t := range p.throttles {
-		t.share, _ = p.sharesOf(server, t)
+		t.share, _ = p.tightestShare(server, t)
 	}
 }
 
-// LimitRate puts the limit that a backend server has for a cause in force; nil ends it. It
-// returns this entry's part of all its limits, in requests a second.
+// LimitRate sets the limit of a backend server for a cause; nil removes it. It returns this
+// entry's share of the tightest limit, in requests a second; 0 means no limit or no share.
 func (p *Picker) LimitRate(now time.Time, server string, cause Cause, limit *RateLimit) float64 {
 	t, known := p.throttles[server]
 	if !known {
@@ -140,14 +143,14 @@
 	}
 	added := t.limits[cause] == nil && limit != nil
 	t.limits[cause] = limit
-	if t.limits == [causes]*RateLimit{} {
+	if t.limits == [causeCount]*RateLimit{} {
 		p.setThrottle(server, nil)
 		return 0
 	}
 	phase := 0.0
-	t.share, phase = p.sharesOf(server, t)
+	t.share, phase = p.tightestShare(server, t)
 	if added {
-		t.last = later(t.last, p.begins(now, server, t, limit.Window, phase))
+		t.lastSend = later(t.lastSend, p.initialLastSend(now, server, t, limit.Window, phase))
 	}
 	if !known {
 		p.setThrottle(server, t)
@@ -155,9 +158,10 @@
 	return t.share
 }
 
-// begins returns the time of the last request that a limit which is new begins with: the
-// entries learn of it together, and what each has sent shortly before counts.
-func (p *Picker) begins(now time.Time, server string, t *throttle, window time.Duration, phase float64) time.Time {
+// initialLastSend returns the lastSend with which a new limit begins. Entries learn of the
+// limit together, so phase staggers their first requests, and requests that this entry sent
+// within the window count against its share.
+func (p *Picker) initialLastSend(now time.Time, server string, t *throttle, window time.Duration, phase float64) time.Time {
 	if t.share == 0 {
 		return now
 	}
@@ -189,7 +193,7 @@
 	}
 }
 
-// sentSince returns how many requests this entry has sent a backend server since a time.
+// sentSince returns how many requests this entry has sent to a backend server since a time.
 func (p *Picker) sentSince(server string, since time.Time) int {
 	sent := 0
 	for _, target := range p.targets {
@@ -200,9 +204,9 @@
 	return sent
 }
 
-// sharesOf returns this entry's part of the tightest limit of a backend server, in requests
-// a second, and how far into its interval it begins, from 0 to 1.
-func (p *Picker) sharesOf(server string, t *throttle) (share, phase float64) {
+// tightestShare returns this entry's share of the tightest limit of a backend server, in
+// requests a second, and its phase within the interval, from 0 to 1.
+func (p *Picker) tightestShare(server string, t *throttle) (share, phase float64) {
 	first := true
 	for _, limit := range t.limits {
 		if limit == nil {
@@ -215,18 +219,18 @@
 	return share, phase
 }
 
-// shareOf returns this entry's part of a limit, in requests a second, and how far into its
-// interval it begins, from 0 to 1: entries learn of a limit together, and their first
-// requests must not come together.
+// shareOf returns this entry's share of a limit, in requests a second, and its phase within the
+// interval, from 0 to 1. Entries learn of a limit together, and the phase keeps their first
+// requests from arriving together.
 //
-// A few entries share the limit, chosen for each backend server by rendezvous hashing; the
-// others have no part. With equal parts for two hundred entries, requests that come at once
-// by chance would be many times the limit.
+// Only a few entries share a limit, chosen for each backend server by rendezvous hashing; the
+// others get no share. If two hundred entries had equal shares, requests that arrive by chance
+// at the same moment would exceed the limit many times over.
 func (p *Picker) shareOf(server string, limit RateLimit) (share, phase float64) {
 	key := xxhash.Sum64String(server)
-	mine, rank := weight(key, p.selfHash), 0
+	ownWeight, rank := weight(key, p.selfHash), 0
 	for _, entry := range p.entryHashes {
-		if entry != p.selfHash && weight(key, entry) > mine {
+		if entry != p.selfHash && weight(key, entry) > ownWeight {
 			rank++
 		}
 	}
@@ -237,10 +241,10 @@
 	return limit.PerSecond / float64(sharing), float64(rank) / float64(sharing)
 }
 
-// Throttled tells whether all targets that a request may go to are shut by the rate limits
-// of their backend servers, and when the first of them opens. passes says that one of these
-// limits ends by itself, perhaps sooner.
-func (p *Picker) Throttled(now time.Time, r Request) (opens time.Time, passes, throttled bool) {
+// Throttled reports whether the rate limits of their backend servers block all targets that a
+// request may use, and when the first of them may receive a request again. isTemporary is true
+// if one of these limits ends by itself, perhaps sooner.
+func (p *Picker) Throttled(now time.Time, r Request) (nextSend time.Time, isTemporary, throttled bool) {
 	pool := p.pools[r.Model]
 	if pool == nil {
 		return time.Time{}, false, false
@@ -249,21 +253,21 @@
 		if isExcluded(t, r.Exclude) || !t.isInRegions(r.Homes) {
 			continue
 		}
-		if !t.throttle.shut(now) {
+		if !t.throttle.isBlocked(now) {
 			return time.Time{}, false, false
 		}
-		passes = passes || t.throttle.passes()
-		if at := t.throttle.opens(); opens.IsZero() || at.Before(opens) {
-			opens = at
+		isTemporary = isTemporary || t.throttle.isTemporary()
+		if at := t.throttle.nextSend(); nextSend.IsZero() || at.Before(nextSend) {
+			nextSend = at
 		}
 	}
-	return opens, passes, !opens.IsZero()
+	return nextSend, isTemporary, !nextSend.IsZero()
 }
 
-// Places returns how many requests of this entry the backend servers of a model, in the
-// homes given, take until a time, if each of them limits its rate and none of the limits
-// ends by itself.
-func (p *Picker) Places(now, until time.Time, model string, homes []string) (places int, limited bool) {
+// Places returns how many requests this entry may send to the backend servers of a model, in
+// the given regions, from now until a time. limited is false if one of them has no rate limit,
+// or one that ends by itself.
+func (p *Picker) Places(now, until time.Time, model string, homes []string) (capacity int, limited bool) {
 	pool := p.pools[model]
 	if pool == nil {
 		return 0, false
@@ -272,24 +276,25 @@
 		if !t.isInRegions(homes) {
 			continue
 		}
-		if t.throttle == nil || t.throttle.passes() {
+		if t.throttle == nil || t.throttle.isTemporary() {
 			return 0, false
 		}
 		limited = true
-		places += t.throttle.places(now, until)
+		capacity += t.throttle.capacity(now, until)
 	}
-	return places, limited
+	return capacity, limited
 }
 
-// Shut tells whether a target's backend server may get no request of this entry now.
+// Shut reports whether the rate limit of a target's backend server blocks requests of this
+// entry now.
 func (p *Picker) Shut(now time.Time, id string) bool {
 	t := p.targets[id]
-	return t != nil && t.throttle.shut(now)
+	return t != nil && t.throttle.isBlocked(now)
 }
 
-// Sent notes a request to a target that Pick did not choose.
+// Sent records a request to a target that Pick did not choose.
 func (p *Picker) Sent(now time.Time, id string) {
 	if t := p.targets[id]; t != nil {
-		t.throttle.sent(now)
+		t.throttle.recordSend(now)
 	}
 }
--- a/internal/placement/throttle_test.go
+++ b/internal/placement/throttle_test.go
@@ -147,7 +147,7 @@
 	idle.LimitRate(at(time.Second), "s", Named, &limit)
 	assert.Assert(t, !idle.Shut(at(time.Second), "g000"))
 	assert.Assert(t, busy.Shut(at(4900*time.Millisecond), "g000"))
-	assert.Assert(t, !busy.Shut(at(time.Second+countedFor), "g000"))
+	assert.Assert(t, !busy.Shut(at(time.Second+namedWindow), "g000"))
 }
 
 // Guards against a limit that is forgotten when another group forms behind the same head.
