--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -91,7 +91,7 @@
 			t.rampFrom = now
 		}
 	}
-	t.restate(o)
+	t.updateDescription(o)
 	t.throttle = p.throttles[o.Server]
 	t.isListed = true
 	t.domain = p.domain(domainKey{o.DataCentre, o.FabricDomain})
