--- a/internal/placement/health_test.go
+++ b/internal/placement/health_test.go
@@ -26,19 +26,19 @@
 	}
 	now := at(20 * time.Second)
 	for id, x := range p.targets {
-		assert.Equal(t, x.pace.slow, id == "g003", id)
+		assert.Equal(t, x.pace.isSlow, id == "g003", id)
 	}
-	p.targets["g003"].pace.probeAt = now.Add(time.Hour)
+	p.targets["g003"].pace.nextProbe = now.Add(time.Hour)
 	for range 200 {
 		c := mustPick(t, p, now, Request{Tokens: 100})
 		assert.Assert(t, c.ID != "g003")
 	}
-	p.targets["g003"].pace.probeAt = now
+	p.targets["g003"].pace.nextProbe = now
 	assert.Equal(t, mustPick(t, p, now, Request{Tokens: 100, Reserve: 0.1}).Reason, ReasonProbe)
 	for step := range 40 {
 		p.Progress(now.Add(time.Duration(step)*500*time.Millisecond), "3", 20)
 	}
-	assert.Assert(t, !p.targets["g003"].pace.slow)
+	assert.Assert(t, !p.targets["g003"].pace.isSlow)
 }
 
 // One member of a group is paused. Connections stay open and nothing fails; the
@@ -167,7 +167,7 @@
 		p.Finished(start, fmt.Sprint(i), Result{OK: true, Took: took})
 	}
 	for id, x := range p.targets {
-		assert.Equal(t, x.pace.slow, id == "s2", id)
+		assert.Equal(t, x.pace.isSlow, id == "s2", id)
 	}
 }
 
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -77,7 +77,7 @@
 // at any load: less load would not help, and pace handles it.
 func (t *target) isDecodingTooSlow(interval time.Duration) bool {
 	r := t.reported
-	if r.TokensPerSecond <= 0 || t.pace.slow {
+	if r.TokensPerSecond <= 0 || t.pace.isSlow {
 		return false
 	}
 	return r.TokensPerSecond*interval.Seconds() < float64(r.Running)
--- a/internal/placement/pace.go
+++ b/internal/placement/pace.go
@@ -3,57 +3,54 @@
 import "time"
 
 const (
-	// paceBuckets divides the load of a target, as a part of its limit, for
-	// comparing it only with peers at a like load.
+	// paceBuckets is the number of buckets by load relative to the limit. A target is compared
+	// only with peers at similar load.
 	paceBuckets = 8
-	// paceWindow is the time of progress, summed over attempts, that makes one
-	// sample: several tokens of each attempt, so that pauses of single tokens
-	// average out.
+	// paceWindow is the time of progress, summed over attempts, that makes one sample. It spans
+	// several tokens of each attempt, so that pauses of single tokens average out.
 	paceWindow = time.Second
-	// paceWeight is the weight of a sample: a server that turns four times
-	// slower is found after three.
-	paceWeight = 0.25
-	// paceSamples is how many samples are needed before judging.
-	paceSamples = 3
-	// referenceSamples is how many samples of peers a bucket needs.
-	referenceSamples = 8
-	// referenceStep is the relative step by which the median is followed.
-	referenceStep = 0.02
-	// slowBelow and steadyAbove are the speed against the peers at which a
-	// target becomes slow and ceases to be; the gap keeps it from changing to
-	// and fro.
-	slowBelow   = 0.6
-	steadyAbove = 0.8
-	// leastSpeed keeps a slow target from being given nothing at all.
-	leastSpeed = 0.05
-	// slowestPart is the part of a pool that may be slow. More are not slow
-	// servers but a common cause, and avoiding them would crowd the rest.
-	slowestPart = 1.0 / 3
-	// probeInterval is how often a slow target gets one request to show that
-	// it is well again.
+	// paceSampleWeight is the weight of one sample. A server that becomes four times slower is
+	// detected after three samples.
+	paceSampleWeight = 0.25
+	// minPaceSamples is how many samples are needed before a target is judged.
+	minPaceSamples = 3
+	// minReferenceSamples is how many samples of peers a bucket needs.
+	minReferenceSamples = 8
+	// medianStep is the relative step by which the running median follows the samples.
+	medianStep = 0.02
+	// slowBelow and recoveredAbove are the speeds, relative to peers, at which a target becomes
+	// slow and recovers. The gap between them prevents flapping.
+	slowBelow      = 0.6
+	recoveredAbove = 0.8
+	// minSpeed keeps a slow target from getting no work at all.
+	minSpeed = 0.05
+	// maxSlowFraction is the fraction of a pool that may be slow. If more are slow, the cause
+	// is common to all, and avoiding them would overload the rest.
+	maxSlowFraction = 1.0 / 3
+	// probeInterval is how often a slow target gets one request that can show its recovery.
 	probeInterval = 5 * time.Second
 )
 
-// pace follows how fast one target makes progress on each request.
+// pace tracks how fast one target makes progress on each request.
 //
-// A loaded server and a slow one look alike to their callers. They are told
-// apart by comparing with peers at the same load: a loaded server is as fast
-// as they are, a slow one isn't.
+// A loaded server and a slow one look alike to their callers. The comparison with peers at the
+// same load tells them apart: a loaded server is as fast as its peers, a slow one isn't.
 type pace struct {
-	seconds  float64
-	tokens   int
-	relative float64
-	samples  int
-	slow     bool
-	probeAt  time.Time
+	windowSeconds float64
+	windowTokens  int
+	relativeSpeed float64
+	samples       int
+	isSlow        bool
+	nextProbe     time.Time
 }
 
-// speed is the part of its limit that a slow target is given.
+// speed returns the fraction of its limit that the target may use for its pace: 1 unless it is
+// slow.
 func (c *pace) speed() float64 {
-	if !c.slow {
+	if !c.isSlow {
 		return 1
 	}
-	return max(c.relative, leastSpeed)
+	return max(c.relativeSpeed, minSpeed)
 }
 
 // bucket holds the running median of the pool's pace at one load.
@@ -64,20 +61,21 @@
 
 // reference is the pace of a pool by load.
 type reference struct {
-	buckets [paceBuckets]bucket
-	slow    int
+	buckets   [paceBuckets]bucket
+	slowCount int
 }
 
 func bucketOf(t *target) int {
-	part := t.load / max(t.limit, 1)
-	return min(max(int(part*paceBuckets), 0), paceBuckets-1)
+	loadFraction := t.load / max(t.limit, 1)
+	return min(max(int(loadFraction*paceBuckets), 0), paceBuckets-1)
 }
 
-// against returns the pace to compare with at load bucket i: that of peers
-// with as much load or more, since they are slowed at least as much.
-func (r *reference) against(i int) (float64, bool) {
+// medianFrom returns the median pace to compare with at load bucket i: that of peers with at
+// least as much load, since they are slowed at least as much. It returns false if no such
+// bucket has enough samples.
+func (r *reference) medianFrom(i int) (float64, bool) {
 	for ; i < paceBuckets; i++ {
-		if r.buckets[i].samples >= referenceSamples {
+		if r.buckets[i].samples >= minReferenceSamples {
 			return r.buckets[i].median, true
 		}
 	}
@@ -91,55 +89,55 @@
 	case b.median == 0:
 		b.median = sample
 	case sample > b.median:
-		b.median *= 1 + referenceStep
+		b.median *= 1 + medianStep
 	case sample < b.median:
-		b.median *= 1 - referenceStep
+		b.median *= 1 - medianStep
 	}
 }
 
-// progress notes that an attempt on t generated tokens within elapsed.
-func (t *target) progress(now time.Time, tokens int, elapsed time.Duration) {
+// recordProgress records that an attempt on t generated tokens within elapsed.
+func (t *target) recordProgress(now time.Time, tokens int, elapsed time.Duration) {
 	c := &t.pace
-	c.seconds += elapsed.Seconds()
-	c.tokens += tokens
-	if c.seconds < paceWindow.Seconds() {
+	c.windowSeconds += elapsed.Seconds()
+	c.windowTokens += tokens
+	if c.windowSeconds < paceWindow.Seconds() {
 		return
 	}
-	sample := float64(c.tokens) / c.seconds
-	c.seconds, c.tokens = 0, 0
-	t.judge(now, sample)
+	sample := float64(c.windowTokens) / c.windowSeconds
+	c.windowSeconds, c.windowTokens = 0, 0
+	t.judgePace(now, sample)
 }
 
-func (t *target) judge(now time.Time, sample float64) {
+func (t *target) judgePace(now time.Time, sample float64) {
 	c := &t.pace
 	r := &t.pool.reference
 	i := bucketOf(t)
-	if want, ok := r.against(i); ok && want > 0 {
-		relative := min(sample/want, 1.5)
+	if expected, ok := r.medianFrom(i); ok && expected > 0 {
+		relative := min(sample/expected, 1.5)
 		if c.samples == 0 {
-			c.relative = relative
+			c.relativeSpeed = relative
 		}
 		c.samples++
-		c.relative += paceWeight * (relative - c.relative)
+		c.relativeSpeed += paceSampleWeight * (relative - c.relativeSpeed)
 	}
-	if !c.slow {
+	if !c.isSlow {
 		r.observe(i, sample)
 	}
-	t.decideSlow(now)
+	t.updateSlow(now)
 }
 
-func (t *target) decideSlow(now time.Time) {
+func (t *target) updateSlow(now time.Time) {
 	c := &t.pace
 	r := &t.pool.reference
-	allowed := int(slowestPart * float64(len(t.pool.targets)))
+	maxSlow := int(maxSlowFraction * float64(len(t.pool.targets)))
 	switch {
-	case !c.slow && c.samples >= paceSamples && c.relative < slowBelow && r.slow < allowed:
-		c.slow = true
-		c.probeAt = now.Add(probeInterval)
-		r.slow++
-	case c.slow && c.relative > steadyAbove:
-		c.slow = false
-		r.slow--
+	case !c.isSlow && c.samples >= minPaceSamples && c.relativeSpeed < slowBelow && r.slowCount < maxSlow:
+		c.isSlow = true
+		c.nextProbe = now.Add(probeInterval)
+		r.slowCount++
+	case c.isSlow && c.relativeSpeed > recoveredAbove:
+		c.isSlow = false
+		r.slowCount--
 		t.rampFrom = now
 	}
 }
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -137,7 +137,7 @@
 	if t.isStale(now) {
 		s += staleCost
 	}
-	if t.pace.slow || t.isStalled(now) {
+	if t.pace.isSlow || t.isStalled(now) {
 		s += slowCost
 	}
 	if t.isAvoided(now) {
@@ -265,7 +265,7 @@
 // probe returns a slow target that is due for a trial request, or nil. A request of the
 // greatest worth is used only if no other request came for a whole probe interval.
 func (p *Picker) probe(now time.Time, pool *pool, r Request) *target {
-	if pool.reference.slow == 0 {
+	if pool.reference.slowCount == 0 {
 		return nil
 	}
 	due := now
@@ -273,11 +273,11 @@
 		due = now.Add(-probeInterval)
 	}
 	for _, t := range pool.targets {
-		if !t.pace.slow || due.Before(t.pace.probeAt) || t.isIneligible(now, r) {
+		if !t.pace.isSlow || due.Before(t.pace.nextProbe) || t.isIneligible(now, r) {
 			continue
 		}
 		if t.hasCapacity(now, r.Tokens, r.Reserve, &p.options) {
-			t.pace.probeAt = now.Add(probeInterval)
+			t.pace.nextProbe = now.Add(probeInterval)
 			return t
 		}
 	}
--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -139,7 +139,7 @@
 func (p *Picker) rebuildPools() {
 	for _, pool := range p.pools {
 		pool.targets = pool.targets[:0]
-		pool.reference.slow = 0
+		pool.reference.slowCount = 0
 		pool.misses.clear()
 	}
 	for _, t := range p.targets {
@@ -150,8 +150,8 @@
 		}
 		t.pool = pool
 		pool.targets = append(pool.targets, t)
-		if t.pace.slow {
-			pool.reference.slow++
+		if t.pace.isSlow {
+			pool.reference.slowCount++
 		}
 	}
 	for model, pool := range p.pools {
@@ -230,7 +230,7 @@
 		return
 	}
 	if !a.lastProgress.IsZero() && now.After(a.lastProgress) {
-		a.target.progress(now, tokens, now.Sub(a.lastProgress))
+		a.target.recordProgress(now, tokens, now.Sub(a.lastProgress))
 	}
 	if a.lastProgress.IsZero() {
 		a.endPrefill()
@@ -272,6 +272,6 @@
 // services do.
 func (t *target) judgeUnstreamed(now time.Time, a *attempt, r Result) {
 	if a.lastProgress.IsZero() && r.Took > 0 {
-		t.judge(now, float64(a.tokens)/r.Took.Seconds())
+		t.judgePace(now, float64(a.tokens)/r.Took.Seconds())
 	}
 }
--- a/internal/placement/stats.go
+++ b/internal/placement/stats.go
@@ -51,6 +51,6 @@
 func (t *target) stats(now time.Time) TargetStats {
 	return TargetStats{
 		Target: t.Target, Load: t.load, Limit: t.limit, Mine: t.own, Part: t.limitFraction(now),
-		Slow: t.pace.slow, Stalled: t.isStalled(now), Avoided: t.isAvoided(now), Hints: len(t.hints.blocks), ReportedAt: t.reported.At,
+		Slow: t.pace.isSlow, Stalled: t.isStalled(now), Avoided: t.isAvoided(now), Hints: len(t.hints.blocks), ReportedAt: t.reported.At,
 	}
 }
