--- a/internal/placement/affinity.go
+++ b/internal/placement/affinity.go
@@ -3,22 +3,23 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// affinityBlocks is the prefix length, in blocks, that decides where a
-	// prompt goes: long enough to tell documents apart that share a system
-	// prompt, short enough that the turns of one dialogue stay together.
+	// affinityBlocks is the prefix length, in blocks, that affinity hashes: long enough to
+	// distinguish documents that share a system prompt, short enough that the turns of one
+	// dialogue stay together.
 	affinityBlocks = 4
-	// hintsPerTarget bounds the blocks remembered for one target: 710 targets
-	// keep under 20 MB. Past it the oldest hint is forgotten, which costs a
-	// cache hit and nothing else.
-	hintsPerTarget = 512
-	// holdersPerBlock bounds the targets remembered for one block. A prefix
-	// that more hold is found on enough of them.
-	holdersPerBlock = 6
-	// hintLookups bounds how many blocks of a prompt are looked up.
-	hintLookups = 32
+	// maxHintsPerTarget bounds the blocks remembered for one target: 710 targets need under 20
+	// MB. When it is reached, the oldest hint is dropped, which costs a cache hit and nothing
+	// else.
+	maxHintsPerTarget = 512
+	// maxHoldersPerBlock bounds the targets remembered for one block. These are enough targets
+	// to find a prefix that more targets hold.
+	maxHoldersPerBlock = 6
+	// maxHintLookups bounds how many blocks of a prompt are looked up.
+	maxHintLookups = 32
 )
 
-// affinityKey returns what rendezvous hashing places r by; 0 if nothing.
+// affinityKey returns the key that rendezvous hashing uses for r; 0 if r has neither prefix nor
+// session.
 func affinityKey(r Request) uint64 {
 	if n := len(r.Prefix); n > 0 {
 		return r.Prefix[min(n, affinityBlocks)-1]
@@ -29,9 +30,9 @@
 	return 0
 }
 
-// weight is the rendezvous weight of a key on a target: the key goes to the
-// target of greatest weight, and moves only when that target comes or goes.
-func weight(key, target uint64) uint64 {
+// rendezvousWeight returns the weight of a key on a target. The key maps to the target of
+// greatest weight, and moves only when that target is added or removed.
+func rendezvousWeight(key, target uint64) uint64 {
 	h := (key ^ target) * 0x9e3779b97f4a7c15
 	h ^= h >> 32
 	h *= 0xd6e8feb86659fd93
@@ -41,20 +42,20 @@
 // holders are the targets that are believed to hold a block.
 type holders struct {
 	count   uint8
-	targets [holdersPerBlock]*target
+	targets [maxHoldersPerBlock]*target
 }
 
-// hintList is the order in which a target's hints came.
+// hintList holds a target's hints in the order of their arrival.
 type hintList struct {
 	sequence uint64
 	blocks   []uint64
 	next     int
 }
 
-// hints maps blocks to targets.
+// hints maps blocks to the targets that are believed to hold them.
 type hints map[uint64]*holders
 
-// add notes that t holds block. Engines may announce a block twice.
+// add records that t holds block. Engines may announce a block twice.
 func (h hints) add(t *target, block uint64) {
 	held := h[block]
 	if held == nil {
@@ -66,28 +67,28 @@
 			return
 		}
 	}
-	if held.count == holdersPerBlock {
+	if held.count == maxHoldersPerBlock {
 		return
 	}
 	held.targets[held.count] = t
 	held.count++
-	h.keep(t, block)
+	h.remember(t, block)
 }
 
-// keep puts block into t's list, in place of the oldest if that is full.
-func (h hints) keep(t *target, block uint64) {
+// remember puts block into t's list, in place of the oldest if the list is full.
+func (h hints) remember(t *target, block uint64) {
 	l := &t.hints
-	if len(l.blocks) < hintsPerTarget {
+	if len(l.blocks) < maxHintsPerTarget {
 		l.blocks = append(l.blocks, block)
 		return
 	}
 	h.drop(t, l.blocks[l.next])
 	l.blocks[l.next] = block
-	l.next = (l.next + 1) % hintsPerTarget
+	l.next = (l.next + 1) % maxHintsPerTarget
 }
 
-// drop forgets that t holds block. The list keeps the entry until it is
-// overwritten; dropping it again then does nothing.
+// drop removes t from the holders of block. t's list keeps the block until it is overwritten;
+// drop then has no effect.
 func (h hints) drop(t *target, block uint64) {
 	held := h[block]
 	if held == nil {
@@ -107,7 +108,7 @@
 	}
 }
 
-// dropAll forgets everything about t.
+// dropAll removes all hints of t.
 func (h hints) dropAll(t *target) {
 	for _, block := range t.hints.blocks {
 		h.drop(t, block)
@@ -115,9 +116,10 @@
 	t.hints = hintList{}
 }
 
-// longest returns the targets that hold most of prefix, and how many blocks.
-func (h hints) longest(prefix []uint64) ([]*target, int) {
-	stop := max(0, len(prefix)-hintLookups)
+// longestHeld returns the targets that hold the longest part of prefix, and its length in
+// blocks.
+func (h hints) longestHeld(prefix []uint64) ([]*target, int) {
+	stop := max(0, len(prefix)-maxHintLookups)
 	for i := len(prefix); i > stop; i-- {
 		if held := h[prefix[i-1]]; held != nil {
 			return held.targets[:held.count], i
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -44,7 +44,7 @@
 	}
 	t.reported = load
 	t.maxReportedLoad = max(t.maxReportedLoad, float64(load.TokensInFlight))
-	t.ownAtReport = t.own - t.ledger.since(load.At)
+	t.ownAtReport = t.own - t.ledger.netSince(load.At)
 	t.pool.observeWorkRatio(t)
 	t.estimate(now)
 	t.adaptLimit(now, p.options.TokenInterval)
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -173,7 +173,7 @@
 }
 
 func (p *Picker) offerCached(now time.Time, pool *pool, r Request, c *choice) int {
-	holding, blocks := p.hints.longest(r.Prefix)
+	holding, blocks := p.hints.longestHeld(r.Prefix)
 	if blocks == 0 {
 		return 0
 	}
@@ -207,7 +207,7 @@
 	for _, t := range pool.targets {
 		load += t.load
 		limit += t.limit
-		w := weight(key, t.idHash)
+		w := rendezvousWeight(key, t.idHash)
 		switch {
 		case first == nil || w > firstWeight:
 			second, secondWeight = first, firstWeight
--- a/internal/placement/picker_test.go
+++ b/internal/placement/picker_test.go
@@ -107,10 +107,10 @@
 
 func TestHintsAreBounded(t *testing.T) {
 	p := picker(2)
-	for i := range uint64(3 * hintsPerTarget) {
+	for i := range uint64(3 * maxHintsPerTarget) {
 		p.CacheEvent(start, "g000", i+1, []uint64{i + 1000}, nil)
 	}
-	assert.Equal(t, len(p.hints), hintsPerTarget)
+	assert.Equal(t, len(p.hints), maxHintsPerTarget)
 	p.SetTargets(start, groups(0))
 	assert.Equal(t, len(p.hints), 0)
 }
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -198,7 +198,7 @@
 	sent := 0
 	for _, target := range p.targets {
 		if target.Server == server {
-			sent += target.ledger.given(since)
+			sent += target.ledger.additionsSince(since)
 		}
 	}
 	return sent
@@ -228,9 +228,9 @@
 // at the same moment would exceed the limit many times over.
 func (p *Picker) shareOf(server string, limit RateLimit) (share, phase float64) {
 	key := xxhash.Sum64String(server)
-	ownWeight, rank := weight(key, p.selfHash), 0
+	ownWeight, rank := rendezvousWeight(key, p.selfHash), 0
 	for _, entry := range p.entryHashes {
-		if entry != p.selfHash && weight(key, entry) > ownWeight {
+		if entry != p.selfHash && rendezvousWeight(key, entry) > ownWeight {
 			rank++
 		}
 	}
