--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -1,8 +1,8 @@
-// Package placement chooses the backend server for each request that
-// admission lets go: a serving group of a model, or an instance of a plain
-// service, by the same rules with one token for each call.
+// Package placement chooses the backend server for each request that admission releases. A
+// backend server is a serving group of a model or an instance of a plain service. The same
+// rules hold for both; a call to a plain service counts as one token.
 //
-// It has no I/O, no goroutine and no clock: the caller passes the time to each
+// The package has no I/O, goroutines or clock: the caller passes the current time to each
 // method. It is not safe for concurrent use.
 package placement
 
@@ -10,32 +10,32 @@
 
 // Options are the settings of a Picker. Zero fields take the defaults below.
 type Options struct {
-	// Seed makes the samples of two entries differ.
+	// Seed seeds the random draws, so that two entries draw different samples.
 	Seed uint64
 	// Entry is the id of this entry.
 	Entry string
-	// DataCentre is the one this process runs in.
+	// DataCentre is the data centre that this process runs in.
 	DataCentre string
-	// LongTokens is the work from which a request counts as long.
+	// LongTokens is the expected work, in tokens, from which a request counts as long.
 	LongTokens int
-	// LongShare is the part of a backend server's limit, from 0 to 1, up to
-	// which it may be given long requests.
+	// LongShare is the fraction of a backend server's limit, from 0 to 1, that long requests
+	// may fill.
 	LongShare float64
-	// TokenInterval is the longest time between two tokens of one request at
-	// which a backend server may be given more work.
+	// TokenInterval is the longest time between two tokens of one request at which a backend
+	// server may still receive more work.
 	TokenInterval time.Duration
-	// Ramp is how long a returning target takes until it gets its whole part.
+	// Ramp is the time over which a returning target's limit rises to its full value.
 	Ramp time.Duration
 }
 
-// Defaults of the Options' fields.
+// Defaults of the fields of Options.
 const (
-	// DefaultLongTokens is admission's default as well.
+	// DefaultLongTokens equals the default of admission.
 	DefaultLongTokens = 4096
-	// DefaultLongShare leaves short requests a part of each backend server, so
-	// that they never wait until a long one ends.
+	// DefaultLongShare keeps a fraction of each backend server free for short requests, so that
+	// they never wait for a long one to end.
 	DefaultLongShare = 0.85
-	// DefaultTokenInterval is the users' aim for 95 in 100.
+	// DefaultTokenInterval is the users' objective for the 95th percentile.
 	DefaultTokenInterval = 62 * time.Millisecond
 )
 
@@ -58,52 +58,52 @@
 // Target is a backend server that requests may be routed to.
 type Target struct {
 	ID string
-	// Server is the backend server that takes the target's requests. Its rate limit holds
-	// for each target that it ever heads.
+	// Server is the backend server that receives the target's requests. Its rate limit applies
+	// to every target that it heads, now or later.
 	Server     string
 	DataCentre string
-	// Region is that of its data centre; empty if none is known.
+	// Region is the region of the target's data centre; empty if none is known.
 	Region       string
 	FabricDomain string
-	// Model is the model or the plain service.
+	// Model is the name of the model or of the plain service.
 	Model string
-	// Capacity is the work in tokens that it holds well at once; 0 if unknown.
+	// Capacity is the work, in tokens, that the target handles well at the same time; 0 if
+	// unknown.
 	Capacity int
-	// Plain is true for an instance of a plain service, where each call counts
-	// as one token.
+	// Plain is true for an instance of a plain service, where each call counts as one token.
 	Plain bool
 }
 
-// Load is what a backend server last reported about itself.
+// Load is the last measurement that a backend server reported about itself.
 type Load struct {
 	Running int
 	Queued  int
-	// TokensInFlight is the work of all requests it holds, as expected at
-	// their end: prompt and output, of those that run and those that wait.
+	// TokensInFlight is the work, in tokens, of all running and queued requests. It counts each
+	// prompt and the whole expected output.
 	TokensInFlight int
-	// TokensPerSecond is what it generates; 0 if it doesn't say.
+	// TokensPerSecond is the generation rate; 0 if the backend server does not report one.
 	TokensPerSecond float64
-	// At is when it measured this, in this process's clock. It may be late.
+	// At is the time of the measurement by this process's clock. The report may arrive late.
 	At time.Time
 }
 
-// Request is what placement needs to know of a request.
+// Request holds the properties of a request that placement uses.
 type Request struct {
 	ID    string
 	Model string
-	// Prefix holds the chained hashes of the prompt's blocks: each covers all
-	// blocks up to its own.
+	// Prefix holds the chained hashes of the prompt's blocks: each hash covers all blocks up to
+	// and including its own.
 	Prefix []uint64
-	// Session keeps requests without Prefix together.
+	// Session keeps requests without a Prefix on the same target.
 	Session string
-	// Tokens is the expected work: prompt and output.
+	// Tokens is the expected work, in tokens: prompt and output.
 	Tokens int
-	// Reserve is the part of each backend server, from 0 to 1, that this
-	// request must leave free for requests of greater worth.
+	// Reserve is the fraction of each backend server's limit, from 0 to 1, that this request
+	// must leave free for requests of greater worth.
 	Reserve float64
-	// Homes are the regions that may serve the request; nil is any.
+	// Homes are the regions that may serve the request; nil allows any region.
 	Homes []string
-	// Exclude names backend servers that failed this request.
+	// Exclude lists the ids of targets that already failed this request.
 	Exclude []string
 }
 
@@ -112,46 +112,48 @@
 
 // The reasons of a choice.
 const (
-	// ReasonCached chose a holder of the prompt's prefix.
+	// ReasonCached means that the target is believed to hold the prompt's prefix in its cache.
 	ReasonCached Reason = "prefix_cached"
-	// ReasonAffinity chose the server that this prefix hashes to.
+	// ReasonAffinity means that rendezvous hashing maps the prompt's prefix to the target.
 	ReasonAffinity Reason = "prefix_affinity"
-	// ReasonTwoChoices chose the less loaded of two drawn at random.
+	// ReasonTwoChoices means that the target is the less loaded of two random draws.
 	ReasonTwoChoices Reason = "two_choices"
-	// ReasonLeastLoaded chose the least loaded of all.
+	// ReasonLeastLoaded means that the target is the least loaded of all.
 	ReasonLeastLoaded Reason = "least_loaded"
-	// ReasonProbe tries a slow server again.
+	// ReasonProbe means that the target is slow and is tried again.
 	ReasonProbe Reason = "probe_slow"
-	// ReasonNoRoom chose the least loaded although none has room.
+	// ReasonNoRoom means that the target is the least loaded, although no target has free
+	// capacity.
 	ReasonNoRoom Reason = "no_room"
 )
 
-// Choice is the answer to Pick.
+// Choice is the result of Pick.
 type Choice struct {
 	ID string
-	// RunnerUp is the second best, or empty.
+	// RunnerUp is the id of the second best target; empty if there is none.
 	RunnerUp string
 	Reason   Reason
-	// Score and RunnerUpScore are comparable within one Choice; less is
-	// better. The load as a part of the limit is their main term.
+	// Score and RunnerUpScore are comparable within one Choice; a lower score is better. The
+	// main term is the load as a fraction of the limit.
 	Score         float64
 	RunnerUpScore float64
 	// Cached is how many blocks of the prefix the target is believed to hold.
 	Cached int
 }
 
-// Result reports the end of an attempt.
+// Result describes the end of an attempt.
 type Result struct {
-	// OK is true if the whole answer came.
+	// OK is true if the complete answer arrived.
 	OK bool
-	// Cancelled is true if this side ended the attempt; it is then no sign of
-	// a fault.
+	// Cancelled is true if this side ended the attempt. A cancelled attempt does not count as a
+	// fault.
 	Cancelled bool
-	// RetryAfter is how long the backend server asked to be left alone; 0 if it did not.
+	// RetryAfter is how long the backend server asked not to receive requests; 0 if it did not
+	// ask.
 	RetryAfter time.Duration
-	// FirstToken and Took are counted from Started.
+	// FirstToken and Took are measured from the call of Started.
 	FirstToken time.Duration
 	Took       time.Duration
-	// Tokens is the generated output.
+	// Tokens is the number of generated tokens.
 	Tokens int
 }
--- a/internal/placement/stats.go
+++ b/internal/placement/stats.go
@@ -2,40 +2,38 @@
 
 import "time"
 
-// TargetStats describes what the Picker believes of a target.
+// TargetStats describes the Picker's view of a target.
 type TargetStats struct {
 	Target
-	// Load and Limit are in tokens: the work it is believed to hold and the
-	// most it is given.
+	// Load is the estimated work in flight and Limit the most work allowed, both in tokens.
 	Load, Limit float64
-	// Mine is this process's part of Load.
+	// Mine is the part of Load that this entry sent, in tokens.
 	Mine int
-	// Part is how much of Limit it may be given now: less than 1 while it is
-	// slow or ramps up.
+	// Part is the fraction of Limit that the target may use now: less than 1 while the target
+	// is slow or ramps up.
 	Part float64
-	// Slow is true if it is slower than its peers at like load.
+	// Slow is true if the target is slower than its peers at similar load.
 	Slow bool
-	// Stalled is true while it holds requests and none makes progress.
+	// Stalled is true while the target holds attempts and none makes progress.
 	Stalled bool
-	// Avoided is true while it or its fabric domain is left alone after
-	// failures.
+	// Avoided is true while the target or its fabric domain is avoided after failures.
 	Avoided bool
-	// Hints is the number of blocks it is believed to hold.
+	// Hints is the number of cache blocks that the target is believed to hold.
 	Hints int
-	// ReportedAt is when it measured its last report; zero means none.
+	// ReportedAt is the time of the target's last measurement; zero if there is none.
 	ReportedAt time.Time
 }
 
 // ModelStats describes the targets of one model or plain service.
 type ModelStats struct {
 	Model string
-	// Others is the work in flight of all entries for each token of this one.
+	// Others is the work in flight of all entries for each token of this entry's.
 	Others  float64
 	Targets []TargetStats
 }
 
-// Stats returns the Picker's state, for metrics and status pages. It copies all
-// targets, so it is meant for a metrics interval and not for each request.
+// Stats returns the Picker's state, for metrics and status pages. It copies all targets, so
+// call it at a metrics interval and not for each request.
 func (p *Picker) Stats(now time.Time) []ModelStats {
 	all := make([]ModelStats, 0, len(p.pools))
 	for model, pool := range p.pools {
