--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// benchTargets is the number of runners of the size two years from now; each
-// is taken as a target of its own, the hardest case for a decision.
+// benchTargets is the number of backend servers expected in two years. Each is a target of its
+// own, the hardest case for a decision.
 const benchTargets = 710
 
-func loaded() *Picker {
-	p := picker(benchTargets)
+func loadedPicker() *Picker {
+	p := newPicker(benchTargets)
 	for i, t := range groups(benchTargets) {
 		p.Started(start, fmt.Sprint(i), t.ID, 2000+i%5*1000)
 	}
@@ -19,7 +19,7 @@
 }
 
 func BenchmarkPick(b *testing.B) {
-	p := loaded()
+	p := loadedPicker()
 	r := Request{Model: "m", Tokens: 1000, Prefix: make([]uint64, 16)}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -31,7 +31,7 @@
 }
 
 func BenchmarkPickAllFull(b *testing.B) {
-	p := loaded()
+	p := loadedPicker()
 	r := Request{Model: "m", Tokens: 50000, Prefix: make([]uint64, 16)}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -41,7 +41,7 @@
 }
 
 func BenchmarkHasRoomAllFull(b *testing.B) {
-	p := loaded()
+	p := loadedPicker()
 	now := start
 	b.ReportAllocs()
 	for b.Loop() {
@@ -53,7 +53,7 @@
 }
 
 func BenchmarkAttempt(b *testing.B) {
-	p := loaded()
+	p := loadedPicker()
 	ids := make([]string, 1024)
 	for i := range ids {
 		ids[i] = fmt.Sprint("attempt", i)
@@ -69,7 +69,7 @@
 }
 
 func BenchmarkReport(b *testing.B) {
-	p := loaded()
+	p := loadedPicker()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now := start.Add(time.Duration(i) * time.Millisecond)
--- a/internal/placement/cold_test.go
+++ b/internal/placement/cold_test.go
@@ -9,18 +9,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// What cold backend servers of these tests bear in any second: a rate, a factor and a slack.
+// These values define what a cold backend server accepts in any second: coldRate times
+// coldFactor, plus coldSlack.
 const (
 	coldRate   = 26.0
 	coldFactor = 1.5
 	coldSlack  = 5
 )
 
-// coldPool are entries before ten backend servers, which are cold from the start.
+// coldPool is a set of entries that send to ten backend servers, five of which are cold from
+// the start.
 type coldPool struct {
 	random  *rand.Rand
 	pickers []*Picker
-	// unaware are the entries that were not told.
+	// unaware is the number of entries that do not receive the limits.
 	unaware  int
 	arrivals map[string][]time.Duration
 	sent     int
@@ -51,7 +53,7 @@
 	return w
 }
 
-// run lets all entries together send perSecond requests a second.
+// run makes all entries together send perSecond requests a second until end.
 func (w *coldPool) run(perSecond float64, end time.Duration) {
 	next := time.Duration(0)
 	for n := 0; next < end; n++ {
@@ -66,8 +68,8 @@
 	}
 }
 
-// most returns the most requests that a target got within a second.
-func (w *coldPool) most(target string) int {
+// maxInSecond returns the greatest number of requests that a target received within a second.
+func (w *coldPool) maxInSecond(target string) int {
 	most, from := 0, 0
 	arrivals := w.arrivals[target]
 	for i := range arrivals {
@@ -79,35 +81,35 @@
 	return most
 }
 
-// Guards against entries that together send a cold backend server more than it bears, however
-// many they are and whatever they are asked for.
-func TestEntriesSpareColdBackendServers(t *testing.T) {
+// Guards against entries that together send a cold backend server more than it accepts,
+// whatever the number of entries and the request rate.
+func TestEntriesDoNotOverloadColdBackendServers(t *testing.T) {
 	allowed := int(coldRate*coldFactor + coldSlack)
 	for _, entries := range []int{1, 6, 89, 300, 986, 2000} {
 		for _, load := range []float64{260, 2600} {
 			w := newColdPool(entries, 0)
 			w.run(load, 8*time.Second)
 			for i := range 5 {
-				most := w.most(fmt.Sprintf("g%03d", i))
+				most := w.maxInSecond(fmt.Sprintf("g%03d", i))
 				assert.Assert(t, most <= allowed, "%d entries, %g a second: %d at a cold backend server, allowed %d", entries, load, most, allowed)
 			}
 		}
 	}
 }
 
-// Guards against a limit that leaves no room for the entries which were not told of it.
-func TestAFewEntriesMayNotKnowThatABackendServerIsCold(t *testing.T) {
+// Guards against a limit that leaves no margin for entries that have not received it.
+func TestColdLimitToleratesUnawareEntries(t *testing.T) {
 	const entries = 89
 	allowed := int(coldRate*coldFactor + coldSlack)
 	w := newColdPool(entries, entries/20)
 	w.run(260, 8*time.Second)
 	for i := range 5 {
-		most := w.most(fmt.Sprintf("g%03d", i))
+		most := w.maxInSecond(fmt.Sprintf("g%03d", i))
 		assert.Assert(t, most <= allowed, "%d at a cold backend server, allowed %d", most, allowed)
 	}
 }
 
-// Guards against cold backend servers that stand idle although their share is free.
+// Guards against cold backend servers that stand idle although entries have an unused share.
 func TestColdBackendServersAreUsed(t *testing.T) {
 	for entries, least := range map[int]float64{6: 0.5, 89: 0.5} {
 		w := newColdPool(entries, 0)
@@ -124,9 +126,10 @@
 	}
 }
 
-// Guards against a limit that ends with another of the same backend server.
-func TestLimitsOfTwoCausesHoldTogether(t *testing.T) {
-	p := picker(0)
+// Guards against a limit that is removed together with a limit of another cause on the same
+// backend server.
+func TestLimitsOfTwoCausesApplyTogether(t *testing.T) {
+	p := newPicker(0)
 	list := groups(1)
 	list[0].Server = "s"
 	p.SetTargets(start, list)
@@ -139,10 +142,10 @@
 	assert.Assert(t, !p.Shut(start, "g000"))
 }
 
-// Guards against requests that are refused at once while all backend servers are cold, which
-// passes within seconds.
-func TestColdBackendServersBoundNoPlaces(t *testing.T) {
-	p := picker(0)
+// Guards against requests that are refused at once while all backend servers are cold, a state
+// that ends within seconds.
+func TestTemporaryLimitsDoNotBoundCapacity(t *testing.T) {
+	p := newPicker(0)
 	list := groups(1)
 	list[0].Server = "s"
 	p.SetTargets(start, list)
@@ -151,6 +154,6 @@
 	p.Started(start, "a", "g000", 1)
 	_, limited := p.Places(start, at(time.Second), "m", nil)
 	assert.Assert(t, !limited)
-	_, passes, throttled := p.Throttled(start, Request{Model: "m"})
-	assert.Assert(t, throttled && passes)
+	_, isTemporary, throttled := p.Throttled(start, Request{Model: "m"})
+	assert.Assert(t, throttled && isTemporary)
 }
--- a/internal/placement/health_test.go
+++ b/internal/placement/health_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// One group of ten decodes at a quarter of the others' pace. It must be told
-// from one that is only loaded, and get almost nothing until it is well.
-func TestSlowTargetIsToldFromALoadedOne(t *testing.T) {
-	p := picker(10)
+// Guards against a slow target that is mistaken for a loaded one. One group of ten decodes at a
+// quarter of the others' pace. It must get almost no requests until it recovers.
+func TestSlowTargetIsDistinguishedFromALoadedOne(t *testing.T) {
+	p := newPicker(10)
 	for i := range 10 {
 		p.Started(start, fmt.Sprint(i), fmt.Sprintf("g%03d", i), 1000+500*(i%2))
 	}
@@ -41,10 +41,11 @@
 	assert.Assert(t, !p.targets["g003"].pace.isSlow)
 }
 
-// One member of a group is paused. Connections stay open and nothing fails; the
-// tokens cease. New requests go elsewhere until it moves again.
-func TestStalledTargetIsLeftAlone(t *testing.T) {
-	p := picker(2)
+// Guards against requests that wait at a paused group. One member is paused: connections stay
+// open, nothing fails, and the tokens stop. New requests go elsewhere until an attempt makes
+// progress again.
+func TestStalledTargetIsAvoided(t *testing.T) {
+	p := newPicker(2)
 	p.Started(start, "stuck", "g000", 100)
 	p.Progress(at(time.Second), "stuck", 1)
 	p.Started(start, "busy", "g001", 6000)
@@ -57,10 +58,10 @@
 	assert.Equal(t, mustPick(t, p, later, Request{Tokens: 100}).ID, "g000")
 }
 
-// A group comes back beside nine loaded ones. As the least loaded it would draw
-// every request at once, with a cold prefix cache.
+// Guards against a returning group that draws every request at once with a cold prefix cache.
+// It is the least loaded beside nine loaded groups.
 func TestReturningTargetIsRampedUp(t *testing.T) {
-	p := picker(9)
+	p := newPicker(9)
 	p.SetTargets(start, groups(10))
 	sent := 0
 	for i := range 100 {
@@ -74,10 +75,10 @@
 	assert.Equal(t, p.targets["g009"].limitFraction(at(defaultRampTime)), 1.0)
 }
 
-// A fabric domain goes dark. Two of its four groups have failed a request; the
-// other two must not fail some more before they are avoided.
-func TestDarkDomainIsAvoidedAfterHalfOfItFailed(t *testing.T) {
-	p := picker(8)
+// Guards against further failed requests after a fabric domain fails. Two of its four groups
+// have failed a request; the other two must be avoided without a failure of their own.
+func TestFailedDomainIsAvoidedAfterHalfOfItsTargetsFailed(t *testing.T) {
+	p := newPicker(8)
 	for _, id := range []string{"g000", "g001"} {
 		p.Started(start, id, id, 100)
 		p.Finished(start, id, Result{})
@@ -91,8 +92,8 @@
 	assert.Assert(t, p.HasRoom(at(domainBackoff), Request{Model: "m", Tokens: 100}))
 }
 
-func TestCancelledAttemptIsNoFault(t *testing.T) {
-	p := picker(1)
+func TestCancelledAttemptIsNotAFailure(t *testing.T) {
+	p := newPicker(1)
 	p.Started(start, "a", "g000", 100)
 	p.Finished(start, "a", Result{Cancelled: true})
 	assert.Assert(t, p.HasRoom(start, Request{Model: "m", Tokens: 100}))
@@ -100,7 +101,7 @@
 }
 
 func TestUnlistedTargetGetsNothingNewAndItsAttemptsEnd(t *testing.T) {
-	p := picker(2)
+	p := newPicker(2)
 	p.Started(start, "a", "g001", 100)
 	p.SetTargets(start, groups(1))
 	for range 50 {
@@ -110,9 +111,10 @@
 	assert.Equal(t, len(p.attempts), 0)
 }
 
-// The network between this entry and all groups is gone for some seconds, too
-// short for the control VMs to unlist any. Ramps of all at once would hold the
-// recovery back for ten seconds more; a single group that failed has its ramp.
+// Guards against a slow recovery from an outage of all groups. The network between this entry
+// and all groups fails for some seconds, too short for the control VMs to unlist any. Ramps of
+// all groups at once would delay the recovery by ten seconds. A single group that failed does
+// ramp up.
 func TestOutageOfAllEndsWithoutRamps(t *testing.T) {
 	fail := func(p *Picker, n int) {
 		for i := range 3 * n {
@@ -126,7 +128,7 @@
 			p.Finished(at(maxBackoff), id, Result{OK: true})
 		}
 	}
-	all, one := picker(10), picker(10)
+	all, one := newPicker(10), newPicker(10)
 	fail(all, 10)
 	fail(one, 1)
 	assert.Equal(t, all.targets["g000"].limitFraction(at(maxBackoff)), 1.0)
@@ -134,10 +136,10 @@
 	assert.Equal(t, one.targets["g000"].limitFraction(at(maxBackoff)), initialRampFraction)
 }
 
-// A group is taken off the list for a moment and comes back with its requests
-// still in flight. It must not be taken for idle.
+// Guards against a returning group that is mistaken for idle. The group is unlisted for a
+// moment and returns with its requests still in flight.
 func TestReturningTargetKeepsItsAttemptsAndLimit(t *testing.T) {
-	p := picker(2)
+	p := newPicker(2)
 	p.targets["g001"].limit = 20000
 	p.Started(start, "a", "g001", 9500)
 	p.SetTargets(start, groups(1))
@@ -148,9 +150,10 @@
 	assert.Equal(t, p.targets["g001"].load, 0.0)
 }
 
-// An instance of a plain service takes ten times as long as its peers. Calls
-// count one unit of work; its answers alone tell that it is slow.
-func TestSlowPlainServiceInstanceIsFoundByItsAnswers(t *testing.T) {
+// Guards against a slow instance of a plain service that is not detected. It takes ten times as
+// long as its peers, and each call counts one unit of work, so only the time of its answers
+// shows that it is slow.
+func TestSlowPlainServiceInstanceIsDetectedByAnswerTime(t *testing.T) {
 	p := New(Options{Seed: 1, DataCentre: "dc"})
 	var list []Target
 	for i := range 4 {
@@ -171,9 +174,10 @@
 	}
 }
 
-// Guards against a full backend server that is asked again before the time that it named.
-func TestABusyTargetIsLeftAloneAsLongAsItAsked(t *testing.T) {
-	p := picker(1)
+// Guards against a full backend server that gets a request before the time that it asked for
+// has passed.
+func TestBusyTargetIsAvoidedForItsRetryAfter(t *testing.T) {
+	p := newPicker(1)
 	p.Started(start, "a", "g000", 100)
 	p.Finished(start, "a", Result{RetryAfter: 5 * time.Second})
 	assert.Assert(t, !p.HasRoom(at(4900*time.Millisecond), Request{Model: "m", Tokens: 100}))
--- a/internal/placement/picker_test.go
+++ b/internal/placement/picker_test.go
@@ -16,8 +16,8 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// groups returns n targets of model "m" with room for 10,000 tokens each, four
-// to a fabric domain.
+// groups returns n targets of model "m" with a capacity of 10,000 tokens each, four to a fabric
+// domain.
 func groups(n int) []Target {
 	list := make([]Target, n)
 	for i := range list {
@@ -29,7 +29,7 @@
 	return list
 }
 
-func picker(n int) *Picker {
+func newPicker(n int) *Picker {
 	p := New(Options{Seed: 1, DataCentre: "dc"})
 	p.SetTargets(start, groups(n))
 	return p
@@ -44,7 +44,7 @@
 }
 
 func TestPickWithoutTargetsFails(t *testing.T) {
-	p := picker(1)
+	p := newPicker(1)
 	_, ok := p.Pick(start, Request{Model: "other", Tokens: 1})
 	assert.Assert(t, !ok)
 	_, ok = p.Pick(start, Request{Model: "m", Tokens: 1, Exclude: []string{"g000"}})
@@ -52,7 +52,7 @@
 }
 
 func TestSamePrefixGoesToTheSameTarget(t *testing.T) {
-	p := picker(20)
+	p := newPicker(20)
 	r := Request{Tokens: 100, Prefix: []uint64{11, 12, 13, 14, 15}}
 	first := mustPick(t, p, start, r)
 	assert.Equal(t, first.Reason, ReasonAffinity)
@@ -63,17 +63,17 @@
 	moved := 0
 	for key := range uint64(1000) {
 		r.Prefix = []uint64{key * 7919}
-		if mustPick(t, p, start, r).ID != mustPick(t, picker(20), start, r).ID {
+		if mustPick(t, p, start, r).ID != mustPick(t, newPicker(20), start, r).ID {
 			moved++
 		}
 	}
 	assert.Assert(t, moved < 100, "%d of 1000 prefixes moved when one of 20 targets went", moved)
 }
 
-// One prompt is popular: every terminal asks the same. With affinity alone one
-// group would queue them while nine stand idle.
+// Guards against an overload by one popular prompt. With affinity alone, all of its requests
+// would queue on one group while nine stand idle.
 func TestPopularPrefixDoesNotOverloadItsTarget(t *testing.T) {
-	p := picker(10)
+	p := newPicker(10)
 	for i := range 60 {
 		c := mustPick(t, p, start, Request{Tokens: 900, Prefix: []uint64{42}})
 		assert.Assert(t, c.Reason != ReasonNoRoom)
@@ -85,8 +85,8 @@
 	}
 }
 
-func TestCacheHintsDrawRequestsAndGapsDropThem(t *testing.T) {
-	p := picker(20)
+func TestCacheHintsAttractRequestsAndGapsDropHints(t *testing.T) {
+	p := newPicker(20)
 	prefix := []uint64{1, 2, 3, 4, 5, 6}
 	home := mustPick(t, p, start, Request{Tokens: 10, Prefix: prefix}).ID
 	holder := "g007"
@@ -106,7 +106,7 @@
 }
 
 func TestHintsAreBounded(t *testing.T) {
-	p := picker(2)
+	p := newPicker(2)
 	for i := range uint64(3 * maxHintsPerTarget) {
 		p.CacheEvent(start, "g000", i+1, []uint64{i + 1000}, nil)
 	}
@@ -115,48 +115,50 @@
 	assert.Equal(t, len(p.hints), 0)
 }
 
-// A report is half a second old. The requests sent since are not in it; placing
-// by the report alone would send all of the next half second to one target.
-func TestLateReportIsCorrectedByWhatWasSentSince(t *testing.T) {
-	p := picker(1)
+// Guards against placing requests by a late report alone. The report is half a second old and
+// lacks the requests sent since; without a correction all requests of the next half second
+// would go to one target.
+func TestLateReportIsCorrectedByWorkSentSince(t *testing.T) {
+	p := newPicker(1)
 	p.Started(at(100*time.Millisecond), "counted", "g000", 4000)
 	p.Started(at(600*time.Millisecond), "unseen", "g000", 5000)
 	p.Report(at(time.Second), "g000", Load{Running: 1, TokensInFlight: 4500, At: at(500 * time.Millisecond)})
-	// The others hold an eighth as much and are taken to have sent as much more.
+	// The other entries hold an eighth of this entry's work and are assumed to have sent an
+	// eighth of it since.
 	assert.Equal(t, p.targets["g000"].load, 4500+5000*1.125)
 	assert.Assert(t, !p.HasRoom(at(time.Second), Request{Model: "m", Tokens: 2000}))
 	p.Finished(at(time.Second), "unseen", Result{OK: true})
 	assert.Assert(t, p.HasRoom(at(time.Second), Request{Model: "m", Tokens: 2000}))
 }
 
-// A group is full with work of another entry when its reports cease to come. It
-// serves on; by its last word it would be full for ever.
-func TestTargetThatCeasedToReportIsUsedAgain(t *testing.T) {
-	p := picker(1)
+// Guards against a group that stays full for ever. Its last report says that it is full with
+// the work of another entry; then it stops reporting but continues to serve.
+func TestTargetThatStoppedReportingIsUsedAgain(t *testing.T) {
+	p := newPicker(1)
 	p.Report(start, "g000", Load{Running: 9, TokensInFlight: 10000, At: start})
 	assert.Assert(t, !p.HasRoom(at(time.Second), Request{Model: "m", Tokens: 500}))
 	assert.Assert(t, p.HasRoom(at(2*staleAfter), Request{Model: "m", Tokens: 500}))
 }
 
-// One engine's clock is an hour ahead. Its reports are still taken in.
+// Guards against ignored reports from an engine whose clock is an hour ahead.
 func TestReportFromTheFutureCountsAsOfNow(t *testing.T) {
-	p := picker(1)
+	p := newPicker(1)
 	p.Report(at(time.Second), "g000", Load{Running: 1, TokensInFlight: 100, At: at(time.Hour)})
 	p.Report(at(2*time.Second), "g000", Load{Running: 1, TokensInFlight: 200, At: at(time.Hour)})
 	assert.Equal(t, p.targets["g000"].load, 200.0)
 }
 
 func TestOldReportIsDropped(t *testing.T) {
-	p := picker(1)
+	p := newPicker(1)
 	p.Report(at(time.Second), "g000", Load{TokensInFlight: 4000, At: at(time.Second)})
 	p.Report(at(2*time.Second), "g000", Load{TokensInFlight: 1, At: at(time.Second / 2)})
 	assert.Equal(t, p.targets["g000"].load, 4000.0)
 }
 
-// Requests queue on an engine, where one of greater worth can't pass. The limit
-// falls until the queue is gone, and grows again once it is what holds work back.
+// Guards against a queue on an engine, where a request of greater worth can't overtake. The
+// limit falls until the queue is gone, and grows again once the limit holds requests back.
 func TestLimitFollowsTheEnginesQueue(t *testing.T) {
-	p := picker(1)
+	p := newPicker(1)
 	limit := func() float64 { return p.targets["g000"].limit }
 	for i := range 5 {
 		now := at(time.Duration(2*i+1) * time.Second)
@@ -172,10 +174,10 @@
 	assert.Assert(t, limit() > low*1.5)
 }
 
-// A group takes all it is given without a queue, but its callers wait 100 ms for
-// each token, over the users' 62 ms. More work would slow all of them.
+// Guards against overload without a queue. The group accepts all requests, but tokens arrive
+// 100 ms apart, over the users' objective of 62 ms. More work would slow all requests.
 func TestLimitFallsWhenTokensComeTooSlowly(t *testing.T) {
-	p := picker(1)
+	p := newPicker(1)
 	for i := range 3 {
 		now := at(time.Duration(2*i+1) * time.Second)
 		p.Report(now, "g000", Load{Running: 40, TokensInFlight: 9000, TokensPerSecond: 400, At: now})
@@ -183,8 +185,8 @@
 	assert.Assert(t, p.targets["g000"].limit < 8000)
 }
 
-// An instance of a plain service says nothing of its capacity, and its calls
-// queue. Its limit counts calls: a bound made for tokens would let hundreds wait.
+// Guards against a limit in tokens for a plain service, which would let hundreds of calls
+// queue. The instance reports no capacity, and its limit counts calls.
 func TestPlainServiceIsLimitedInCalls(t *testing.T) {
 	p := New(Options{DataCentre: "dc"})
 	p.SetTargets(start, []Target{{ID: "s", DataCentre: "dc", Model: "files", Plain: true}})
@@ -201,10 +203,10 @@
 	assert.Equal(t, p.targets["s"].load, 48.0)
 }
 
-// A group's capacity is only known while it reports. Its limit, learned over
-// minutes, must not begin anew each time.
-func TestCapacityThatComesAndGoesKeepsTheLimit(t *testing.T) {
-	p := picker(1)
+// Guards against the loss of a limit that was learned over minutes. A group's capacity is known
+// only while the group reports, and the limit must not start again each time.
+func TestIntermittentCapacityKeepsTheLimit(t *testing.T) {
+	p := newPicker(1)
 	known, unknown := groups(1), groups(1)
 	unknown[0].Capacity = 0
 	p.targets["g000"].limit = 25000
@@ -220,11 +222,11 @@
 	assert.Equal(t, late.targets["g000"].limit, 2000.0)
 }
 
-// Two entries share a group and one begins with twice the limit. Both see the
-// same reports; the limits must meet, or one entry's callers are refused while
-// the other's are served.
-func TestLimitsOfTwoEntriesMeet(t *testing.T) {
-	a, b := picker(1), picker(1)
+// Guards against limits that stay apart. Two entries share a group, and one starts with twice
+// the other's limit. Both see the same reports. The limits must converge, or one entry refuses
+// requests while the other serves them.
+func TestLimitsOfTwoEntriesConverge(t *testing.T) {
+	a, b := newPicker(1), newPicker(1)
 	a.targets["g000"].limit, b.targets["g000"].limit = 30000, 15000
 	for i := range 3000 {
 		now := at(time.Duration(i) * 200 * time.Millisecond)
@@ -241,16 +243,16 @@
 	assert.Assert(t, ratio < 1.2, "%v", ratio)
 }
 
-func TestLongRequestsLeaveRoomForShortOnes(t *testing.T) {
-	p := picker(1)
+func TestLongRequestsLeaveCapacityForShortOnes(t *testing.T) {
+	p := newPicker(1)
 	p.Started(start, "long", "g000", 5000)
 	p.Progress(start, "long", 1)
 	assert.Assert(t, !p.HasRoom(start, Request{Model: "m", Tokens: 4200}))
 	assert.Assert(t, p.HasRoom(start, Request{Model: "m", Tokens: 3000}))
 }
 
-// Drafts come together. Lookups placed behind their prompts would wait for all
-// of them, so each server computes one at a time.
+// Guards against short requests that wait behind several long prompts. Long requests arrive
+// together, so each server computes one long prompt at a time.
 func TestOneLongPromptAtATime(t *testing.T) {
 	p := New(Options{DataCentre: "dc"})
 	p.SetTargets(start, []Target{{ID: "g", DataCentre: "dc", Model: "m", Capacity: 100000}})
@@ -261,17 +263,18 @@
 	assert.Assert(t, p.HasRoom(start, Request{Model: "m", Tokens: 5000}))
 }
 
-func TestReserveKeepsRoomForGreaterWorth(t *testing.T) {
-	p := picker(1)
+func TestReserveKeepsCapacityForGreaterWorth(t *testing.T) {
+	p := newPicker(1)
 	p.Started(start, "a", "g000", 4000)
 	p.Started(start, "b", "g000", 4000)
 	assert.Assert(t, !p.HasRoom(start, Request{Model: "m", Tokens: 1500, Reserve: 0.1}))
 	assert.Assert(t, p.HasRoom(start, Request{Model: "m", Tokens: 1500}))
 }
 
-// One data centre of three goes away. Its targets are unlisted; the own data
-// centre is preferred while it has room, the other one takes the rest.
-func TestOwnDataCentreIsPreferredAndALostOneReplaced(t *testing.T) {
+// Guards against requests lost with a data centre. One of three data centres fails and its
+// targets are unlisted. Targets of the own data centre are preferred while they have free
+// capacity; the other data centres take the rest.
+func TestOwnDataCentreIsPreferredUntilItIsLost(t *testing.T) {
 	p := New(Options{Seed: 1, DataCentre: "dc0"})
 	var list []Target
 	for i := range 9 {
@@ -290,22 +293,22 @@
 	p.SetTargets(start, list)
 	by := count(90)
 	assert.Assert(t, by["dc0"] > by["dc1"] && by["dc0"] > by["dc2"], "%v", by)
-	var left []Target
+	var remaining []Target
 	for _, x := range list {
 		if x.DataCentre != "dc0" {
-			left = append(left, x)
+			remaining = append(remaining, x)
 		}
 	}
-	p.SetTargets(start, left)
+	p.SetTargets(start, remaining)
 	by = count(90)
 	assert.Equal(t, by["dc0"], 0)
 	assert.Assert(t, by["dc1"] > 30 && by["dc2"] > 30, "%v", by)
 }
 
-// All requests come to one entry of three. It must learn that the load is its
-// own, or it would use a third of each group.
+// Guards against an entry that underestimates its own share. All requests arrive at one of
+// three entries. It must learn that all load is its own, or it would use a third of each group.
 func TestEntryLearnsHowMuchOfTheLoadIsItsOwn(t *testing.T) {
-	p := picker(1)
+	p := newPicker(1)
 	p.pools["m"].meanAll, p.pools["m"].meanOwn = 9000, 3000
 	p.Started(start, "a", "g000", 3000)
 	for i := range 500 {
@@ -320,11 +323,11 @@
 	assert.Assert(t, p.Stats(at(time.Minute))[0].Others > 2.5)
 }
 
-// All processes come back from an outage, and each of six entries gets its part of the
-// backlog before any group has reported. Each taken for the only one, they sent 380
-// requests to 312 places within half a second. Together they must send about what the
-// groups hold, and with the first reports go by what is there.
-func TestAnEntryThatHasJustStartedReckonsWithItsPeers(t *testing.T) {
+// Guards against overload after an outage of all processes. Each of six entries gets its share
+// of the backlog before any group has reported. When each assumed to be alone, they sent 380
+// requests to 312 slots within half a second. Together they must send about as much as the
+// groups hold, and follow the reports once they arrive.
+func TestStartingEntryAccountsForItsPeers(t *testing.T) {
 	const entries, targets, tokens = 6, 12, 400
 	sent := 0
 	for seed := range uint64(entries) {
@@ -339,5 +342,5 @@
 		}
 	}
 	holds := targets * 10000 / tokens
-	assert.Assert(t, sent >= holds*8/10 && sent <= holds*12/10, "%d sent to places for %d", sent, holds)
+	assert.Assert(t, sent >= holds*8/10 && sent <= holds*12/10, "%d sent, capacity for %d", sent, holds)
 }
--- a/internal/placement/throttle_test.go
+++ b/internal/placement/throttle_test.go
@@ -9,22 +9,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// What a backend server bears that limits its rate, in any span of limitSpan.
+// These values define what a rate-limited backend server accepts in any limitSpan: its limit
+// times limitFactor, plus limitSlack requests.
 const (
 	limitSpan   = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// limitedPool are entries that send to ten backend servers, the first of which, "s0", names
-// a limit after limitedAt.
+// limitedPool is a set of entries that send to ten backend servers. The first, "s0", names a
+// limit after limitedAt.
 type limitedPool struct {
 	random  *rand.Rand
 	pickers []*Picker
 	limit   float64
-	// known holds for each entry whether it has learned the limit.
+	// known tells for each entry whether it has learned the limit.
 	known []bool
-	// arrivals are the times of the requests that s0 got.
+	// arrivals are the times of the requests that s0 received.
 	arrivals []time.Duration
 	refused  int
 }
@@ -50,7 +51,7 @@
 	return w
 }
 
-// run lets all entries together send perSecond requests a second until an end.
+// run makes all entries together send perSecond requests a second until end.
 func (w *limitedPool) run(perSecond float64, end time.Duration) {
 	next := time.Duration(0)
 	for n := 0; next < end; n++ {
@@ -60,8 +61,8 @@
 	}
 }
 
-// send sends one request, which is answered at once. Entries learn the limit of the first
-// answer that names it, a tenth of a second after the one that got it.
+// send sends one request, which is answered at once. Entries learn the limit a tenth of a
+// second after the first answer that names it.
 func (w *limitedPool) send(entry int, after time.Duration, id string) {
 	p, now := w.pickers[entry], at(after)
 	if after >= limitedAt+100*time.Millisecond && len(w.arrivals) > 0 && !w.known[entry] {
@@ -85,8 +86,8 @@
 	}
 }
 
-// most returns the most arrivals in a span that ends after a time.
-func (w *limitedPool) most(from time.Duration) int {
+// maxInSpan returns the greatest number of arrivals in a span that ends at or after from.
+func (w *limitedPool) maxInSpan(from time.Duration) int {
 	most := 0
 	for i, last := range w.arrivals {
 		n := 0
@@ -100,22 +101,22 @@
 	return most
 }
 
-// Guards against entries that each hold to a rate limit alone.
+// Guards against entries that each use a rate limit as if they were alone.
 func TestEntriesShareARateLimit(t *testing.T) {
 	for _, entries := range []int{1, 2, 6, 9, 45, 195} {
 		for _, limit := range []float64{0, 0.5, 1.8, 5, 20, 1e300} {
 			w := newLimitedPool(entries, limit)
 			w.run(10*(min(limit, 20)+8), 3*time.Minute)
 			allowed := limitFactor*limit*limitSpan.Seconds() + limitSlack
-			most := w.most(limitedAt + 2*limitSpan)
+			most := w.maxInSpan(limitedAt + 2*limitSpan)
 			assert.Assert(t, float64(most) <= allowed, "%d entries, limit %g: %d requests in %s, allowed %g", entries, limit, most, limitSpan, allowed)
 			assert.Equal(t, w.refused, 0)
 		}
 	}
 }
 
-// Guards against a limit that is shared out so finely that the backend server stands idle.
-func TestARateLimitIsUsed(t *testing.T) {
+// Guards against a limit that is divided so finely that the backend server stands idle.
+func TestRateLimitIsUsed(t *testing.T) {
 	const limit = 5
 	for _, entries := range []int{1, 6, 45} {
 		w := newLimitedPool(entries, limit)
@@ -131,10 +132,10 @@
 	}
 }
 
-// Guards against requests of before that come on top of the limit.
-func TestRequestsOfBeforeCountAgainstARateLimit(t *testing.T) {
+// Guards against requests sent before a limit that come on top of the limit.
+func TestEarlierRequestsCountAgainstARateLimit(t *testing.T) {
 	limit := NamedLimit(2)
-	busy, idle := picker(1), picker(1)
+	busy, idle := newPicker(1), newPicker(1)
 	for _, p := range []*Picker{busy, idle} {
 		list := groups(1)
 		list[0].Server = "s"
@@ -150,12 +151,12 @@
 	assert.Assert(t, !busy.Shut(at(time.Second+namedWindow), "g000"))
 }
 
-// Guards against a limit that is forgotten when another group forms behind the same head.
+// Guards against a limit that is lost when another group forms behind the same head.
 func TestARateLimitOutlivesTheGroup(t *testing.T) {
 	limit := NamedLimit(1)
 	list := groups(2)
 	list[0].Server, list[1].Server = "s", "s"
-	p := picker(0)
+	p := newPicker(0)
 	p.SetTargets(start, list[:1])
 	p.LimitRate(start, "s", Named, &limit)
 	p.Started(start, "a", "g000", 1)
@@ -163,15 +164,15 @@
 	assert.Assert(t, p.Shut(at(900*time.Millisecond), "g001"))
 	assert.Assert(t, !p.Shut(at(time.Second), "g001"))
 
-	opens, _, throttled := p.Throttled(at(900*time.Millisecond), Request{Model: "m"})
+	nextSend, _, throttled := p.Throttled(at(900*time.Millisecond), Request{Model: "m"})
 	assert.Assert(t, throttled)
-	assert.Equal(t, opens, at(time.Second))
+	assert.Equal(t, nextSend, at(time.Second))
 	p.LimitRate(start, "s", Named, nil)
 	assert.Assert(t, !p.Shut(start, "g001"))
 }
 
-// Guards against entries that have saved up a request each and send them at the same moment.
-func TestABurstAtAllEntriesKeepsToARateLimit(t *testing.T) {
+// Guards against a burst of all entries that have each saved up one request.
+func TestBurstOfAllEntriesStaysWithinARateLimit(t *testing.T) {
 	for _, entries := range []int{6, 45, 195} {
 		const limit = 1.8
 		w := newLimitedPool(entries, limit)
@@ -182,29 +183,29 @@
 				w.send(entry, 10*time.Minute, fmt.Sprint("burst-", entry, "-", n))
 			}
 		}
-		most := w.most(limitedAt)
+		most := w.maxInSpan(limitedAt)
 		assert.Assert(t, most <= int(limitFactor*limit*limitSpan.Seconds())+limitSlack, "%d entries: %d at once", entries, most)
 	}
 }
 
-// Guards against requests that wait for more places than the rate limits leave.
-func TestPlacesWithinRateLimits(t *testing.T) {
+// Guards against requests that wait for more capacity than the rate limits leave.
+func TestCapacityWithinRateLimits(t *testing.T) {
 	limit := NamedLimit(2)
-	p := picker(2)
+	p := newPicker(2)
 	list := groups(2)
 	list[0].Server, list[1].Server = "a", "b"
 	p.SetTargets(start, list)
 	p.LimitRate(start, "a", Named, &limit)
 	_, limited := p.Places(start, at(time.Second), "m", nil)
-	assert.Assert(t, !limited, "b takes any number")
+	assert.Assert(t, !limited, "b has no limit")
 	p.LimitRate(start, "b", Named, &limit)
-	places, limited := p.Places(start, at(time.Second), "m", nil)
+	capacity, limited := p.Places(start, at(time.Second), "m", nil)
 	assert.Assert(t, limited)
-	assert.Equal(t, places, 6)
+	assert.Equal(t, capacity, 6)
 	p.Started(start, "x", "g000", 1)
 	p.Started(start, "y", "g001", 1)
-	places, _ = p.Places(start, at(time.Second), "m", nil)
-	assert.Equal(t, places, 4)
-	places, _ = p.Places(start, at(100*time.Millisecond), "m", nil)
-	assert.Equal(t, places, 0)
+	capacity, _ = p.Places(start, at(time.Second), "m", nil)
+	assert.Equal(t, capacity, 4)
+	capacity, _ = p.Places(start, at(100*time.Millisecond), "m", nil)
+	assert.Equal(t, capacity, 0)
 }
