--- a/internal/placement/packing/hold.go
+++ b/internal/placement/packing/hold.go
@@ -73,7 +73,7 @@
 // standbys divides the VMs that are over; a domain without groups takes the model
 // that it is nearest to.
 func (h *holder) standbys(groups []int) []int {
-	n := spread(h.models, groups, len(h.free))
+	n := divideSpares(h.models, groups, len(h.free))
 	given := 0
 	for _, k := range n {
 		given += k
--- a/internal/placement/packing/packing.go
+++ b/internal/placement/packing/packing.go
@@ -122,7 +122,7 @@
 	sums    []float64
 	centres []centre
 	// known are the means that were computed before.
-	known map[expectation]float64
+	known map[expectationKey]float64
 	// kinds are those of the places, by their options.
 	kinds map[string]int
 }
@@ -130,7 +130,7 @@
 func newPlan(models []Model, outlook Outlook, starting bool) *plan {
 	return &plan{
 		models: models, outlook: outlook, starting: starting,
-		sums: make([]float64, len(models)), known: make(map[expectation]float64), kinds: make(map[string]int),
+		sums: make([]float64, len(models)), known: make(map[expectationKey]float64), kinds: make(map[string]int),
 	}
 }
 
@@ -341,13 +341,13 @@
 // less the time in which those that are still to form wait for VMs and weights.
 func (p *plan) counts(d Domain, groups []int, room int) []float64 {
 	counts := make([]float64, len(groups))
-	over := spread(p.models, groups, room)
+	over := divideSpares(p.models, groups, room)
 	short := missing(p.models, d, groups)
 	for i, m := range p.models {
 		if groups[i] == 0 {
 			continue
 		}
-		n := p.left(groups[i], m.Size, over[i])
+		n := p.expectedGroups(groups[i], m.Size, over[i])
 		if !p.starting {
 			further := groups[i] - d.Groups[m.Name]
 			n *= 1 - p.waiting(d, m, further, short)/float64(groups[i])
