--- a/internal/placement/packing/packing.go
+++ b/internal/placement/packing/packing.go
@@ -106,7 +106,7 @@
 	out := make(map[string]Layout, len(domains))
 	for i, d := range domains {
 		groups := p.places[i].groups()
-		out[d.Name] = Layout{Groups: p.named(groups), Hold: hold(models, d, groups)}
+		out[d.Name] = Layout{Groups: p.named(groups), Hold: assignModels(models, d, groups)}
 	}
 	return out
 }
