--- /dev/null
+++ b/internal/placement/packing/datacentre.go
@@ -0,0 +1,56 @@
+package packing
+
+import "math"
+
+// lossWeight is the weight of the worth that remains without one data centre.
+//
+// A data centre may be evacuated or lose power. If its domains hold most groups of one model,
+// that model is lost while another has twice the groups that it needs.
+const lossWeight = 0.1
+
+// dataCentre is a data centre and its effective number of groups by model.
+type dataCentre struct {
+	name string
+	sums []float64
+}
+
+// dataCentreIndex returns the index of a data centre in plan.dataCentres; it adds the data
+// centre if it is new.
+func (p *plan) dataCentreIndex(name string) int {
+	for i, c := range p.centres {
+		if c.name == name {
+			return i
+		}
+	}
+	p.centres = append(p.centres, dataCentre{name: name, sums: make([]float64, len(p.models))})
+	return len(p.centres) - 1
+}
+
+// worth returns the worth of the sums with one option of one further domain added.
+func (p *plan) worth(pl place, chosen int) float64 {
+	counts := pl.options[chosen].counts
+	all := p.worthOf(func(i int) float64 { return p.sums[i] + counts[i] })
+	if len(p.centres) < 2 {
+		return all
+	}
+	remaining := 0.0
+	for k, c := range p.centres {
+		remaining += p.worthOf(func(i int) float64 {
+			if k == pl.centre {
+				return p.sums[i] - c.sums[i]
+			}
+			return p.sums[i] - c.sums[i] + counts[i]
+		})
+	}
+	return (1-lossWeight)*all + lossWeight*remaining/float64(len(p.centres))
+}
+
+// worthOf returns the worth of a number of groups of each model.
+func (p *plan) worthOf(groups func(model int) float64) float64 {
+	total, shares := 0.0, 0.0
+	for i, m := range p.models {
+		total += m.Share * math.Log(max(none, groups(i)))
+		shares += m.Share
+	}
+	return total / max(shares, none)
+}
--- a/internal/placement/packing/centres_test.go
+++ b/internal/placement/packing/datacentre_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a model most of whose groups lie in one data centre, so that its loss or
-// evacuation leaves the model with few.
+// Guards against a model that has most of its groups in one data centre, so that the loss or
+// evacuation of that data centre leaves the model with few groups.
 func TestEachModelIsSpreadOverDataCentres(t *testing.T) {
 	models := []Model{
 		{Name: "wide", Size: 12, Share: 0.5, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
--- a/internal/placement/packing/packing.go
+++ b/internal/placement/packing/packing.go
@@ -120,7 +120,7 @@
 	// sums are the groups of each model over all domains, as they count, and centres those
 	// of each data centre.
 	sums    []float64
-	centres []centre
+	centres []dataCentre
 	// known are the means that were computed before.
 	known map[expectationKey]float64
 	// kinds are those of the places, by their options.
@@ -167,7 +167,7 @@
 // add takes in one domain and chooses for it what was chosen before, as far as
 // its VMs still make it, or else what is worth most next to the domains before it.
 func (p *plan) add(d Domain) {
-	pl := place{options: p.options(d), settled: d.Before != nil, centre: p.centreOf(d.DataCentre)}
+	pl := place{options: p.options(d), settled: d.Before != nil, centre: p.dataCentreIndex(d.DataCentre)}
 	pl.kind = p.kindOf(pl)
 	pl.chosen = p.best(pl, -1)
 	if pl.settled {
--- a/internal/placement/packing/packing_test.go
+++ b/internal/placement/packing/packing_test.go
@@ -101,7 +101,7 @@
 		return p.worth(nothing(len(p.models)), 0)
 	}
 	best := math.Inf(-1)
-	pl := place{options: p.options(domains[0]), centre: p.centreOf(domains[0].DataCentre)}
+	pl := place{options: p.options(domains[0]), centre: p.dataCentreIndex(domains[0].DataCentre)}
 	for i := range pl.options {
 		p.count(pl, i, 1)
 		best = max(best, search(p, domains[1:]))
