--- a/internal/placement/packing/datacentre.go
+++ b/internal/placement/packing/datacentre.go
@@ -17,40 +17,40 @@
 // dataCentreIndex returns the index of a data centre in plan.dataCentres; it adds the data
 // centre if it is new.
 func (p *plan) dataCentreIndex(name string) int {
-	for i, c := range p.centres {
+	for i, c := range p.dataCentres {
 		if c.name == name {
 			return i
 		}
 	}
-	p.centres = append(p.centres, dataCentre{name: name, sums: make([]float64, len(p.models))})
-	return len(p.centres) - 1
+	p.dataCentres = append(p.dataCentres, dataCentre{name: name, sums: make([]float64, len(p.models))})
+	return len(p.dataCentres) - 1
 }
 
 // worth returns the worth of the sums with one option of one further domain added.
-func (p *plan) worth(pl place, chosen int) float64 {
-	counts := pl.options[chosen].counts
+func (p *plan) worth(ds domainState, chosen int) float64 {
+	counts := ds.options[chosen].effective
 	all := p.worthOf(func(i int) float64 { return p.sums[i] + counts[i] })
-	if len(p.centres) < 2 {
+	if len(p.dataCentres) < 2 {
 		return all
 	}
 	remaining := 0.0
-	for k, c := range p.centres {
+	for k, c := range p.dataCentres {
 		remaining += p.worthOf(func(i int) float64 {
-			if k == pl.centre {
+			if k == ds.dataCentre {
 				return p.sums[i] - c.sums[i]
 			}
 			return p.sums[i] - c.sums[i] + counts[i]
 		})
 	}
-	return (1-lossWeight)*all + lossWeight*remaining/float64(len(p.centres))
+	return (1-lossWeight)*all + lossWeight*remaining/float64(len(p.dataCentres))
 }
 
 // worthOf returns the worth of a number of groups of each model.
 func (p *plan) worthOf(groups func(model int) float64) float64 {
 	total, shares := 0.0, 0.0
 	for i, m := range p.models {
-		total += m.Share * math.Log(max(none, groups(i)))
+		total += m.Share * math.Log(max(epsilon, groups(i)))
 		shares += m.Share
 	}
-	return total / max(shares, none)
+	return total / max(shares, epsilon)
 }
--- a/internal/placement/packing/expectation.go
+++ b/internal/placement/packing/expectation.go
@@ -9,7 +9,7 @@
 // with spares further VMs that hold the model too.
 func (p *plan) expectedGroups(groups, size, spares int) float64 {
 	key := expectationKey{groups, size, spares}
-	if mean, known := p.known[key]; known {
+	if mean, known := p.expectations[key]; known {
 		return mean
 	}
 	holders := groups*size + spares
@@ -21,7 +21,7 @@
 		mean += probability * float64(min(groups, (holders-lost)/size))
 		probability *= float64(holders-lost) / float64(lost+1) * away / (1 - away)
 	}
-	p.known[key] = mean
+	p.expectations[key] = mean
 	return mean
 }
 
--- a/internal/placement/packing/forecast.go
+++ b/internal/placement/packing/forecast.go
@@ -43,7 +43,7 @@
 	for _, vm := range d.VMs {
 		perSecond += vm.Returns
 	}
-	if seconds := float64(n) / max(perSecond, none); seconds < maxWait.Seconds() {
+	if seconds := float64(n) / max(perSecond, epsilon); seconds < maxWait.Seconds() {
 		return time.Duration(seconds * float64(time.Second))
 	}
 	return maxWait
--- a/internal/placement/packing/packing.go
+++ b/internal/placement/packing/packing.go
@@ -1,29 +1,28 @@
-// Package packing decides which serving groups each fabric domain of a pool forms,
-// and what its other VMs hold in their accelerators.
+// Package packing decides how many serving groups of each model a fabric domain forms, and
+// which model its other VMs hold in their accelerators.
 //
-// Load: a pool serves several models whose groups differ in size, and its domains
-// are a little larger than a few groups. With one model for each domain, a domain of
-// 11 VMs strands five of them beside one group of six, while callers of that model
-// are late; with every domain alike, a domain of nine strands two where one model
-// would have used them all. VMs fail every few seconds, the pool shrinks and grows,
-// and weights take tens of seconds to load.
+// Situation: a pool serves several models whose groups differ in size, and a domain is a little
+// larger than a few groups. With one model for each domain, a domain of 11 VMs strands five of
+// them beside one group of six, while requests of that model miss their objective. With the
+// same layout in every domain, a domain of nine strands two VMs where one model would have used
+// them all. VMs fail every few seconds, the pool shrinks and grows, and weights take tens of
+// seconds to load.
 //
-// In: each domain's VMs with what they hold, the groups that stand (they are never
-// given up here), the models' sizes, shares and load times, and what the pool's history
-// lets expect of its VMs. Out: how many groups
-// of each model each domain should have, and the model that each VM in no group
-// should hold. All of it is as old as the evidence that it is made from, some
-// seconds at most. The package has no I/O, no clock and no memory: what was chosen
-// before is passed in.
+// Input: the VMs of each domain with the models that they hold; the existing groups, which the
+// package never dissolves; the sizes, shares and load times of the models; and a forecast of VM
+// failures and returns from the pool's history. Output: how many groups of each model each
+// domain should have, and the model that each ungrouped VM should hold. The output is as old as
+// the observations that it is made from, some seconds at most. The package has no I/O, clock or
+// state: the caller passes in the previous choice.
 //
-// What is best: the sum over the models of their share times the logarithm of their
-// groups (proportional fairness). Its best is reached where VMs are divided by
-// shares, a model without a group is out of the question, and the next group is
-// worth most where there are fewest. Groups are counted as what is left of them on
-// average while some VMs are away (expect.go), and less while they wait for VMs or have
-// to load (outlook.go): a layout that can't be filled is worth what it serves until then,
-// which is nothing. With some weight, what is left while one data centre is lost or evacuated
-// counts as well (centres.go), so that no data centre holds most groups of a model.
+// Objective: the sum over the models of their share times the logarithm of their number of
+// groups (proportional fairness). The optimum divides VMs by shares, gives each model at least
+// one group, and values a further group most where there are fewest. A group counts with its
+// expected availability while some VMs are absent (expectation.go), and for less while it waits
+// for VMs or loads weights (forecast.go). A layout that can't be filled is worth what it serves
+// until then, which is nothing. The objective includes, with a small weight, the groups that
+// remain when one data centre is lost or evacuated (datacentre.go), so that no data centre
+// holds most groups of a model.
 package packing
 
 import (
@@ -34,14 +33,13 @@
 )
 
 const (
-	// least is what a domain's choice must gain, in parts of the worth served, to be
-	// made anew: less than that is within what one VM more or less changes, and each
-	// change costs loads.
-	least = 0.03
-	// none stands for no group in the logarithm.
-	none = 0.01
-	// maxOptions bounds the layouts that are weighed for one domain. Pools of two
-	// models have 22 at 73 VMs a domain, with 32 and 8 to a group.
+	// minGain is the gain in worth for which a previous choice is changed. A smaller gain is
+	// within the effect of one VM more or less, and each change costs loads.
+	minGain = 0.03
+	// epsilon replaces zero in logarithms and divisors.
+	epsilon = 0.01
+	// maxOptions bounds the layouts considered for one domain. A pool of two models with groups
+	// of 32 and 8 VMs has 22 layouts in a domain of 73 VMs.
 	maxOptions = 256
 	// maxPasses bounds the passes over all domains.
 	maxPasses = 6
@@ -50,25 +48,26 @@
 // Model is one model of the pool.
 type Model struct {
 	Name string
-	// Size is the VMs of one group.
+	// Size is the number of VMs in one group.
 	Size int
-	// Share is the model's part of the pool's work; shares need not add up to 1.
+	// Share is the model's share of the pool's work; shares need not add up to 1.
 	Share float64
-	// Load is the time to load weights from the store, Warm from the VM's own host.
+	// Load is the time to load weights from the store; Warm is the time to load them from the
+	// VM's own host.
 	Load, Warm time.Duration
 }
 
-// VM is a VM that may be used, or may be expected back.
+// VM is a VM that is available, or that may return.
 type VM struct {
 	ID string
-	// Grouped says that it is in a group that stands.
+	// Grouped is true if the VM belongs to an existing group.
 	Grouped bool
-	// Away says that it can't be given orders now, and Returns how often in a second
-	// a VM that is away as long comes back.
+	// Away is true if the VM can't receive orders now. Returns is the rate, in returns a
+	// second, at which VMs that have been absent as long come back.
 	Away    bool
 	Returns float64
-	// Loaded is the model in its accelerators, Staged those on its host, and Loading the one
-	// that it is loading.
+	// Loaded is the model in the VM's accelerators, Staged lists the models on its host, and
+	// Loading is the model that it is loading.
 	Loaded  string
 	Staged  []string
 	Loading string
@@ -77,84 +76,86 @@
 // Domain is one fabric domain.
 type Domain struct {
 	Name string
-	// DataCentre is that of its VMs, or of one of them.
+	// DataCentre is the data centre of the domain's VMs. If they lie in several, it is one of
+	// them.
 	DataCentre string
 	VMs        []VM
-	// Groups counts the groups that stand, by model.
+	// Groups is the number of existing groups by model.
 	Groups map[string]int
-	// Before is what was chosen for it before; nil if nothing was.
+	// Before is the previously chosen number of groups by model; nil if there is no previous
+	// choice.
 	Before map[string]int
 }
 
-// Layout is what a domain should come to.
+// Layout is the desired state of a domain.
 type Layout struct {
-	// Groups is how many groups of each model it should have, those that stand
-	// included.
+	// Groups is the desired number of groups by model, existing groups included.
 	Groups map[string]int
-	// Hold is the model that each VM in no group should hold.
+	// Hold is the model that each ungrouped VM should hold, by VM id.
 	Hold map[string]string
 }
 
-// Plan returns the layout of each domain by name. starting says that nobody is
-// served yet, when loads cost next to nothing.
+// Plan returns the layout of each domain, by name. starting is true while the pool serves
+// nobody yet, when loads cost next to nothing.
 func Plan(models []Model, domains []Domain, outlook Outlook, starting bool) map[string]Layout {
 	p := newPlan(models, outlook, starting)
 	for _, d := range domains {
-		p.add(d)
+		p.addDomain(d)
 	}
 	p.improve()
 	out := make(map[string]Layout, len(domains))
 	for i, d := range domains {
-		groups := p.places[i].groups()
-		out[d.Name] = Layout{Groups: p.named(groups), Hold: assignModels(models, d, groups)}
+		groups := p.domains[i].groups()
+		out[d.Name] = Layout{Groups: p.groupsByModel(groups), Hold: assignModels(models, d, groups)}
 	}
 	return out
 }
 
-// plan is one run. Groups are counted in slices, one place for each model.
+// plan is the state of one run. Slices of group counts have one element for each model.
 type plan struct {
 	models   []Model
 	outlook  Outlook
 	starting bool
-	places   []place
-	// sums are the groups of each model over all domains, as they count, and centres those
-	// of each data centre.
-	sums    []float64
-	centres []dataCentre
-	// known are the means that were computed before.
-	known map[expectationKey]float64
-	// kinds are those of the places, by their options.
-	kinds map[string]int
+	domains  []domainState
+	// sums are the effective groups of each model over all domains; dataCentres has the same
+	// sums for each data centre.
+	sums        []float64
+	dataCentres []dataCentre
+	// expectations caches the results of expectedGroups.
+	expectations map[expectationKey]float64
+	// kindIDs numbers the kinds of domains, keyed by data centre and options.
+	kindIDs map[string]int
 }
 
 func newPlan(models []Model, outlook Outlook, starting bool) *plan {
 	return &plan{
 		models: models, outlook: outlook, starting: starting,
-		sums: make([]float64, len(models)), known: make(map[expectationKey]float64), kinds: make(map[string]int),
+		sums: make([]float64, len(models)), expectations: make(map[expectationKey]float64), kindIDs: make(map[string]int),
 	}
 }
 
-// place is one domain of a plan.
-type place struct {
+// domainState is the state of one domain in a plan.
+type domainState struct {
 	options []option
 	chosen  int
-	// kind is the same for places with the same options in one data centre.
+	// kind is equal for domains with the same options in the same data centre.
 	kind int
-	// centre is the index of its data centre.
-	centre int
-	// settled says that the choice was made before.
-	settled bool
+	// dataCentre is an index into plan.dataCentres.
+	dataCentre int
+	// hasPrevious is true if the domain has a previous choice.
+	hasPrevious bool
 }
 
-// option is one layout of a domain and what its groups count.
+// option is one layout of a domain. effective is the effective number of groups by model; see
+// effectiveGroups.
 type option struct {
-	groups []int
-	counts []float64
+	groups    []int
+	effective []float64
 }
 
-func (p place) groups() []int { return p.options[p.chosen].groups }
+func (p domainState) groups() []int { return p.options[p.chosen].groups }
 
-func (p *plan) named(groups []int) map[string]int {
+func (p *plan) groupsByModel(groups []int) map[string]int {
 	out := make(map[string]int, len(groups))
 	for i, n := range groups {
 		if n > 0 {
@@ -164,59 +165,61 @@
 	return out
 }
 
-// add takes in one domain and chooses for it what was chosen before, as far as
-// its VMs still make it, or else what is worth most next to the domains before it.
-func (p *plan) add(d Domain) {
-	pl := place{options: p.options(d), settled: d.Before != nil, centre: p.dataCentreIndex(d.DataCentre)}
-	pl.kind = p.kindOf(pl)
-	pl.chosen = p.best(pl, -1)
-	if pl.settled {
-		pl.chosen = p.nearest(pl.options, d.Before)
+// addDomain adds a domain to the plan. It keeps the previous choice as far as the domain's VMs
+// still allow it. Without a previous choice it takes the option of greatest worth beside the
+// domains added before.
+func (p *plan) addDomain(d Domain) {
+	ds := domainState{options: p.options(d), hasPrevious: d.Before != nil, dataCentre: p.dataCentreIndex(d.DataCentre)}
+	ds.kind = p.kindOf(ds)
+	ds.chosen = p.bestOption(ds, -1)
+	if ds.hasPrevious {
+		ds.chosen = p.nearestOption(ds.options, d.Before)
 	}
-	p.count(pl, pl.chosen, 1)
-	p.places = append(p.places, pl)
+	p.apply(ds, ds.chosen, 1)
+	p.domains = append(p.domains, ds)
 }
 
-// kindOf returns a number that is the same for equal options in one data centre.
-func (p *plan) kindOf(pl place) int {
-	key := fmt.Sprint(pl.centre, pl.options)
-	kind, known := p.kinds[key]
+// kindOf returns a number that is equal for equal options in one data centre.
+func (p *plan) kindOf(ds domainState) int {
+	key := fmt.Sprint(ds.dataCentre, ds.options)
+	kind, known := p.kindIDs[key]
 	if !known {
-		kind = len(p.kinds)
-		p.kinds[key] = kind
+		kind = len(p.kindIDs)
+		p.kindIDs[key] = kind
 	}
 	return kind
 }
 
-// count adds one of a place's options to the sums, or takes it off.
-func (p *plan) count(pl place, chosen int, sign float64) {
-	in := p.centres[pl.centre].sums
-	for i, c := range pl.options[chosen].counts {
+// apply adds the effective groups of one option to the sums, or subtracts them if sign is -1.
+func (p *plan) apply(ds domainState, chosen int, sign float64) {
+	sums := p.dataCentres[ds.dataCentre].sums
+	for i, c := range ds.options[chosen].effective {
 		p.sums[i] += sign * c
-		in[i] += sign * c
+		sums[i] += sign * c
 	}
 }
 
-// best returns the option that is worth most; keep is chosen unless another gains
-// enough, -1 for none.
-func (p *plan) best(pl place, keep int) int {
+// bestOption returns the index of the option of greatest worth. It returns keep unless another
+// option gains enough; a keep of -1 means none.
+func (p *plan) bestOption(ds domainState, keep int) int {
 	best, worth := 0, math.Inf(-1)
 	if keep >= 0 {
-		best, worth = keep, p.worth(pl, keep)+least
-		if !pl.settled {
-			worth -= least
+		best, worth = keep, p.worth(ds, keep)+minGain
+		if !ds.hasPrevious {
+			worth -= minGain
 		}
 	}
-	for i := range pl.options {
-		if w := p.worth(pl, i); i != keep && w > worth+1e-9 {
+	for i := range ds.options {
+		if w := p.worth(ds, i); i != keep && w > worth+1e-9 {
 			best, worth = i, w
 		}
 	}
 	return best
 }
 
-// nearest returns the option that differs least from what was chosen before.
-func (p *plan) nearest(options []option, before map[string]int) int {
+// nearestOption returns the index of the option that differs least from the previous choice,
+// measured in VMs.
+func (p *plan) nearestOption(options []option, before map[string]int) int {
 	best, smallest := 0, math.MaxInt
 	for i, o := range options {
 		distance := 0
@@ -231,48 +234,47 @@
 	return best
 }
 
-// improve changes one domain after the other, and then two at once, until nothing
-// gains.
+// improve changes one domain at a time, then two domains together, until no change gains.
 func (p *plan) improve() {
 	for range maxPasses {
 		changed := false
-		for i := range p.places {
+		for i := range p.domains {
 			changed = p.improveOne(i) || changed
 		}
-		if !changed && !p.improveTwo() {
+		if !changed && !p.improvePair() {
 			return
 		}
 	}
 }
 
 func (p *plan) improveOne(i int) bool {
-	pl := &p.places[i]
-	p.count(*pl, pl.chosen, -1)
-	next := p.best(*pl, pl.chosen)
-	changed := next != pl.chosen
-	pl.chosen = next
-	p.count(*pl, pl.chosen, 1)
+	ds := &p.domains[i]
+	p.apply(*ds, ds.chosen, -1)
+	next := p.bestOption(*ds, ds.chosen)
+	changed := next != ds.chosen
+	ds.chosen = next
+	p.apply(*ds, ds.chosen, 1)
 	return changed
 }
 
-// pair is two places by what an exchange between them depends on.
-type pair struct{ kindA, chosenA, kindB, chosenB int }
+// pairKey identifies two domains by the properties that an exchange between them depends on.
+type pairKey struct{ kindA, chosenA, kindB, chosenB int }
 
-// improveTwo changes two domains whose choice is new at once: one takes over what
-// the other gives up. Domains with a choice of before change alone.
+// improvePair changes two domains without a previous choice together: one takes over the groups
+// that the other gives up. Domains with a previous choice change one at a time.
 //
-// Load: a pool of 273 domains starts. Most are alike; with each pair of them weighed, a
-// plan took over a second, in which the first groups could have formed.
-func (p *plan) improveTwo() bool {
-	weighed := make(map[pair]bool)
-	for i := range p.places {
-		for j := i + 1; j < len(p.places); j++ {
-			a, b := &p.places[i], &p.places[j]
-			key := pair{a.kind, a.chosen, b.kind, b.chosen}
-			if a.settled || b.settled || weighed[key] {
+// Each distinct pair is evaluated once. In a starting pool of 273 domains most are alike: with
+// every pair evaluated, a plan took over a second, in which the first groups could have formed.
+func (p *plan) improvePair() bool {
+	evaluated := make(map[pairKey]bool)
+	for i := range p.domains {
+		for j := i + 1; j < len(p.domains); j++ {
+			a, b := &p.domains[i], &p.domains[j]
+			key := pairKey{a.kind, a.chosen, b.kind, b.chosen}
+			if a.hasPrevious || b.hasPrevious || evaluated[key] {
 				continue
 			}
-			weighed[key] = true
+			evaluated[key] = true
 			if p.exchange(a, b) {
 				return true
 			}
@@ -281,13 +283,13 @@
 	return false
 }
 
-func (p *plan) exchange(a, b *place) bool {
-	p.count(*a, a.chosen, -1)
-	p.count(*b, b.chosen, -1)
+func (p *plan) exchange(a, b *domainState) bool {
+	p.apply(*a, a.chosen, -1)
+	p.apply(*b, b.chosen, -1)
 	wasA, wasB := a.chosen, b.chosen
 	best := math.Inf(-1)
 	for i := range a.options {
-		p.count(*a, i, 1)
+		p.apply(*a, i, 1)
 		for j := range b.options {
 			w := p.worth(*b, j)
 			if i == wasA && j == wasB {
@@ -297,109 +299,109 @@
 				best, a.chosen, b.chosen = w, i, j
 			}
 		}
-		p.count(*a, i, -1)
+		p.apply(*a, i, -1)
 	}
-	p.count(*a, a.chosen, 1)
-	p.count(*b, b.chosen, 1)
+	p.apply(*a, a.chosen, 1)
+	p.apply(*b, b.chosen, 1)
 	return a.chosen != wasA || b.chosen != wasB
 }
 
-// options returns the layouts of a domain: all that its VMs make beside the groups
-// that stand. Those that leave room for a further group are among them, as what
-// stands by may be worth more.
+// options returns the layouts of a domain: every number of groups that its VMs can form beside
+// the existing groups. Layouts with free VMs for a further group are included, because spare
+// VMs may be worth more than the group.
 func (p *plan) options(d Domain) []option {
-	room := len(d.VMs)
+	freeVMs := len(d.VMs)
 	base := make([]int, len(p.models))
 	for i, m := range p.models {
 		base[i] = d.Groups[m.Name]
-		room -= base[i] * m.Size
+		freeVMs -= base[i] * m.Size
 	}
 	var out []option
-	p.fill(d, base, 0, room, &out)
+	p.fillOptions(d, base, 0, freeVMs, &out)
 	return out
 }
 
-// fill adds groups of the models from k on to a layout, the most first.
-func (p *plan) fill(d Domain, groups []int, k, room int, out *[]option) {
+// fillOptions adds groups of the models from index k on to a layout, the largest number first.
+func (p *plan) fillOptions(d Domain, groups []int, k, freeVMs int, out *[]option) {
 	if len(*out) >= maxOptions {
 		return
 	}
 	if k == len(p.models) {
-		*out = append(*out, option{groups: slices.Clone(groups), counts: p.counts(d, groups, room)})
+		*out = append(*out, option{groups: slices.Clone(groups), effective: p.effectiveGroups(d, groups, freeVMs)})
 		return
 	}
 	size := p.models[k].Size
-	was := groups[k]
-	for n := max(0, room/size); n >= 0; n-- {
-		groups[k] = was + n
-		p.fill(d, groups, k+1, room-n*size, out)
+	previous := groups[k]
+	for n := max(0, freeVMs/size); n >= 0; n-- {
+		groups[k] = previous + n
+		p.fillOptions(d, groups, k+1, freeVMs-n*size, out)
 	}
-	groups[k] = was
+	groups[k] = previous
 }
 
-// counts returns what a domain's groups count: what is left of them on average,
-// less the time in which those that are still to form wait for VMs and weights.
-func (p *plan) counts(d Domain, groups []int, room int) []float64 {
-	counts := make([]float64, len(groups))
-	over := divideSpares(p.models, groups, room)
+// effectiveGroups returns the effective number of groups by model: the groups expected to be
+// available on average, less the time that groups still to form wait for VMs and weights.
+func (p *plan) effectiveGroups(d Domain, groups []int, freeVMs int) []float64 {
+	effective := make([]float64, len(groups))
+	spares := divideSpares(p.models, groups, freeVMs)
 	short := missingVMs(p.models, d, groups)
 	for i, m := range p.models {
 		if groups[i] == 0 {
 			continue
 		}
-		n := p.expectedGroups(groups[i], m.Size, over[i])
+		n := p.expectedGroups(groups[i], m.Size, spares[i])
 		if !p.starting {
 			further := groups[i] - d.Groups[m.Name]
-			n *= 1 - p.waiting(d, m, further, short)/float64(groups[i])
+			n *= 1 - p.lostToWaiting(d, m, further, short)/float64(groups[i])
 			short = max(0, short-further*m.Size)
 		}
-		counts[i] = n
+		effective[i] = n
 	}
-	return counts
+	return effective
 }
 
-// waiting returns how many of n further groups of a model are lost to waiting, where
-// the layout is short of some VMs: those for the last of the groups.
-func (p *plan) waiting(d Domain, m Model, n, short int) float64 {
-	has := holding(d, m)
+// lostToWaiting returns how many of n further groups of a model are lost to waiting. short is
+// the number of VMs that the layout lacks; the last groups lack them.
+func (p *plan) lostToWaiting(d Domain, m Model, n, short int) float64 {
+	ready := readinessFor(d, m)
 	lost := 0.0
 	for k := 1; k <= n; k++ {
 		lacks := min(m.Size, short-(n-k)*m.Size)
-		first := p.outlook.vmWait(d, lacks) + has.until(m, k*m.Size)
+		first := p.outlook.vmWait(d, lacks) + ready.timeToLoad(m, k*m.Size)
 		lost += 1 - p.outlook.servedFraction(m.Size, first)
 	}
 	return lost
 }
 
-// holders counts the VMs in no group by how near they are to having a model loaded.
-type holders struct{ loaded, staged, loading int }
+// readiness counts the ungrouped VMs by how close they are to having a model loaded.
+type readiness struct{ loaded, staged, loading int }
 
-func holding(d Domain, m Model) holders {
-	var h holders
+func readinessFor(d Domain, m Model) readiness {
+	var r readiness
 	for _, vm := range d.VMs {
 		switch {
 		case vm.Grouped:
 		case vm.Loaded == m.Name:
-			h.loaded++
+			r.loaded++
 		case slices.Contains(vm.Staged, m.Name):
-			h.staged++
+			r.staged++
 		case vm.Loading == m.Name:
-			h.loading++
+			r.loading++
 		}
 	}
-	return h
+	return r
 }
 
-// until returns how long it takes until n VMs have a model loaded. Of a load that is
-// under way, half is reckoned to be done: a layout that is given up for another and taken
-// again a moment later would never be loaded.
-func (h holders) until(m Model, n int) time.Duration {
+// timeToLoad returns the time until n VMs have a model loaded. A load in progress counts as
+// half done. Otherwise a layout that is dropped for another and chosen again a moment later
+// would never be loaded.
+func (r readiness) timeToLoad(m Model, n int) time.Duration {
 	switch {
-	case n <= h.loaded:
+	case n <= r.loaded:
 		return 0
-	case n <= h.loaded+h.staged:
+	case n <= r.loaded+r.staged:
 		return m.Warm
-	case n <= h.loaded+h.staged+h.loading:
+	case n <= r.loaded+r.staged+r.loading:
 		return m.Load / 2
 	}
 	return m.Load
--- a/internal/placement/packing/packing_test.go
+++ b/internal/placement/packing/packing_test.go
@@ -79,7 +79,7 @@
 		}
 		got := newPlan(ms, Usual(), starting)
 		for _, d := range domains {
-			got.add(d)
+			got.addDomain(d)
 		}
 		got.improve()
 		best := newPlan(ms, Usual(), starting)
@@ -91,8 +91,8 @@
 }
 
 // nothing is a place that adds no groups.
-func nothing(models int) place {
-	return place{options: []option{{counts: make([]float64, models)}}}
+func nothing(models int) domainState {
+	return domainState{options: []option{{effective: make([]float64, models)}}}
 }
 
 // search returns the worth of the best choice for all domains.
@@ -101,11 +101,11 @@
 		return p.worth(nothing(len(p.models)), 0)
 	}
 	best := math.Inf(-1)
-	pl := place{options: p.options(domains[0]), centre: p.dataCentreIndex(domains[0].DataCentre)}
+	pl := domainState{options: p.options(domains[0]), dataCentre: p.dataCentreIndex(domains[0].DataCentre)}
 	for i := range pl.options {
-		p.count(pl, i, 1)
+		p.apply(pl, i, 1)
 		best = max(best, search(p, domains[1:]))
-		p.count(pl, i, -1)
+		p.apply(pl, i, -1)
 	}
 	return best
 }
