--- a/internal/placement/packing/datacentre_test.go
+++ b/internal/placement/packing/datacentre_test.go
@@ -42,7 +42,7 @@
 		}
 		for _, groups := range in {
 			for model, n := range groups {
-				assert.Assert(t, 2*n <= total[model], "%.3f away: %d of %d groups of %s in one data centre", away, n, total[model], model)
+				assert.Assert(t, 2*n <= total[model], "%.3f absent: %d of %d groups of %s in one data centre", away, n, total[model], model)
 			}
 		}
 	}
--- a/internal/placement/packing/packing_test.go
+++ b/internal/placement/packing/packing_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// pool returns n domains of VMs that hold nothing.
+// pool returns n domains of VMs that hold no model.
 func pool(n, each int) []Domain {
 	domains := make([]Domain, n)
 	for i := range domains {
@@ -39,12 +39,12 @@
 	return sum
 }
 
-// At a start, domains that are a little larger than a few groups. Eleven VMs with
-// groups of six and three must serve both models in each domain: with one model
-// each, 24 of 66 VMs stood free. Nine with four and three, 27 with twelve and six,
-// 37 with sixteen and four must serve one each: with two, a loss strands the rest
-// of a group beside VMs that hold the other model.
-func TestDomainsTakeTheLayoutThatStrandsLeast(t *testing.T) {
+// Guards against stranded VMs when a pool starts in domains that are a little larger than a few
+// groups. Domains of 11 VMs with groups of six and three must serve both models: with one model
+// each, 24 of 66 VMs stood free. Domains of nine VMs with groups of four and three, 27 with
+// twelve and six, and 37 with sixteen and four must serve one model each: with two, a loss
+// strands the rest of a group beside VMs that hold the other model.
+func TestDomainsChooseTheLayoutThatStrandsFewestVMs(t *testing.T) {
 	for _, c := range []struct {
 		each, wide, narrow int
 		share              float64
@@ -66,7 +66,8 @@
 	}
 }
 
-// On small pools the choice is compared with all there are.
+// Guards against poor local optima: on small pools the plan is compared with an exhaustive
+// search.
 func TestThePlanIsAsGoodAsAnExhaustiveSearch(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
@@ -82,37 +83,37 @@
 			got.addDomain(d)
 		}
 		got.improve()
-		best := newPlan(ms, Usual(), starting)
-		most := search(best, domains)
-		worth := got.worth(nothing(len(ms)), 0)
-		assert.Assert(t, worth > most-0.02, "worth %.4f, best %.4f, %d domains of %d, sizes %d and %d",
-			worth, most, len(domains), len(domains[0].VMs), ms[1].Size, ms[0].Size)
+		exhaustive := newPlan(ms, Usual(), starting)
+		best := search(exhaustive, domains)
+		worth := got.worth(emptyDomain(len(ms)), 0)
+		assert.Assert(t, worth > best-0.02, "worth %.4f, best %.4f, %d domains of %d, sizes %d and %d",
+			worth, best, len(domains), len(domains[0].VMs), ms[1].Size, ms[0].Size)
 	}
 }
 
-// nothing is a place that adds no groups.
-func nothing(models int) domainState {
+// emptyDomain returns a domain that adds no groups.
+func emptyDomain(models int) domainState {
 	return domainState{options: []option{{effective: make([]float64, models)}}}
 }
 
 // search returns the worth of the best choice for all domains.
 func search(p *plan, domains []Domain) float64 {
 	if len(domains) == 0 {
-		return p.worth(nothing(len(p.models)), 0)
+		return p.worth(emptyDomain(len(p.models)), 0)
 	}
 	best := math.Inf(-1)
-	pl := domainState{options: p.options(domains[0]), dataCentre: p.dataCentreIndex(domains[0].DataCentre)}
-	for i := range pl.options {
-		p.apply(pl, i, 1)
+	ds := domainState{options: p.options(domains[0]), dataCentre: p.dataCentreIndex(domains[0].DataCentre)}
+	for i := range ds.options {
+		p.apply(ds, i, 1)
 		best = max(best, search(p, domains[1:]))
-		p.apply(pl, i, -1)
+		p.apply(ds, i, -1)
 	}
 	return best
 }
 
-// heldDomain returns a domain of eleven in which a group of each model stands and the two
-// VMs that are over hold one model each.
-func heldDomain() Domain {
+// domainWithSpares returns a domain of eleven VMs with one group of each model and one spare VM that
+// holds each model.
+func domainWithSpares() Domain {
 	d := Domain{Name: "d", Groups: map[string]int{"wide": 1, "narrow": 1}, Before: map[string]int{"wide": 1, "narrow": 1}}
 	add := func(n int, model string, grouped bool) {
 		for range n {
@@ -126,11 +127,11 @@
 	return d
 }
 
-// A member of the wide group dies. What stands by for it takes its place, the
-// standby of the other model keeps what it holds, and the one that died is expected
-// to stand by for the wide model again: nothing is loaded from the store.
-func TestALossIsRepairedWithoutALoad(t *testing.T) {
-	d := heldDomain()
+// Guards against loads from the store in a repair. A member of the wide group dies. The standby
+// VM of the wide model replaces it, the standby VM of the other model keeps its model, and the
+// dead VM is expected to stand by for the wide model when it returns.
+func TestLossIsRepairedWithoutALoad(t *testing.T) {
+	d := domainWithSpares()
 	d.Groups["wide"] = 0
 	for i := range 6 {
 		d.VMs[i].Grouped = false
@@ -145,11 +146,11 @@
 	}
 }
 
-// A pool shrinks for good, one VM of a domain after the other. Groups that stand are
-// kept, and the VMs that are left of a group that can't be made whole form what they
-// can, although that costs loads.
-func TestWhatIsLeftOfAGroupIsUsed(t *testing.T) {
-	d := heldDomain()
+// Guards against unused VMs when a pool shrinks for good, one VM of a domain after the other.
+// Existing groups are kept. The remaining VMs of a group that can't be completed form other
+// groups, although that costs loads.
+func TestRemainingVMsOfAGroupAreUsed(t *testing.T) {
+	d := domainWithSpares()
 	d.Groups["wide"] = 0
 	d.VMs = d.VMs[2:]
 	for i := range 4 {
@@ -170,9 +171,9 @@
 	assert.Equal(t, len(l.Hold), 5)
 }
 
-// The same VMs give the same layouts, and a layout that was given stands while a VM
-// more or less is there.
-func TestALayoutStandsWhileVMsComeAndGo(t *testing.T) {
+// Guards against layouts that change without need: the same VMs give the same layouts, and a
+// layout stays while single VMs leave and return.
+func TestLayoutIsStableWhileVMsLeaveAndReturn(t *testing.T) {
 	ms := models(12, 6, 0.5)
 	domains := pool(6, 27)
 	for i := range domains {
@@ -195,8 +196,8 @@
 	}
 }
 
-// Benchmarks of one plan, as the leader makes it a few times a second. The aim is
-// under 10 ms with 300 VMs and under 50 ms with 1,100.
+// BenchmarkPlan measures one plan. The leader makes a plan a few times a second; the objective
+// is under 10 ms with 300 VMs and under 50 ms with 1,100.
 func BenchmarkPlan(b *testing.B) {
 	for _, c := range []struct{ domains, each, wide, narrow int }{{8, 37, 16, 4}, {15, 73, 32, 8}, {273, 11, 6, 3}} {
 		b.Run(fmt.Sprintf("%d-VMs", c.domains*c.each), func(b *testing.B) {
