--- a/internal/placement/affinity.go
+++ b/internal/placement/affinity.go
@@ -11,8 +11,8 @@
 	// MB. When it is reached, the oldest hint is dropped, which costs a cache hit and nothing
 	// else.
 	maxHintsPerTarget = 512
-	// maxHoldersPerBlock bounds the targets remembered for one block. These are enough targets
-	// to find a prefix that more targets hold.
+	// maxHoldersPerBlock bounds the targets remembered for one block. A prefix that more
+	// targets hold is still found on enough of them.
 	maxHoldersPerBlock = 6
 	// maxHintLookups bounds how many blocks of a prompt are looked up.
 	maxHintLookups = 32
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// cachedGain is the gain of a completely cached prompt, as a load relative to the limit.
-	// Computing a long prompt again costs about that much of a server's time.
+	// cachedGain is the score reduction for a completely cached prompt, as a load relative to
+	// the limit. Computing a long prompt again costs about that much of a server's time.
 	cachedGain = 0.4
-	// affinityGain is the gain of a prompt that only hashes to the server.
+	// affinityGain is the score reduction for a prompt that only hashes to the server.
 	affinityGain = 0.2
 	// loadBound is how far above the pool's mean a server's load may be for affinity to count,
 	// as in consistent hashing with bounded loads. It guards against skewed demand: one popular
 	// prompt must not overload its server.
 	loadBound = 1.25
-	// remoteCost is the cost of a server in another data centre. The network between data
-	// centres adds about a millisecond to each token.
+	// remoteCost is the load, relative to the limit, by which a server in another data centre
+	// must be better. The network between data centres adds about a millisecond to each token.
 	remoteCost = 0.05
-	// staleCost is the cost of a server that has stopped reporting.
+	// staleCost is the load, relative to the limit, by which a server that has stopped
+	// reporting must be better.
 	staleCost = 0.25
 	// slowCost ranks a slow server behind all others that have free capacity.
 	slowCost = 2
--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -17,8 +17,8 @@
 	attempts map[string]*attempt
 	hints    hints
 	random   uint64
-	// selfHash is the hash of this entry's id, entryHashes those of all entries that send to
-	// the backend servers.
+	// selfHash is the hash of this entry's id; entryHashes are the hashes of all entries that
+	// send to the backend servers, this one included.
 	selfHash    uint64
 	entryHashes []uint64
 	// throttles are keyed by backend server. They outlive the targets that a backend server
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -15,8 +15,8 @@
 const defaultCallLimit = 32
 
 // maxLongPrefills is how many long prompts one entry lets a target compute at the same time.
-// Engines compute prompts in order of arrival, so a short request placed behind ten long
-// prompts, as after an outage, would wait for all of them.
+// Long requests arrive together after an outage, for example. Engines compute prompts in order
+// of arrival, so a short request behind ten long prompts would wait for all of them.
 const maxLongPrefills = 1
 
 const (
@@ -153,7 +153,8 @@
 }
 
 // hasCapacity reports whether the request fits now. An idle target takes any request, because a
-// request larger than the limit would never run otherwise.
+// request larger than the limit would never run otherwise. If the limit holds the request back,
+// hasCapacity sets limitReached.
 func (t *target) hasCapacity(now time.Time, tokens int, reserve float64, o *Options) bool {
 	if t.throttle.isBlocked(now) {
 		return false
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -77,7 +77,8 @@
 // backend server would receive a multiple of it, by the number of entries.
 type throttle struct {
 	limits [causeCount]*RateLimit
-	// share is this entry's share of the tightest limit, in requests a second.
+	// share is this entry's share of the tightest limit, in requests a second; 0 if the entry
+	// has no share.
 	share float64
 	// lastSend is when the last request was sent. For a new limit it is set so that the next
 	// request is due one interval later.
