--- a/internal/placement/packing/assign.go
+++ b/internal/placement/packing/assign.go
@@ -10,21 +10,21 @@
 // grouped VMs for each standby VM. A VM that already holds a needed model keeps it, because a
 // load takes longer than most repairs.
 func assignModels(models []Model, d Domain, groups []int) map[string]string {
-	h := &assigner{models: models, out: make(map[string]string)}
+	a := &assigner{models: models, out: make(map[string]string)}
 	for _, vm := range d.VMs {
 		if !vm.Grouped {
-			h.free = append(h.free, vm)
+			a.free = append(a.free, vm)
 		}
 	}
 	// VMs that can receive orders come first.
-	slices.SortStableFunc(h.free, func(a, b VM) int { return absentRank(a) - absentRank(b) })
+	slices.SortStableFunc(a.free, func(x, y VM) int { return absentRank(x) - absentRank(y) })
 	need := make([]int, len(models))
 	for i, m := range models {
 		need[i] = max(0, groups[i]-d.Groups[m.Name]) * m.Size
 	}
-	h.assign(need)
-	h.assign(h.standbyCounts(groups))
-	return h.out
+	a.assign(need)
+	a.assign(a.standbyCounts(groups))
+	return a.out
 }
 
 func absentRank(vm VM) int {
@@ -43,59 +43,59 @@
 
 // assign assigns models: first to VMs that have them loaded, then to VMs that have them on
 // their hosts, then to any VM.
-func (h *assigner) assign(need []int) {
+func (a *assigner) assign(need []int) {
 	preferences := []func(vm VM, model string) bool{
 		func(vm VM, model string) bool { return vm.Loaded == model },
 		func(vm VM, model string) bool { return slices.Contains(vm.Staged, model) },
 		func(VM, string) bool { return true },
 	}
 	for _, fits := range preferences {
-		for i, m := range h.models {
-			need[i] -= h.assignUpTo(m.Name, need[i], fits)
+		for i, m := range a.models {
+			need[i] -= a.assignUpTo(m.Name, need[i], fits)
 		}
 	}
 }
 
-func (h *assigner) assignUpTo(model string, n int, fits func(VM, string) bool) (assigned int) {
+func (a *assigner) assignUpTo(model string, n int, fits func(VM, string) bool) (assigned int) {
 	var remaining []VM
-	for _, vm := range h.free {
+	for _, vm := range a.free {
 		if assigned < n && fits(vm, model) {
-			h.out[vm.ID] = model
+			a.out[vm.ID] = model
 			assigned++
 			continue
 		}
 		remaining = append(remaining, vm)
 	}
-	h.free = remaining
+	a.free = remaining
 	return assigned
 }
 
 // standbyCounts divides the spare VMs among the models. In a domain without groups all of them
 // get the nearest model.
-func (h *assigner) standbyCounts(groups []int) []int {
-	n := divideSpares(h.models, groups, len(h.free))
+func (a *assigner) standbyCounts(groups []int) []int {
+	n := divideSpares(a.models, groups, len(a.free))
 	assigned := 0
 	for _, k := range n {
 		assigned += k
 	}
-	if assigned == 0 && len(h.free) > 0 {
-		n[h.nearestModel()] = len(h.free)
+	if assigned == 0 && len(a.free) > 0 {
+		n[a.nearestModel()] = len(a.free)
 	}
 	return n
 }
 
 // nearestModel returns the model that a domain without groups is nearest to: the model that
 // most of its VMs hold, or of several such models the one with the smallest groups.
-func (h *assigner) nearestModel() int {
+func (a *assigner) nearestModel() int {
 	best, votes := 0, -1
-	for i, m := range h.models {
+	for i, m := range a.models {
 		n := 0
-		for _, vm := range h.free {
+		for _, vm := range a.free {
 			if vm.Loaded == m.Name || slices.Contains(vm.Staged, m.Name) {
 				n++
 			}
 		}
-		if n > votes || (n == votes && m.Size < h.models[best].Size) {
+		if n > votes || (n == votes && m.Size < a.models[best].Size) {
 			best, votes = i, n
 		}
 	}
--- a/internal/placement/packing/datacentre.go
+++ b/internal/placement/packing/datacentre.go
@@ -26,10 +26,11 @@
 	return len(p.dataCentres) - 1
 }
 
-// worth returns the worth of the sums with one option of one further domain added.
+// worth returns the value of the objective for the sums with one option of a further domain
+// added.
 func (p *plan) worth(ds domainState, chosen int) float64 {
-	counts := ds.options[chosen].effective
-	all := p.worthOf(func(i int) float64 { return p.sums[i] + counts[i] })
+	effective := ds.options[chosen].effective
+	all := p.worthOf(func(i int) float64 { return p.sums[i] + effective[i] })
 	if len(p.dataCentres) < 2 {
 		return all
 	}
@@ -39,13 +40,14 @@
 			if k == ds.dataCentre {
 				return p.sums[i] - c.sums[i]
 			}
-			return p.sums[i] - c.sums[i] + counts[i]
+			return p.sums[i] - c.sums[i] + effective[i]
 		})
 	}
 	return (1-lossWeight)*all + lossWeight*remaining/float64(len(p.dataCentres))
 }
 
-// worthOf returns the worth of a number of groups of each model.
+// worthOf returns the value of the objective for a number of groups of each model, without
+// regard to data centres.
 func (p *plan) worthOf(groups func(model int) float64) float64 {
 	total, shares := 0.0, 0.0
 	for i, m := range p.models {
--- a/internal/placement/packing/forecast.go
+++ b/internal/placement/packing/forecast.go
@@ -24,11 +24,11 @@
 // leaves and returns.
 func Usual() Outlook { return Outlook{Away: 0.1, Life: 4 * time.Minute} }
 
-// servedFraction returns the fraction of time that a group of size VMs serves. The group waits
-// for VMs and weights for the time first, serves until it loses a VM, and then starts again.
-func (o Outlook) servedFraction(size int, first time.Duration) float64 {
+// servedFraction returns the fraction of time that a group of size VMs serves. The group first
+// waits initialWait for VMs and weights, serves until it loses a VM, and then starts again.
+func (o Outlook) servedFraction(size int, initialWait time.Duration) float64 {
 	life := o.Life.Seconds() / float64(max(1, size))
-	return life / (life + first.Seconds())
+	return life / (life + initialWait.Seconds())
 }
 
 // maxWait stands for an endless wait.
--- a/internal/placement/packing/packing.go
+++ b/internal/placement/packing/packing.go
@@ -33,8 +33,8 @@
 )
 
 const (
-	// minGain is the gain in worth for which a previous choice is changed. A smaller gain is
-	// within the effect of one VM more or less, and each change costs loads.
+	// minGain is the smallest gain in worth for which a previous choice is changed. A smaller
+	// gain is within the effect of one VM more or less, and each change costs loads.
 	minGain = 0.03
 	// epsilon replaces zero in logarithms and divisors.
 	epsilon = 0.01
@@ -63,7 +63,7 @@
 	// Grouped is true if the VM belongs to an existing group.
 	Grouped bool
 	// Away is true if the VM can't receive orders now. Returns is the rate, in returns a
-	// second, at which VMs that have been absent as long come back.
+	// second, of VMs that have been absent for the same time.
 	Away    bool
 	Returns float64
 	// Loaded is the model in the VM's accelerators, Staged lists the models on its host, and
@@ -153,7 +153,7 @@
 	effective []float64
 }
 
-func (p domainState) groups() []int { return p.options[p.chosen].groups }
+func (ds domainState) groups() []int { return ds.options[ds.chosen].groups }
 
 func (p *plan) groupsByModel(groups []int) map[string]int {
 	out := make(map[string]int, len(groups))
@@ -366,9 +366,9 @@
 	ready := readinessFor(d, m)
 	lost := 0.0
 	for k := 1; k <= n; k++ {
-		lacks := min(m.Size, short-(n-k)*m.Size)
-		first := p.outlook.vmWait(d, lacks) + ready.timeToLoad(m, k*m.Size)
-		lost += 1 - p.outlook.servedFraction(m.Size, first)
+		missing := min(m.Size, short-(n-k)*m.Size)
+		initialWait := p.outlook.vmWait(d, missing) + ready.timeToLoad(m, k*m.Size)
+		lost += 1 - p.outlook.servedFraction(m.Size, initialWait)
 	}
 	return lost
 }
