--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -150,9 +150,9 @@
 // A process that belongs to a cluster only makes sure that its board is begun.
 func (s *Server) Found(ctx context.Context, initial blackboard.ConfigChange) error {
 	if err := s.o.Consensus.Found(ctx); err != nil {
-		return foundingRefused(err)
+		return foundError(err)
 	}
-	if err := s.waitToLead(ctx); err != nil {
+	if err := s.waitForLeadership(ctx); err != nil {
 		return errors.Trace(err)
 	}
 	id := strconv.FormatUint(s.o.Consensus.Status().Cluster, 16)
@@ -161,9 +161,9 @@
 		&blackboard.Found{ClusterID: id, Initial: initial, NowMillis: time.Now().UnixMilli()}, &verdict))
 }
 
-// foundingRefused tells a cluster that exists from a peer that did not answer,
+// foundError tells a cluster that exists from a peer that did not answer,
 // after which init may be run again.
-func foundingRefused(err error) *failure.Error {
+func foundError(err error) *failure.Error {
 	t := failure.TypeConflict
 	if errors.Is(err, replica.ErrPeerUnreachable) {
 		t = failure.TypeUnavailable
@@ -171,7 +171,7 @@
 	return failure.New(t, err.Error())
 }
 
-func (s *Server) waitToLead(ctx context.Context) error {
+func (s *Server) waitForLeadership(ctx context.Context) error {
 	const poll = 10 * time.Millisecond
 	for {
 		if _, err := s.leading(); err == nil {
@@ -187,7 +187,7 @@
 
 func (s *Server) getConfiguration(c echo.Context) error {
 	if err := s.o.Consensus.ReadBarrier(c.Request().Context()); err != nil {
-		return typed(err)
+		return toFailure(err)
 	}
 	board := s.o.Machine.Board()
 	return c.JSON(http.StatusOK, board.Config)
@@ -223,15 +223,15 @@
 	}
 	board := s.o.Machine.Board()
 	s.mu.Lock()
-	late := s.leases.pending(s.leases.known(board.Entries), revision, clock.Now())
+	pending := s.leases.pending(s.leases.registeredOrLeased(board.Entries), revision, clock.Now())
 	s.mu.Unlock()
 	if _, err := s.leading(); err != nil {
 		return err
 	}
 	return c.JSON(http.StatusOK, adminapi.InForce{
 		Revision: revision,
-		InForce:  len(late) == 0 && board.Config.Revision >= revision,
-		Pending:  late,
+		InForce:  len(pending) == 0 && board.Config.Revision >= revision,
+		Pending:  pending,
 	})
 }
 
--- a/internal/control/evacuation.go
+++ b/internal/control/evacuation.go
@@ -22,13 +22,13 @@
 // be another process. An error says by its type whether the outcome is known; the order may
 // be sent again.
 func (s *Server) Evacuate(ctx context.Context, through Committer, dataCentre string, end bool) (blackboard.EvacuationOutcome, error) {
-	return s.evacuateBy(dataCentre, end, func(encoded []byte) ([]byte, error) { return s.commitThrough(ctx, through, encoded) })
+	return s.evacuateVia(dataCentre, end, func(encoded []byte) ([]byte, error) { return s.commitThrough(ctx, through, encoded) })
 }
 
-// evacuateBy checks an order, has it written by commit and reads the outcome.
-func (s *Server) evacuateBy(dataCentre string, end bool, commit func(encoded []byte) ([]byte, error)) (blackboard.EvacuationOutcome, error) {
+// evacuateVia checks an order, has it written by commit and reads the outcome.
+func (s *Server) evacuateVia(dataCentre string, end bool, commit func(encoded []byte) ([]byte, error)) (blackboard.EvacuationOutcome, error) {
 	var outcome blackboard.EvacuationOutcome
-	if e := s.knows(dataCentre); e != nil {
+	if e := s.checkDataCentre(dataCentre); e != nil {
 		return outcome, e
 	}
 	encoded, err := blackboard.Encode(&blackboard.SetEvacuation{DataCentre: dataCentre, End: end, NowMillis: time.Now().UnixMilli()})
@@ -45,12 +45,12 @@
 	if outcome.Failure != nil {
 		return outcome, outcome.Failure
 	}
-	s.noteEvacuation(dataCentre, end, outcome)
+	s.addEvacuationEvent(dataCentre, end, outcome)
 	return outcome, nil
 }
 
 // knows refuses a data centre that neither the board nor the settings name.
-func (s *Server) knows(dataCentre string) *failure.Error {
+func (s *Server) checkDataCentre(dataCentre string) *failure.Error {
 	known := s.o.Machine.Board().DataCentres()
 	for _, named := range s.o.DataCentres {
 		if !slices.Contains(known, named) {
@@ -64,7 +64,7 @@
 	return failure.New(failure.TypeNotFound, "no such data centre; known are "+strings.Join(known, ", ")).WithDetail(dataCentre)
 }
 
-func (s *Server) noteEvacuation(dataCentre string, end bool, outcome blackboard.EvacuationOutcome) {
+func (s *Server) addEvacuationEvent(dataCentre string, end bool, outcome blackboard.EvacuationOutcome) {
 	text := "evacuation ordered"
 	if end {
 		text = "evacuation ended"
@@ -76,14 +76,14 @@
 }
 
 // postEvacuation and deleteEvacuation take an operator's order.
-func (s *Server) postEvacuation(c echo.Context) error { return s.takeEvacuation(c, false) }
+func (s *Server) postEvacuation(c echo.Context) error { return s.changeEvacuation(c, false) }
 
-func (s *Server) deleteEvacuation(c echo.Context) error { return s.takeEvacuation(c, true) }
+func (s *Server) deleteEvacuation(c echo.Context) error { return s.changeEvacuation(c, true) }
 
-func (s *Server) takeEvacuation(c echo.Context, end bool) error {
+func (s *Server) changeEvacuation(c echo.Context, end bool) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), adminTimeout)
 	defer cancel()
-	outcome, err := s.evacuateBy(c.Param("data_centre"), end, func(encoded []byte) ([]byte, error) {
+	outcome, err := s.evacuateVia(c.Param("data_centre"), end, func(encoded []byte) ([]byte, error) {
 		return s.proposeDurably(ctx, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
 	})
 	if err != nil {
@@ -113,10 +113,10 @@
 func (s *Server) evacuationOf(board *blackboard.Board, dataCentre string) adminapi.Evacuation {
 	row := board.Evacuations[dataCentre]
 	s.mu.Lock()
-	late := s.leases.pendingBoard(s.leases.known(board.Entries), row.Revision, clock.Now())
+	pending := s.leases.pendingBoard(s.leases.registeredOrLeased(board.Entries), row.Revision, clock.Now())
 	s.mu.Unlock()
 	e := adminapi.Evacuation{
-		DataCentre: dataCentre, SinceMillis: row.SinceMillis, Revision: row.Revision, InForce: len(late) == 0, Pending: late,
+		DataCentre: dataCentre, SinceMillis: row.SinceMillis, Revision: row.Revision, InForce: len(pending) == 0, Pending: pending,
 	}
 	for _, id := range sortedKeys(board.Groups) {
 		if g := board.Groups[id]; g.State == blackboard.Serving && g.DataCentre == dataCentre {
--- a/internal/control/evacuation_test.go
+++ b/internal/control/evacuation_test.go
@@ -16,14 +16,14 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// committing writes commands to the server itself.
-type committing struct{ s *Server }
+// selfCommitter writes commands to the server itself.
+type selfCommitter struct{ s *Server }
 
-func (c committing) Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error) {
+func (c selfCommitter) Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error) {
 	return c.s.proposeDurably(ctx, Wrap(r.Machine, r.Command))
 }
 
-func evacuatingServer(t *testing.T, minDisks, voters int) (*Server, *applying) {
+func evacuatingServer(t *testing.T, minDisks, voters int) (*Server, *immediateConsensus) {
 	t.Helper()
 	s, c := leadingServer(t, minDisks, voters)
 	s.o.DataCentres = []string{"quiet"}
@@ -35,25 +35,25 @@
 }
 
 // Guards against an order that names a data centre which nobody knows and evacuates nothing.
-func TestAnUnknownDataCentreIsRefusedByName(t *testing.T) {
+func TestEvacuationOfAnUnknownDataCentreIsRefused(t *testing.T) {
 	s, _ := evacuatingServer(t, 0, 1)
-	_, err := s.Evacuate(context.Background(), committing{s}, "est", false)
+	_, err := s.Evacuate(context.Background(), selfCommitter{s}, "est", false)
 	assert.Assert(t, failure.Is(err, failure.TypeNotFound))
 	assert.ErrorContains(t, err, "east, quiet")
-	_, err = s.Evacuate(context.Background(), committing{s}, "quiet", false)
+	_, err = s.Evacuate(context.Background(), selfCommitter{s}, "quiet", false)
 	assert.NilError(t, err, "one without backend servers, by the settings")
 }
 
 // Guards against an evacuation that is acknowledged and lost with one disk.
 func TestNoEvacuationIsAcknowledgedOnTooFewDisks(t *testing.T) {
 	s, c := evacuatingServer(t, 3, 3)
-	_, err := s.Evacuate(context.Background(), committing{s}, "east", false)
+	_, err := s.Evacuate(context.Background(), selfCommitter{s}, "east", false)
 	assert.Assert(t, failure.Is(err, failure.TypeUnavailable))
 	c.voters = 5
-	outcome, err := s.Evacuate(context.Background(), committing{s}, "east", false)
+	outcome, err := s.Evacuate(context.Background(), selfCommitter{s}, "east", false)
 	assert.NilError(t, err)
 	assert.Assert(t, outcome.Changed)
-	again, err := s.Evacuate(context.Background(), committing{s}, "east", false)
+	again, err := s.Evacuate(context.Background(), selfCommitter{s}, "east", false)
 	assert.NilError(t, err)
 	assert.Equal(t, again.Revision, outcome.Revision)
 }
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -25,26 +25,26 @@
 	// outcome ten seconds past the deadline, so a few seconds more tell no one
 	// anything false.
 	expireInterval = 5 * time.Second
-	// forgetEntryAfter is how long an entry's lease must be out before the
+	// removeEntryAfter is how long an entry's lease must be out before the
 	// entry is forgotten: longer than a restart of its VM takes.
-	forgetEntryAfter = 10 * time.Minute
+	removeEntryAfter = 10 * time.Minute
 )
 
 // meter adds up the brief's two measures while this process leads.
 type meter struct {
-	last    time.Time
-	now     adminapi.Measures
-	expired time.Time
+	last       time.Time
+	total      adminapi.Measures
+	lastExpiry time.Time
 }
 
-// office is what one term of leadership keeps.
-type office struct {
+// leadership is what one term of leadership keeps.
+type leadership struct {
 	term uint64
 	mu   sync.Mutex
 	// memory is used by the controllers' run and by answers of engines.
 	memory *controller.Memory
-	// spent is how long the controllers have run in this term.
-	spent time.Duration
+	// runTime is how long the controllers have run in this term.
+	runTime time.Duration
 	// replicas are the roles of the control replicas at the last step.
 	replicas map[string]string
 }
@@ -56,7 +56,7 @@
 	}
 	ticker := time.NewTicker(s.o.Step)
 	defer ticker.Stop()
-	var o *office
+	var o *leadership
 	for {
 		select {
 		case <-ticker.C:
@@ -71,35 +71,35 @@
 			continue
 		}
 		if o == nil || o.term != term {
-			o = &office{term: term, memory: controller.NewMemory(time.Now(), s.o.OrderLease)}
+			o = &leadership{term: term, memory: controller.NewMemory(time.Now(), s.o.OrderLease)}
 		}
-		s.noteReplicas(o)
-		began := o.spent
+		s.reportReplicaChanges(o)
+		began := o.runTime
 		// What one run has written the next may build on at once.
 		for range maxRuns {
 			if !s.step(ctx, o) {
 				break
 			}
 		}
-		s.rest(ctx, min((o.spent-began)*controllersRest, longestRest))
+		s.pause(ctx, min((o.runTime-began)*pausePerRunTime, maxPause))
 	}
 }
 
-// controllersRest is how many times as long as the controllers ran they rest after it.
+// pausePerRunTime is how many times as long as the controllers ran they rest after it.
 //
 // Load: hundreds of backend servers tell of a change each within a second, and each
 // word wakes the controllers. A run over a large pool takes some milliseconds; run after
 // each word they take the whole processor, and what the consensus has to send waits.
 // With a rest of three times the run they take a quarter of it, and what was told
 // meanwhile is dealt with in one run.
-const controllersRest = 3
+const pausePerRunTime = 3
 
-// longestRest bounds the rest after a long run, such as the one that forms all groups of
+// maxPause bounds the rest after a long run, such as the one that forms all groups of
 // a pool, so that the first orders of what it formed are not late.
-const longestRest = 100 * time.Millisecond
+const maxPause = 100 * time.Millisecond
 
 // rest lets others have the processor.
-func (s *Server) rest(ctx context.Context, d time.Duration) {
+func (s *Server) pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -108,9 +108,9 @@
 	}
 }
 
-// noteReplicas writes an event for each control replica that came, went or
+// reportReplicaChanges writes an event for each control replica that came, went or
 // changed between voter and learner.
-func (s *Server) noteReplicas(o *office) {
+func (s *Server) reportReplicaChanges(o *leadership) {
 	now := make(map[string]string)
 	for _, r := range s.replicas() {
 		role := r.Role
@@ -120,12 +120,12 @@
 		now[r.VM+" "+r.ID] = role
 	}
 	if o.replicas != nil {
-		s.compareReplicas(o.replicas, now)
+		s.addReplicaEvents(o.replicas, now)
 	}
 	o.replicas = now
 }
 
-func (s *Server) compareReplicas(before, now map[string]string) {
+func (s *Server) addReplicaEvents(before, now map[string]string) {
 	for who, role := range now {
 		if before[who] != role {
 			s.event("replica", who, "is now a "+role)
@@ -158,7 +158,7 @@
 // step runs the controllers once and carries out what they want. It tells
 // whether anything was written. The lease is
 // read before the board, so that a board read under it is this leader's.
-func (s *Server) step(ctx context.Context, o *office) bool {
+func (s *Server) step(ctx context.Context, o *leadership) bool {
 	now := time.Now()
 	view := controller.View{Timing: s.o.Timing, LeaseUntil: now.Add(s.o.Consensus.LeaseRemaining())}
 	view.Board = s.o.Machine.Board()
@@ -174,7 +174,7 @@
 		view.Evidence, view.Memory = t, o.memory
 		began := time.Now()
 		actions = controller.Run(view, now)
-		o.spent += time.Since(began)
+		o.runTime += time.Since(began)
 	})
 	s.logDecisions(actions.Decisions)
 	s.propose(ctx, actions.Commands)
@@ -242,13 +242,13 @@
 
 // send sends the orders side by side, each with its deadline, which lies
 // within this leader's lease.
-func (s *Server) send(ctx context.Context, o *office, orders []controller.PlannedOrder) {
+func (s *Server) send(ctx context.Context, o *leadership, orders []controller.PlannedOrder) {
 	for _, p := range orders {
 		go s.sendOne(ctx, o, p)
 	}
 }
 
-func (s *Server) sendOne(ctx context.Context, o *office, p controller.PlannedOrder) {
+func (s *Server) sendOne(ctx context.Context, o *leadership, p controller.PlannedOrder) {
 	ctx, cancel := context.WithDeadline(ctx, p.Deadline)
 	defer cancel()
 	reply, err := s.o.Orders.Order(ctx, p.Address, p.Order)
@@ -274,26 +274,26 @@
 	defer s.mu.Unlock()
 	if !s.meter.last.IsZero() {
 		passed := now.Sub(s.meter.last).Seconds()
-		s.meter.now.GroupDowntimeSeconds += passed * float64(at.GroupsDown)
-		s.meter.now.StrandedAcceleratorSeconds += passed * float64(at.StrandedAccelerators)
+		s.meter.total.GroupDowntimeSeconds += passed * float64(at.GroupsDown)
+		s.meter.total.StrandedAcceleratorSeconds += passed * float64(at.StrandedAccelerators)
 	}
 	s.meter.last = now
-	s.meter.now.GroupsDown = at.GroupsDown
-	s.meter.now.StrandedAccelerators = at.StrandedAccelerators
+	s.meter.total.GroupsDown = at.GroupsDown
+	s.meter.total.StrandedAccelerators = at.StrandedAccelerators
 }
 
 func (s *Server) measures() adminapi.Measures {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.meter.now
+	return s.meter.total
 }
 
-// upkeep expires records and forgets entries that are long gone.
+// upkeep expires records and forgets entries that are long expired.
 func (s *Server) upkeep(ctx context.Context, board *blackboard.Board, now time.Time) {
 	s.mu.Lock()
-	due := now.Sub(s.meter.expired) >= expireInterval
+	due := now.Sub(s.meter.lastExpiry) >= expireInterval
 	if due {
-		s.meter.expired = now
+		s.meter.lastExpiry = now
 	}
 	s.mu.Unlock()
 	if !due {
@@ -302,8 +302,8 @@
 	if err := s.expireRecords(ctx, now); err != nil {
 		_ = level.Warn(s.o.Logger).Log("event", "expire_failed", "err", err)
 	}
-	s.propose(ctx, s.goneEntries(board))
-	s.propose(ctx, oldSuspects(board, now))
+	s.propose(ctx, s.expiredEntries(board))
+	s.propose(ctx, expiredSuspects(board, now))
 	s.propose(ctx, s.rateLimits.unconfirmed(now, board))
 }
 
@@ -321,16 +321,16 @@
 // How long a request stays suspect after its last crash: one that shared a
 // crash for an hour, one that was convicted for a day.
 const (
-	suspectFor   = time.Hour
-	convictedFor = 24 * time.Hour
+	suspectLifetime    = time.Hour
+	attributedLifetime = 24 * time.Hour
 )
 
-func oldSuspects(board *blackboard.Board, now time.Time) []blackboard.Command {
+func expiredSuspects(board *blackboard.Board, now time.Time) []blackboard.Command {
 	var old []blackboard.Command
 	for fingerprint, suspect := range board.Suspects {
-		lifetime := suspectFor
+		lifetime := suspectLifetime
 		if suspect.Convicted() {
-			lifetime = convictedFor
+			lifetime = attributedLifetime
 		}
 		if now.Sub(time.UnixMilli(suspect.LastMillis)) > lifetime {
 			old = append(old, &blackboard.ForgetSuspect{Fingerprint: fingerprint})
@@ -339,17 +339,17 @@
 	return old
 }
 
-func (s *Server) goneEntries(board *blackboard.Board) []blackboard.Command {
+func (s *Server) expiredEntries(board *blackboard.Board) []blackboard.Command {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var gone []blackboard.Command
+	var expired []blackboard.Command
 	now := clock.Now()
 	for id := range board.Entries {
-		if now.Sub(s.leases.holding(id).until) > forgetEntryAfter {
-			gone = append(gone, &blackboard.RemoveEntry{ID: id})
+		if now.Sub(s.leases.holding(id).until) > removeEntryAfter {
+			expired = append(expired, &blackboard.RemoveEntry{ID: id})
 		}
 	}
-	return gone
+	return expired
 }
 
 var _ OrderSender = (backend.Client)(nil)
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -24,8 +24,8 @@
 type leases struct {
 	length time.Duration
 	holds  map[string]holding
-	// took is when this process became the leader.
-	took clock.Boot
+	// leadingSince is when this process became the leader.
+	leadingSince clock.Boot
 }
 
 type holding struct {
@@ -35,7 +35,7 @@
 }
 
 func newLeases(length time.Duration, now clock.Boot) *leases {
-	return &leases{length: length, holds: make(map[string]holding), took: now}
+	return &leases{length: length, holds: make(map[string]holding), leadingSince: now}
 }
 
 // margin is the time past a lease's end by which it has surely run out on a
@@ -64,7 +64,7 @@
 	if h, ok := l.holds[entry]; ok {
 		return h
 	}
-	return holding{until: l.took.Add(l.length + l.margin())}
+	return holding{until: l.leadingSince.Add(l.length + l.margin())}
 }
 
 // remaining returns how long an entry's lease may still run.
@@ -78,7 +78,7 @@
 
 // known returns the registered entries and those that hold a lease although
 // they have just been forgotten.
-func (l *leases) known(registered map[string]blackboard.Entry) []string {
+func (l *leases) registeredOrLeased(registered map[string]blackboard.Entry) []string {
 	ids := sortedKeys(registered)
 	for id := range l.holds {
 		if _, ok := registered[id]; !ok {
@@ -91,23 +91,23 @@
 // pending returns those of the entries that may still serve on a
 // configuration older than revision.
 func (l *leases) pending(entries []string, revision uint64, now clock.Boot) []string {
-	return l.late(entries, now, func(h holding) bool { return h.config < revision })
+	return l.lagging(entries, now, func(h holding) bool { return h.config < revision })
 }
 
 // pendingBoard returns those of the entries that may still serve on a board older than
 // revision.
 func (l *leases) pendingBoard(entries []string, revision uint64, now clock.Boot) []string {
-	return l.late(entries, now, func(h holding) bool { return h.board < revision })
+	return l.lagging(entries, now, func(h holding) bool { return h.board < revision })
 }
 
-// late returns those of the entries that are behind and hold a lease.
-func (l *leases) late(entries []string, now clock.Boot, behind func(holding) bool) []string {
-	var late []string
+// lagging returns those of the entries that are behind and hold a lease.
+func (l *leases) lagging(entries []string, now clock.Boot, behind func(holding) bool) []string {
+	var lagging []string
 	for _, e := range entries {
 		if behind(l.holding(e)) && l.remaining(e, now) > 0 {
-			late = append(late, e)
+			lagging = append(lagging, e)
 		}
 	}
-	sort.Strings(late)
-	return late
+	sort.Strings(lagging)
+	return lagging
 }
--- a/internal/control/leases_test.go
+++ b/internal/control/leases_test.go
@@ -12,7 +12,7 @@
 // An operator withdraws a workspace's key. One entry is cut off and goes on
 // serving under the old configuration until its lease runs out. The change must
 // not be reported in force before that.
-func TestAChangeIsInForceOnlyPastTheLastLease(t *testing.T) {
+func TestAChangeIsInForceOnlyAfterTheLastLeaseExpires(t *testing.T) {
 	const length = 3 * time.Second
 	start := clock.Boot(0)
 	entries := []string{"near", "cut"}
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -16,14 +16,14 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// maxKeptChanges bounds the changes kept for entries that are behind. An
+// maxRecentChanges bounds the changes kept for entries that are behind. An
 // entry further behind gets a snapshot. At 3,100 configuration changes and
 // some ten thousand liveness and group changes a day it covers hours.
-const maxKeptChanges = 4096
+const maxRecentChanges = 4096
 
-// maxKeptPatches bounds the patches kept for the next entry that asks for the same:
+// maxPatches bounds the patches kept for the next entry that asks for the same:
 // entries are answered within some tenths of a second of each other.
-const maxKeptPatches = 64
+const maxPatches = 64
 
 // Machine is the replicated state machine: the board, and the at-most-once
 // records. Entries follow the board alone.
@@ -32,17 +32,17 @@
 	board   *blackboard.Board
 	records *record.Table
 	// kept holds what the last len(kept) revisions changed.
-	kept []blackboard.Change
+	recentChanges []blackboard.Change
 	// patches holds patches to the present board, by the revision that they begin at.
 	patches map[uint64][]byte
 	// news is the last revision that concerns entries, and changed closes with the next.
-	news    uint64
-	changed chan struct{}
+	lastEntryChange uint64
+	changed         chan struct{}
 	// encoded is the board of revision encodedAt as a snapshot.
-	encoded   []byte
-	encodedAt uint64
+	entrySnapshot    []byte
+	snapshotRevision uint64
 	// encodings counts the snapshots made for entries.
-	encodings int
+	snapshotCount int
 }
 
 // NewMachine returns an empty machine.
@@ -81,10 +81,10 @@
 	if next == m.board {
 		return result
 	}
-	m.keep(change)
+	m.recordChange(change)
 	m.board = next
 	if change.Concerns() {
-		m.tellNews()
+		m.notifyWatchers()
 	}
 	return result
 }
@@ -100,10 +100,10 @@
 }
 
 // keep notes what one more revision has changed.
-func (m *Machine) keep(change blackboard.Change) {
-	m.kept = append(m.kept, change)
-	if len(m.kept) > 2*maxKeptChanges {
-		m.kept = slices.Clone(m.kept[len(m.kept)-maxKeptChanges:])
+func (m *Machine) recordChange(change blackboard.Change) {
+	m.recentChanges = append(m.recentChanges, change)
+	if len(m.recentChanges) > 2*maxRecentChanges {
+		m.recentChanges = slices.Clone(m.recentChanges[len(m.recentChanges)-maxRecentChanges:])
 	}
 	m.patches = nil
 }
@@ -124,47 +124,47 @@
 func (m *Machine) News(have uint64) (bool, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return have < m.news || have > m.board.Revision, m.changed
+	return have < m.lastEntryChange || have > m.board.Revision, m.changed
 }
 
-// tellNews notes that the present revision concerns entries. The lock is held.
-func (m *Machine) tellNews() {
-	m.news = m.board.Revision
+// notifyWatchers notes that the present revision concerns entries. The lock is held.
+func (m *Machine) notifyWatchers() {
+	m.lastEntryChange = m.board.Revision
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// encodedFor is how many revisions a snapshot for entries is used, with a patch for what has
+// maxSnapshotLag is how many revisions a snapshot for entries is used, with a patch for what has
 // changed since.
-const encodedFor = 256
+const maxSnapshotLag = 256
 
 // Encoded returns the board for an entry that holds none: a snapshot and, if that is not of
 // the present revision, the command that takes it there.
 //
 // Load: half of a thousand entries come back from a loss of power within a second, while each
 // word of the backend servers makes a new revision. Made anew for each revision, the
-// snapshots took the new leader's whole processor, and it lost its office.
+// snapshots took the new leader's whole processor, and it lost its leadership.
 func (m *Machine) Encoded() (snapshot []byte, commands [][]byte, board *blackboard.Board, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	behind := m.board.Revision - m.encodedAt
-	if m.encoded == nil || m.encodedAt > m.board.Revision || behind > encodedFor || behind > uint64(len(m.kept)) {
+	behind := m.board.Revision - m.snapshotRevision
+	if m.entrySnapshot == nil || m.snapshotRevision > m.board.Revision || behind > maxSnapshotLag || behind > uint64(len(m.recentChanges)) {
 		data, err := m.board.EncodeForEntries()
 		if err != nil {
 			return nil, nil, nil, errors.Trace(err)
 		}
-		m.encoded, m.encodedAt = data, m.board.Revision
-		m.encodings++
-		return m.encoded, nil, m.board, nil
+		m.entrySnapshot, m.snapshotRevision = data, m.board.Revision
+		m.snapshotCount++
+		return m.entrySnapshot, nil, m.board, nil
 	}
 	if behind == 0 {
-		return m.encoded, nil, m.board, nil
+		return m.entrySnapshot, nil, m.board, nil
 	}
-	patch, err := m.patchSince(m.encodedAt)
+	patch, err := m.patchSince(m.snapshotRevision)
 	if err != nil {
 		return nil, nil, nil, errors.Trace(err)
 	}
-	return m.encoded, [][]byte{patch}, m.board, nil
+	return m.entrySnapshot, [][]byte{patch}, m.board, nil
 }
 
 // PatchSince returns the command that takes an entry's copy from a revision to the
@@ -174,7 +174,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	behind := m.board.Revision - revision
-	if revision > m.board.Revision || behind > uint64(len(m.kept)) {
+	if revision > m.board.Revision || behind > uint64(len(m.recentChanges)) {
 		return m.board, nil, false, nil
 	}
 	if behind == 0 {
@@ -194,11 +194,11 @@
 		return patch, nil
 	}
 	behind := m.board.Revision - revision
-	patch, err := m.board.PatchFor(m.kept[uint64(len(m.kept))-behind:])
+	patch, err := m.board.PatchFor(m.recentChanges[uint64(len(m.recentChanges))-behind:])
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if m.patches == nil || len(m.patches) >= maxKeptPatches {
+	if m.patches == nil || len(m.patches) >= maxPatches {
 		m.patches = make(map[uint64][]byte)
 	}
 	m.patches[revision] = patch
@@ -245,7 +245,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.board, m.records, m.kept, m.patches, m.encoded = board, records, nil, nil, nil
-	m.tellNews()
+	m.board, m.records, m.recentChanges, m.patches, m.entrySnapshot = board, records, nil, nil, nil
+	m.notifyWatchers()
 	return nil
 }
--- a/internal/control/encoded_test.go
+++ b/internal/control/machine_test.go
@@ -34,5 +34,5 @@
 		assert.Equal(t, entry.Revision, board.Revision)
 		assert.DeepEqual(t, entry.Entries, board.Entries)
 	}
-	assert.Assert(t, m.encodings < 12, "%d snapshots", m.encodings)
+	assert.Assert(t, m.snapshotCount < 12, "%d snapshots", m.snapshotCount)
 }
--- a/internal/control/rate_limits.go
+++ b/internal/control/rate_limits.go
@@ -6,9 +6,9 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// rateLimitFor is how long a backend server's rate limit holds that no entry confirms:
+// unconfirmedLimitLifetime is how long a backend server's rate limit holds that no entry confirms:
 // those that share it send it nothing, and the others have no part of it.
-const rateLimitFor = 30 * time.Second
+const unconfirmedLimitLifetime = 30 * time.Second
 
 // rateLimitAges is when this process first saw each rate limit as it is on the board. Ages
 // are counted here, as the clocks of entries may be wrong.
@@ -32,7 +32,7 @@
 		switch {
 		case !known || seen.limit != limit:
 			a[incarnation] = seenRateLimit{limit: limit, since: now}
-		case now.Sub(seen.since) > rateLimitFor:
+		case now.Sub(seen.since) > unconfirmedLimitLifetime:
 			ended = append(ended, &blackboard.NoteRateLimit{Incarnation: incarnation})
 		}
 	}
--- a/internal/control/rate_limits_test.go
+++ b/internal/control/rate_limits_test.go
@@ -11,15 +11,15 @@
 
 // Guards against a backend server that gets nothing for good, as the entries that share its
 // rate limit have no requests or are gone.
-func TestARateLimitThatNobodyConfirmsEnds(t *testing.T) {
+func TestAnUnconfirmedRateLimitEnds(t *testing.T) {
 	ages, start := make(rateLimitAges), time.Now()
 	board := func(heardMillis int64) *blackboard.Board {
 		return &blackboard.Board{RateLimits: map[string]blackboard.RateLimit{"i": {PerSecond: 2, HeardMillis: heardMillis}}}
 	}
 	assert.Equal(t, len(ages.unconfirmed(start, board(1))), 0)
-	assert.Equal(t, len(ages.unconfirmed(start.Add(rateLimitFor), board(1))), 0)
-	assert.Equal(t, len(ages.unconfirmed(start.Add(rateLimitFor+time.Second), board(9000))), 0, "confirmed")
-	ended := ages.unconfirmed(start.Add(2*rateLimitFor+2*time.Second), board(9000))
+	assert.Equal(t, len(ages.unconfirmed(start.Add(unconfirmedLimitLifetime), board(1))), 0)
+	assert.Equal(t, len(ages.unconfirmed(start.Add(unconfirmedLimitLifetime+time.Second), board(9000))), 0, "confirmed")
+	ended := ages.unconfirmed(start.Add(2*unconfirmedLimitLifetime+2*time.Second), board(9000))
 	assert.DeepEqual(t, ended, []blackboard.Command{&blackboard.NoteRateLimit{Incarnation: "i"}})
 	ages.unconfirmed(start, blackboard.New())
 	assert.Equal(t, len(ages), 0)
--- a/internal/control/relay.go
+++ b/internal/control/relay.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// renewEvery is the time between two messages to the leader for the entries whose
+	// renewInterval is the time between two messages to the leader for the entries whose
 	// watches this process answers.
-	renewEvery = 100 * time.Millisecond
+	renewInterval = 100 * time.Millisecond
 	// renewTimeout bounds one of them.
 	renewTimeout = 500 * time.Millisecond
 	// relayGrace is how much longer than its hold a watch may wait for a leader and for
 	// the lease.
 	relayGrace = 400 * time.Millisecond
-	// relayPoll is how often a watch looks whether there is a leader, or a revision.
-	relayPoll = 10 * time.Millisecond
+	// relayPollInterval is how often a watch looks whether there is a leader, or a revision.
+	relayPollInterval = 10 * time.Millisecond
 )
 
 // Renewer calls the leader to renew leases.
@@ -57,7 +57,7 @@
 }
 
 // note adds what an entry holds to the next message, and returns that.
-func (r *relay) note(h *noderpc.EntryHolding) *renewal {
+func (r *relay) enqueue(h *noderpc.EntryHolding) *renewal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waiting[h.EntryId] = h
@@ -66,7 +66,7 @@
 
 // take returns the round that is due and what it renews, and begins another; nil if nothing
 // waits.
-func (r *relay) take() (*renewal, []*noderpc.EntryHolding) {
+func (r *relay) takeBatch() (*renewal, []*noderpc.EntryHolding) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.waiting) == 0 {
@@ -83,7 +83,7 @@
 
 // renewLoop sends what waits to the leader until the context ends.
 func (s *Server) renewLoop(ctx context.Context) {
-	ticker := time.NewTicker(renewEvery)
+	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -91,7 +91,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if due, entries := s.relay.take(); due != nil {
+		if due, entries := s.relay.takeBatch(); due != nil {
 			go s.renewOnce(ctx, due, entries)
 		}
 	}
@@ -141,30 +141,30 @@
 // While no process leads, the watch is held and not refused: a thousand entries that are
 // refused ask again at once, all of them, for as long as an election takes.
 func (s *Server) relayWatch(ctx context.Context, r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
-	if e := s.mayRelay(r); e != nil {
+	if e := s.checkRelay(r); e != nil {
 		return nil, rpcError(e)
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.WaitMs)*time.Millisecond+relayGrace)
 	defer cancel()
 	holding := &noderpc.EntryHolding{EntryId: r.EntryId, Board: r.HaveRevision, Config: r.HaveConfig}
-	s.relay.note(holding)
+	s.relay.enqueue(holding)
 	if s.waitForChange(ctx, r) && r.HaveRevision > 0 {
 		s.waitForSlot(ctx, r.EntryId, len(s.o.Machine.Board().Entries)/max(1, len(s.o.Consensus.Status().Members)))
 	}
-	granted, err := s.renewed(ctx, holding)
+	granted, err := s.waitForRenewal(ctx, holding)
 	if err != nil {
 		return nil, rpcError(err)
 	}
-	if err := s.reach(ctx, granted.Revision); err != nil {
+	if err := s.waitForRevision(ctx, granted.Revision); err != nil {
 		return nil, rpcError(err)
 	}
-	s.relay.count()
+	s.relay.countAnswer()
 	return s.replyTo(r, granted.Term, time.Duration(granted.LeaseMs)*time.Millisecond)
 }
 
-// mayRelay refuses a watch that only the leader can answer: of an entry that is not registered
+// checkRelay refuses a watch that only the leader can answer: of an entry that is not registered
 // as it says, or that holds more than this process has applied.
-func (s *Server) mayRelay(r *noderpc.WatchRequest) error {
+func (s *Server) checkRelay(r *noderpc.WatchRequest) error {
 	board := s.o.Machine.Board()
 	if board.Entries[r.EntryId] == entryOf(r) && r.ClusterId == board.ClusterID && r.HaveRevision <= board.Revision {
 		return nil
@@ -175,19 +175,19 @@
 
 // renewed waits until the leader has renewed an entry's lease in a message that left after
 // the call.
-func (s *Server) renewed(ctx context.Context, h *noderpc.EntryHolding) (*noderpc.RenewReply, error) {
+func (s *Server) waitForRenewal(ctx context.Context, h *noderpc.EntryHolding) (*noderpc.RenewReply, error) {
 	for {
-		round := s.relay.note(h)
+		round := s.relay.enqueue(h)
 		select {
 		case <-round.done:
 		case <-ctx.Done():
-			return nil, noLeaderInTime()
+			return nil, renewalTimedOut()
 		}
 		if round.err == nil {
 			return round.reply, nil
 		}
 		select {
-		case <-time.After(relayPoll):
+		case <-time.After(relayPollInterval):
 		case <-ctx.Done():
 			return nil, errors.Trace(round.err)
 		}
@@ -195,10 +195,10 @@
 }
 
 // reach waits until this process has applied a revision.
-func (s *Server) reach(ctx context.Context, revision uint64) error {
+func (s *Server) waitForRevision(ctx context.Context, revision uint64) error {
 	for s.o.Machine.Board().Revision < revision {
 		select {
-		case <-time.After(relayPoll):
+		case <-time.After(relayPollInterval):
 		case <-ctx.Done():
 			return failure.New(failure.TypeUnavailable, "this control process is behind the leader").WithRan(failure.RanNo)
 		}
@@ -206,12 +206,12 @@
 	return nil
 }
 
-func noLeaderInTime() error {
+func renewalTimedOut() error {
 	return failure.New(failure.TypeUnavailable, "the leader renewed no lease in time").WithRan(failure.RanNo)
 }
 
 // count counts an answer.
-func (r *relay) count() {
+func (r *relay) countAnswer() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answered++
--- a/internal/control/relay_test.go
+++ b/internal/control/relay_test.go
@@ -19,28 +19,28 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// following is a consensus replica that follows the one that leads.
-type following struct {
-	applying
+// followingConsensus is a consensus replica that follows the one that leads.
+type followingConsensus struct {
+	immediateConsensus
 	leader string
 }
 
-func (f *following) LeaseRemaining() time.Duration { return 0 }
+func (f *followingConsensus) LeaseRemaining() time.Duration { return 0 }
 
-func (f *following) Status() replica.Status {
-	s := f.applying.Status()
+func (f *followingConsensus) Status() replica.Status {
+	s := f.immediateConsensus.Status()
 	s.Leader = raft.Member{Address: f.leader}
 	return s
 }
 
-// renewing calls a leader in the same process.
-type renewing struct {
+// localRenewer calls a leader in the same process.
+type localRenewer struct {
 	leader *Server
 	calls  atomic.Int64
 	fails  atomic.Bool
 }
 
-func (r *renewing) Renew(ctx context.Context, _ string, m *noderpc.RenewRequest) (*noderpc.RenewReply, error) {
+func (r *localRenewer) Renew(ctx context.Context, _ string, m *noderpc.RenewRequest) (*noderpc.RenewReply, error) {
 	r.calls.Add(1)
 	if r.fails.Load() {
 		return nil, failure.New(failure.TypeUnavailable, "the leader is lost")
@@ -48,20 +48,20 @@
 	return r.leader.Renew(ctx, m)
 }
 
-// relayed is a leader and a process that answers watches for it.
-type relayed struct {
+// relayFixture is a leader and a process that answers watches for it.
+type relayFixture struct {
 	leader, follower *Server
-	renewer          *renewing
+	renewer          *localRenewer
 	ctx              context.Context
 }
 
-func newRelayed(t *testing.T) *relayed {
+func newRelayFixture(t *testing.T) *relayFixture {
 	t.Helper()
 	leader, _ := leadingServer(t, 0, 1)
-	w := &relayed{leader: leader, renewer: &renewing{leader: leader}}
+	w := &relayFixture{leader: leader, renewer: &localRenewer{leader: leader}}
 	m := NewMachine()
 	w.follower = NewServer(Options{
-		Machine: m, Consensus: &following{applying: applying{machine: m, voters: 3}, leader: "m0"},
+		Machine: m, Consensus: &followingConsensus{immediateConsensus: immediateConsensus{machine: m, voters: 3}, leader: "m0"},
 		Logger: log.NewNopLogger(), Lease: time.Second, Step: time.Minute, Renewer: w.renewer,
 	})
 	w.apply(t, &blackboard.Found{ClusterID: "c"})
@@ -74,7 +74,7 @@
 }
 
 // apply lets the follower apply a command.
-func (w *relayed) apply(t *testing.T, c blackboard.Command) {
+func (w *relayFixture) apply(t *testing.T, c blackboard.Command) {
 	t.Helper()
 	encoded, err := blackboard.Encode(c)
 	assert.NilError(t, err)
@@ -82,20 +82,20 @@
 }
 
 // both lets the leader and the follower apply a command.
-func (w *relayed) both(t *testing.T, c blackboard.Command) {
+func (w *relayFixture) both(t *testing.T, c blackboard.Command) {
 	t.Helper()
 	var result any
 	assert.NilError(t, w.leader.commitBoard(w.ctx, c, &result))
 	w.apply(t, c)
 }
 
-func (w *relayed) watch(have uint64) (*noderpc.WatchReply, error) {
+func (w *relayFixture) watch(have uint64) (*noderpc.WatchReply, error) {
 	return w.follower.Watch(w.ctx, &noderpc.WatchRequest{ClusterId: "c", EntryId: "e", HaveRevision: have, HaveConfig: 1, WaitMs: 50, Spread: true})
 }
 
 // Guards against a leader that alone answers the watches of all entries.
-func TestAProcessThatDoesNotLeadAnswersWatches(t *testing.T) {
-	w := newRelayed(t)
+func TestAFollowerAnswersWatches(t *testing.T) {
+	w := newRelayFixture(t)
 	w.both(t, wholeConfiguration(1))
 	reply, err := w.watch(2)
 	assert.NilError(t, err)
@@ -111,8 +111,8 @@
 
 // Guards against a fresh lease on a board that is older than what the leader has called in
 // force.
-func TestNoLeaseComesWithABoardBehindTheLeaders(t *testing.T) {
-	w := newRelayed(t)
+func TestAFollowerGrantsNoLeaseOnAnOlderBoard(t *testing.T) {
+	w := newRelayFixture(t)
 	var outcome blackboard.ReplaceOutcome
 	assert.NilError(t, w.leader.commitBoard(w.ctx, wholeConfiguration(1), &outcome))
 	_, err := w.watch(2)
@@ -127,8 +127,8 @@
 }
 
 // Guards against entries that ask again and again while nobody leads.
-func TestWatchesAreHeldWhileNobodyLeads(t *testing.T) {
-	w := newRelayed(t)
+func TestWatchesAreHeldWhileThereIsNoLeader(t *testing.T) {
+	w := newRelayFixture(t)
 	w.renewer.fails.Store(true)
 	time.AfterFunc(150*time.Millisecond, func() { w.renewer.fails.Store(false) })
 	_, err := w.watch(2)
@@ -136,8 +136,8 @@
 }
 
 // Guards against an entry that only the leader can register, or that is ahead.
-func TestWhatOnlyTheLeaderKnowsIsLeftToIt(t *testing.T) {
-	w := newRelayed(t)
+func TestAFollowerRefusesWatchesThatOnlyTheLeaderCanAnswer(t *testing.T) {
+	w := newRelayFixture(t)
 	_, err := w.follower.Watch(w.ctx, &noderpc.WatchRequest{ClusterId: "c", EntryId: "new", WaitMs: 50, Spread: true})
 	assert.ErrorContains(t, err, "can't answer")
 	_, err = w.watch(99)
@@ -147,7 +147,7 @@
 // Guards against messages to the leader that grow with the entries.
 func TestManyEntriesAreRenewedInFewMessages(t *testing.T) {
 	const entries = 500
-	w := newRelayed(t)
+	w := newRelayFixture(t)
 	for i := range entries {
 		w.both(t, &blackboard.PutEntry{Entry: blackboard.Entry{ID: fmt.Sprint("e", i)}})
 	}
--- a/internal/control/whole_configuration.go
+++ b/internal/control/replace.go
@@ -24,7 +24,7 @@
 // another process. An error says by its type whether the outcome is known; the
 // command may be sent again, as a version is taken in once.
 func (s *Server) Replace(ctx context.Context, through Committer, c *blackboard.ReplaceConfiguration) (blackboard.ReplaceOutcome, error) {
-	return replaceBy(c, func(encoded []byte) ([]byte, error) { return s.commitThrough(ctx, through, encoded) })
+	return replaceVia(c, func(encoded []byte) ([]byte, error) { return s.commitThrough(ctx, through, encoded) })
 }
 
 // commitThrough writes a command of the board through the leader.
@@ -38,9 +38,9 @@
 	})
 }
 
-// replaceBy checks a whole configuration, has it written by commit and reads the
+// replaceVia checks a whole configuration, has it written by commit and reads the
 // outcome.
-func replaceBy(c *blackboard.ReplaceConfiguration, commit func(encoded []byte) ([]byte, error)) (blackboard.ReplaceOutcome, error) {
+func replaceVia(c *blackboard.ReplaceConfiguration, commit func(encoded []byte) ([]byte, error)) (blackboard.ReplaceOutcome, error) {
 	var outcome blackboard.ReplaceOutcome
 	if e := c.Check(); e != nil {
 		return outcome, e
@@ -70,7 +70,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), adminTimeout)
 	defer cancel()
-	outcome, err := replaceBy(&whole, func(encoded []byte) ([]byte, error) {
+	outcome, err := replaceVia(&whole, func(encoded []byte) ([]byte, error) {
 		return s.proposeDurably(ctx, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
 	})
 	if err != nil {
@@ -89,7 +89,7 @@
 // address as its detail if one is known.
 func (s *Server) Newest(ctx context.Context) (*blackboard.Configuration, error) {
 	if err := s.o.Consensus.ReadBarrier(ctx); err != nil {
-		return nil, typed(err)
+		return nil, toFailure(err)
 	}
 	board := s.o.Machine.Board()
 	return &board.Config, nil
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// leading returns the term that this process leads, or a typed refusal that
+// leading returns the term that this process leads, or a toFailure refusal that
 // names the leader. It holds only for the instant: a caller that waits after
 // it asks again.
 func (s *Server) leading() (uint64, error) {
@@ -138,7 +138,7 @@
 	}
 	data, err := s.o.Consensus.Propose(ctx, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
 	if err != nil {
-		return errors.Trace(typed(err))
+		return errors.Trace(toFailure(err))
 	}
 	return errors.Trace(json.Unmarshal(data, result))
 }
@@ -151,14 +151,14 @@
 // the cluster is meant to bear the loss. The voters are counted again after
 // the commit: a change of the membership may have come between.
 func (s *Server) proposeDurably(ctx context.Context, command []byte) ([]byte, error) {
-	if !s.durable() {
+	if !s.hasDurableMajority() {
 		return nil, tooFewDisks().WithRan(failure.RanNo)
 	}
 	data, err := s.o.Consensus.Propose(ctx, command)
 	if err != nil {
-		return nil, typed(err)
+		return nil, toFailure(err)
 	}
-	if !s.durable() {
+	if !s.hasDurableMajority() {
 		return nil, tooFewDisks().WithRan(failure.RanUnknown)
 	}
 	return data, nil
@@ -169,7 +169,7 @@
 }
 
 // durable tells whether a majority of the voters is at least MinDisks disks.
-func (s *Server) durable() bool {
+func (s *Server) hasDurableMajority() bool {
 	voters := 0
 	for _, m := range s.o.Consensus.Status().Members {
 		if !m.Learner {
@@ -179,9 +179,9 @@
 	return voters/2+1 >= s.o.MinDisks
 }
 
-// typed turns an error of the consensus replica into one for peers and
+// toFailure turns an error of the consensus replica into one for peers and
 // operators.
-func typed(err error) error {
+func toFailure(err error) error {
 	var other *replica.NotLeaderError
 	switch {
 	case errors.As(err, &other):
--- a/internal/control/slots_test.go
+++ b/internal/control/slots_test.go
@@ -12,7 +12,7 @@
 // watch it. Told of each change at once, they cost the leader 3,900 answers a second,
 // and its consensus lost the lead five times. The answers must stay within what the
 // leader can give, come evenly, and still reach each entry within the time of a slot.
-func TestAnswersToManyWatchersComeEvenly(t *testing.T) {
+func TestAnswersToManyWatchersAreSpreadEvenly(t *testing.T) {
 	const entries, seconds = 195, 5
 	start := time.Unix(1_700_000_000, 0)
 	perTenth := make(map[int]int)
@@ -21,7 +21,7 @@
 		id := fmt.Sprint("entry-", e)
 		for at := start; at.Before(start.Add(seconds * time.Second)); {
 			wait := untilSlot(id, entries, at)
-			assert.Assert(t, wait > 0 && wait <= slowestSlot, "entry %s waits %s", id, wait)
+			assert.Assert(t, wait > 0 && wait <= maxSlotPeriod, "entry %s waits %s", id, wait)
 			at = at.Add(wait)
 			perTenth[int(at.Sub(start)/(100*time.Millisecond))]++
 			total++
@@ -35,7 +35,7 @@
 
 // A small deployment must not pay for the large one: a group that has broken is told
 // to its few entries almost at once.
-func TestFewWatchersWaitForNextToNothing(t *testing.T) {
+func TestFewWatchersAreAnsweredAlmostAtOnce(t *testing.T) {
 	for at := range 100 {
 		now := time.Unix(1_700_000_000, int64(at)*1_234_567)
 		assert.Assert(t, untilSlot("entry-1", 9, now) <= 12*time.Millisecond)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -27,18 +27,18 @@
 		}
 		return nil, rpcError(err)
 	}
-	if err := s.admitEntry(ctx, r); err != nil {
+	if err := s.registerEntry(ctx, r); err != nil {
 		return nil, rpcError(err)
 	}
 	s.acknowledge(r)
 	if s.waitForChange(ctx, r) && r.HaveRevision > 0 {
-		s.waitForSlot(ctx, r.EntryId, s.answered(r))
+		s.waitForSlot(ctx, r.EntryId, s.answeredEntries(r))
 	}
 	return s.answerWatch(r)
 }
 
 // answered is how many entries this process answers, the one of a watch among them.
-func (s *Server) answered(r *noderpc.WatchRequest) int {
+func (s *Server) answeredEntries(r *noderpc.WatchRequest) int {
 	entries := len(s.o.Machine.Board().Entries)
 	if !r.Spread {
 		return entries
@@ -57,9 +57,9 @@
 	}
 }
 
-// admitEntry registers an entry before its first lease, so that a later
+// registerEntry registers an entry before its first lease, so that a later
 // leader knows that it may hold one.
-func (s *Server) admitEntry(ctx context.Context, r *noderpc.WatchRequest) error {
+func (s *Server) registerEntry(ctx context.Context, r *noderpc.WatchRequest) error {
 	board := s.o.Machine.Board()
 	if r.ClusterId != "" && r.ClusterId != board.ClusterID {
 		return errors.Trace(failure.New(failure.TypeConflict, "the entry follows another cluster"))
@@ -95,8 +95,8 @@
 	wait := min(time.Duration(r.WaitMs)*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	news, changed := s.o.Machine.News(r.HaveRevision)
-	if news {
+	isBehind, changed := s.o.Machine.News(r.HaveRevision)
+	if isBehind {
 		return true
 	}
 	select {
@@ -116,7 +116,7 @@
 // that counts the time frozen; while it runs no newer leader exists, so no
 // newer configuration does.
 func (s *Server) answerWatch(r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
-	s.grant(r.EntryId)
+	s.grantLease(r.EntryId)
 	reply, err := s.replyTo(r, 0, s.o.Lease)
 	if err != nil {
 		return nil, err
@@ -143,11 +143,11 @@
 		reply.Commands = [][]byte{patch}
 	}
 	if !ok {
-		snapshot, commands, whole, err := s.o.Machine.Encoded()
+		snapshot, commands, current, err := s.o.Machine.Encoded()
 		if err != nil {
 			return nil, rpcError(err)
 		}
-		reply.Snapshot, reply.Commands, board = snapshot, commands, whole
+		reply.Snapshot, reply.Commands, board = snapshot, commands, current
 	}
 	reply.ClusterId, reply.Revision = board.ClusterID, board.Revision
 	reply.Term = term
@@ -191,7 +191,7 @@
 // grant notes the lease before the board is read. Noted after, a change
 // accepted in between would be reported in force while the answer, with the
 // board before it, gives a lapsed entry a fresh lease.
-func (s *Server) grant(entry string) {
+func (s *Server) grantLease(entry string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leases.grant(entry, clock.Now())
@@ -213,7 +213,7 @@
 	return &noderpc.CommitReply{Result: result}, nil
 }
 
-// rpcError carries a typed failure over Twirp.
+// rpcError carries a toFailure failure over Twirp.
 func rpcError(err error) error {
 	f := failure.From(err)
 	code := twirp.Unavailable
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -16,15 +16,15 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// applying is a consensus replica that leads and applies at once.
-type applying struct {
+// immediateConsensus is a consensus replica that leads and applies at once.
+type immediateConsensus struct {
 	machine *Machine
 	voters  int
 	// after is the voters once a command was proposed; 0 leaves them.
 	after int
 }
 
-func (a *applying) Propose(_ context.Context, command []byte) ([]byte, error) {
+func (a *immediateConsensus) Propose(_ context.Context, command []byte) ([]byte, error) {
 	result := a.machine.Apply(1, command)
 	if a.after > 0 {
 		a.voters = a.after
@@ -32,12 +32,12 @@
 	return result, nil
 }
 
-func (a *applying) ReadBarrier(context.Context) error        { return nil }
-func (a *applying) LeaseRemaining() time.Duration            { return time.Minute }
-func (a *applying) Found(context.Context) error              { return nil }
-func (a *applying) TransferLeadership(context.Context) error { return nil }
+func (a *immediateConsensus) ReadBarrier(context.Context) error        { return nil }
+func (a *immediateConsensus) LeaseRemaining() time.Duration            { return time.Minute }
+func (a *immediateConsensus) Found(context.Context) error              { return nil }
+func (a *immediateConsensus) TransferLeadership(context.Context) error { return nil }
 
-func (a *applying) Status() replica.Status {
+func (a *immediateConsensus) Status() replica.Status {
 	s := replica.Status{Founded: true, Term: 1}
 	for i := range a.voters {
 		s.Members = append(s.Members, raft.Member{ID: raft.NodeID(i + 1), Address: fmt.Sprint("m", i)})
@@ -45,10 +45,10 @@
 	return s
 }
 
-func leadingServer(t *testing.T, minDisks, voters int) (*Server, *applying) {
+func leadingServer(t *testing.T, minDisks, voters int) (*Server, *immediateConsensus) {
 	t.Helper()
 	m := NewMachine()
-	c := &applying{machine: m, voters: voters}
+	c := &immediateConsensus{machine: m, voters: voters}
 	s := NewServer(Options{Machine: m, Consensus: c, Logger: log.NewNopLogger(), Lease: time.Second, MinDisks: minDisks})
 	var verdict blackboard.Verdict
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.Found{ClusterID: "c"}, &verdict))
@@ -64,16 +64,16 @@
 	}
 }
 
-// mostForBehind bounds in bytes what an entry that was away is sent: 195 entries that come
+// maxCatchUpBytes bounds in bytes what an entry that was away is sent: 195 entries that come
 // back together get it within a third of a second over a link of 170 Mbit/s.
-const mostForBehind = 32 << 10
+const maxCatchUpBytes = 32 << 10
 
 // All processes restart after hundreds of changes, and each entry asks for all
 // that has happened. Sent as commands that is more than the leader's link
 // carries in the time of a watch, and no entry ever catches up. An entry must get
 // what is left of the changes alone, however far behind it is, and a whole board
 // where the changes are not known any more.
-func TestAnEntryFarBehindGetsWhatIsLeftOfTheChanges(t *testing.T) {
+func TestAnEntryFarBehindGetsOneCompactPatch(t *testing.T) {
 	s, _ := leadingServer(t, 0, 1)
 	for v := range uint64(300) {
 		var outcome blackboard.ReplaceOutcome
@@ -87,7 +87,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(reply.Commands), 1)
 		assert.Equal(t, len(reply.Snapshot), 0)
-		assert.Assert(t, len(reply.Commands[0]) < mostForBehind, "%d bytes", len(reply.Commands[0]))
+		assert.Assert(t, len(reply.Commands[0]) < maxCatchUpBytes, "%d bytes", len(reply.Commands[0]))
 		assert.DeepEqual(t, reply.ControlAddresses, []string{"m0"})
 		if have == 0 {
 			entry, err := blackboard.New().ApplyAll(reply.Commands)
@@ -98,11 +98,11 @@
 		}
 	}
 
-	s.o.Machine.kept = nil
+	s.o.Machine.recentChanges = nil
 	reply, err := s.answerWatch(&noderpc.WatchRequest{EntryId: "e", HaveRevision: leader.Revision - 2})
 	assert.NilError(t, err)
 	assert.Equal(t, len(reply.Commands), 0)
-	assert.Assert(t, len(reply.Snapshot) > 0 && len(reply.Snapshot) < mostForBehind, "%d bytes", len(reply.Snapshot))
+	assert.Assert(t, len(reply.Snapshot) > 0 && len(reply.Snapshot) < maxCatchUpBytes, "%d bytes", len(reply.Snapshot))
 	board, err := blackboard.Decode(reply.Snapshot)
 	assert.NilError(t, err)
 	assert.Equal(t, board.Config.Version, uint64(300))
@@ -144,8 +144,8 @@
 // A control process whose disk was lost is back and has not caught up. An entry
 // that starts without a leader asks it; it must say that it holds nothing, and
 // once it holds a configuration it must give it whether it leads or not.
-func TestOnlyAConfigurationThatIsHeldIsGivenAsLastKnown(t *testing.T) {
-	empty := NewServer(Options{Machine: NewMachine(), Consensus: &applying{}, Logger: log.NewNopLogger()})
+func TestLastKnownReturnsOnlyAnAppliedConfiguration(t *testing.T) {
+	empty := NewServer(Options{Machine: NewMachine(), Consensus: &immediateConsensus{}, Logger: log.NewNopLogger()})
 	reply, err := empty.LastKnown(context.Background(), &noderpc.LastKnownRequest{Board: true})
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Revision, uint64(0))
@@ -176,24 +176,24 @@
 // A pool starts, and each of its VMs' rows changes some times a second, which no entry has
 // in its copy. An entry's watch must be held as if nothing had changed, and end at once
 // when a row of its copy does.
-func TestOnlyWhatConcernsEntriesEndsAWatch(t *testing.T) {
+func TestOnlyChangesThatConcernEntriesEndAWatch(t *testing.T) {
 	s, _ := leadingServer(t, 0, 1)
 	m := s.o.Machine
 	have := m.Board().Revision
-	news, changed := m.News(have)
-	assert.Assert(t, !news)
+	isBehind, changed := m.News(have)
+	assert.Assert(t, !isBehind)
 	var verdict blackboard.Verdict
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.PutVM{VM: blackboard.VM{ID: "v", Incarnation: "a"}}, &verdict))
 	assert.Assert(t, m.Board().Revision > have)
-	news, _ = m.News(have)
-	assert.Assert(t, !news)
+	isBehind, _ = m.News(have)
+	assert.Assert(t, !isBehind)
 	select {
 	case <-changed:
 		t.Fatal("the watch ended for the row of a VM")
 	default:
 	}
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.NoteCallers{NowMillis: 7}, &verdict))
-	news, _ = m.News(have)
-	assert.Assert(t, news)
+	isBehind, _ = m.News(have)
+	assert.Assert(t, isBehind)
 	<-changed
 }
