--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -8,19 +8,18 @@
 	"github.com/citronstep/citronstep/internal/clock"
 )
 
-// clockDrift is the part by which two VMs' clocks may run apart. Leases are
-// seconds long, and quartz clocks differ by less than 1 in 1,000.
+// clockDrift is the largest assumed relative difference in rate between the clocks of two VMs.
+// Leases last seconds, and quartz clocks differ by less than 1 in 1,000.
 const clockDrift = 0.01
 
-// leases knows, on the leader, which configuration each entry holds and until
-// when an entry that went silent may still serve on an older one.
+// leases records, on the leader, which configuration each entry holds and until when an entry
+// that no longer responds may still serve under an older one.
 //
-// It guards against an entry that is cut off and goes on admitting under a
-// configuration that operators have replaced. It shows as requests served by
-// withdrawn keys or priorities. The guard holds because an entry counts its
-// lease from the moment it sent the watch, which is before the moment the
-// leader answers it and counts from here, and because a new leader counts
-// every registered entry as freshly leased.
+// Failure: an entry is cut off and goes on admitting requests under a configuration that
+// operators have replaced, for example with withdrawn keys or priorities. leases prevents that,
+// because an entry counts its lease from the moment it sends the watch. The leader counts the
+// lease from the later moment at which it replies. A new leader treats every registered entry
+// as freshly leased.
 type leases struct {
 	length time.Duration
 	holds  map[string]holding
@@ -29,7 +28,7 @@
 }
 
 type holding struct {
-	// config is the configuration revision, board that of the board.
+	// config is the configuration's revision, and board the board's revision.
 	config, board uint64
 	until         clock.Boot
 }
@@ -38,28 +37,27 @@
 	return &leases{length: length, holds: make(map[string]holding), leadingSince: now}
 }
 
-// margin is the time past a lease's end by which it has surely run out on a
-// clock that runs slow.
+// margin is the extra time after which a lease has expired even on a slow clock.
 func (l *leases) margin() time.Duration {
 	return time.Duration(float64(l.length) * clockDrift)
 }
 
-// acknowledge notes the revisions of configuration and board that an entry says it holds.
+// acknowledge records the revisions of the configuration and the board that an entry reports.
 func (l *leases) acknowledge(entry string, config, board uint64) {
 	h := l.holding(entry)
 	h.config, h.board = max(h.config, config), max(h.board, board)
 	l.holds[entry] = h
 }
 
-// grant notes that an entry is being answered and so gets a new lease.
+// grant records that an entry gets a new lease with the reply to its watch.
 func (l *leases) grant(entry string, now clock.Boot) {
 	h := l.holding(entry)
 	h.until = now.Add(l.length + l.margin())
 	l.holds[entry] = h
 }
 
-// holding returns what is known of an entry. One that has not watched this
-// leader yet may hold a lease of the leader before.
+// holding returns the recorded state of an entry. An entry that has not watched this leader yet
+// may hold a lease from the previous leader.
 func (l *leases) holding(entry string) holding {
 	if h, ok := l.holds[entry]; ok {
 		return h
@@ -76,8 +74,8 @@
 	return left
 }
 
-// known returns the registered entries and those that hold a lease although
-// they have just been forgotten.
+// registeredOrLeased returns the registered entries, and removed entries that may still hold a
+// lease.
 func (l *leases) registeredOrLeased(registered map[string]blackboard.Entry) []string {
 	ids := sortedKeys(registered)
 	for id := range l.holds {
@@ -88,19 +86,17 @@
 	return ids
 }
 
-// pending returns those of the entries that may still serve on a
-// configuration older than revision.
+// pending returns the entries that may still serve under a configuration older than revision.
 func (l *leases) pending(entries []string, revision uint64, now clock.Boot) []string {
 	return l.lagging(entries, now, func(h holding) bool { return h.config < revision })
 }
 
-// pendingBoard returns those of the entries that may still serve on a board older than
-// revision.
+// pendingBoard returns the entries that may still serve under a board older than revision.
 func (l *leases) pendingBoard(entries []string, revision uint64, now clock.Boot) []string {
 	return l.lagging(entries, now, func(h holding) bool { return h.board < revision })
 }
 
-// lagging returns those of the entries that are behind and hold a lease.
+// lagging returns, sorted, the entries that are behind and hold a lease.
 func (l *leases) lagging(entries []string, now clock.Boot, behind func(holding) bool) []string {
 	var lagging []string
 	for _, e := range entries {
--- a/internal/control/leases_test.go
+++ b/internal/control/leases_test.go
@@ -9,9 +9,9 @@
 	"github.com/citronstep/citronstep/internal/clock"
 )
 
-// An operator withdraws a workspace's key. One entry is cut off and goes on
-// serving under the old configuration until its lease runs out. The change must
-// not be reported in force before that.
+// Guards against a change that is reported as in force too early. An operator withdraws a
+// workspace's key, and an entry that is cut off serves under the old configuration until its
+// lease expires.
 func TestAChangeIsInForceOnlyAfterTheLastLeaseExpires(t *testing.T) {
 	const length = 3 * time.Second
 	start := clock.Boot(0)
@@ -22,26 +22,26 @@
 		at   time.Duration
 		want []string
 	}{
-		{"a new leader counts all as leased", func(*leases) {}, length, []string{"cut", "near"}},
-		{"their leases end", func(*leases) {}, length + time.Second, nil},
-		{"both hold it", func(l *leases) {
+		{"a new leader treats all entries as leased", func(*leases) {}, length, []string{"cut", "near"}},
+		{"all leases have expired", func(*leases) {}, length + time.Second, nil},
+		{"both entries hold the change", func(l *leases) {
 			l.acknowledge("near", 5, 0)
 			l.acknowledge("cut", 5, 0)
 		}, 0, nil},
-		{"one holds it", func(l *leases) { l.acknowledge("near", 5, 0) }, 0, []string{"cut"}},
-		{"one holds an older one", func(l *leases) {
+		{"one entry holds the change", func(l *leases) { l.acknowledge("near", 5, 0) }, 0, []string{"cut"}},
+		{"one entry holds an older configuration", func(l *leases) {
 			l.acknowledge("near", 5, 0)
 			l.acknowledge("cut", 4, 0)
 		}, 0, []string{"cut"}},
-		{"a lease granted late runs on", func(l *leases) {
+		{"a lease granted later still runs", func(l *leases) {
 			l.acknowledge("near", 5, 0)
 			l.grant("cut", start.Add(2*time.Second))
 		}, 4 * time.Second, []string{"cut"}},
-		{"and ends by the margin for a slow clock", func(l *leases) {
+		{"a lease granted later expires after the margin for a slow clock", func(l *leases) {
 			l.acknowledge("near", 5, 0)
 			l.grant("cut", start.Add(2*time.Second))
 		}, 5*time.Second + 31*time.Millisecond, nil},
-		{"an old acknowledgement takes nothing back", func(l *leases) {
+		{"an old acknowledgement does not lower the revision", func(l *leases) {
 			l.acknowledge("near", 5, 0)
 			l.acknowledge("cut", 5, 0)
 			l.acknowledge("cut", 4, 0)
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -1,5 +1,5 @@
-// Package control is the control role: it keeps the replicated tables, serves
-// them to entries and operators, and runs the controllers while it leads.
+// Package control implements the control role. It keeps the replicated tables, serves them to
+// entries and operators, and runs the controllers while it leads.
 package control
 
 import (
@@ -16,32 +16,33 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// maxRecentChanges bounds the changes kept for entries that are behind. An
-// entry further behind gets a snapshot. At 3,100 configuration changes and
-// some ten thousand liveness and group changes a day it covers hours.
+// maxRecentChanges bounds the changes kept for entries that are behind. An entry that is
+// further behind gets a snapshot. At 3,100 configuration changes and some ten thousand liveness
+// and group changes a day, the bound covers hours.
 const maxRecentChanges = 4096
 
-// maxPatches bounds the patches kept for the next entry that asks for the same:
-// entries are answered within some tenths of a second of each other.
+// maxPatches bounds the patches cached for entries that ask for the same one. Entries get their
+// replies within some tenths of a second of each other.
 const maxPatches = 64
 
-// Machine is the replicated state machine: the board, and the at-most-once
-// records. Entries follow the board alone.
+// Machine is the replicated state machine: the board and the at-most-once records. Entries
+// follow only the board.
 type Machine struct {
 	mu      sync.Mutex
 	board   *blackboard.Board
 	records *record.Table
-	// kept holds what the last len(kept) revisions changed.
+	// recentChanges holds the changes of the last len(recentChanges) revisions.
 	recentChanges []blackboard.Change
-	// patches holds patches to the present board, by the revision that they begin at.
+	// patches caches patches to the current board, keyed by the revision that they start from.
 	patches map[uint64][]byte
-	// news is the last revision that concerns entries, and changed closes with the next.
+	// lastEntryChange is the last revision that concerns entries. changed closes with the next
+	// one.
 	lastEntryChange uint64
 	changed         chan struct{}
-	// encoded is the board of revision encodedAt as a snapshot.
+	// entrySnapshot is the board at snapshotRevision, encoded for entries.
 	entrySnapshot    []byte
 	snapshotRevision uint64
-	// encodings counts the snapshots made for entries.
+	// snapshotCount counts the snapshots encoded for entries.
 	snapshotCount int
 }
 
@@ -59,8 +60,7 @@
 	return append([]byte{byte(machine)}, command...)
 }
 
-// Apply applies one log command. A malformed one changes nothing, on every
-// replica alike.
+// Apply applies one log command. A malformed command changes nothing on any replica.
 func (m *Machine) Apply(_ uint64, command []byte) []byte {
 	if len(command) == 0 {
 		return nil
@@ -89,8 +89,8 @@
 	return result
 }
 
-// notApplied is the result of a command that could not be applied, in the form
-// of each kind of result.
+// notApplied returns the result of a command that could not be applied. The result decodes as
+// any kind of result.
 func notApplied(err error) []byte {
 	result, _ := json.Marshal(struct {
 		blackboard.Verdict
@@ -99,7 +99,7 @@
 	return result
 }
 
-// keep notes what one more revision has changed.
+// recordChange keeps the change of the newest revision.
 func (m *Machine) recordChange(change blackboard.Change) {
 	m.recentChanges = append(m.recentChanges, change)
 	if len(m.recentChanges) > 2*maxRecentChanges {
@@ -108,42 +108,43 @@
 	m.patches = nil
 }
 
-// Board returns the board as applied here.
+// Board returns the newest board that this process has applied.
 func (m *Machine) Board() *blackboard.Board {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.board
 }
 
-// News tells whether there is anything for an entry that has a revision, and returns a
-// channel that closes with the next.
+// News reports whether an entry at revision have needs an update, and returns a channel that
+// closes with the next change that concerns entries.
 //
-// Load: a pool of 3,000 VMs starts; each VM's row changes three times within seconds, and
-// 295 entries watch. None of these rows is in their copies; answered for each change all
-// the same, they took a third of the leader's processor from the orders to the VMs.
+// Load: a pool of 3,000 VMs starts. The row of each VM changes three times within seconds while
+// 295 entries watch. Entries hold none of these rows. Replies for every such change took a
+// third of the leader's processor from the orders to the VMs.
 func (m *Machine) News(have uint64) (bool, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return have < m.lastEntryChange || have > m.board.Revision, m.changed
 }
 
-// notifyWatchers notes that the present revision concerns entries. The lock is held.
+// notifyWatchers records that the current revision concerns entries, and wakes their watches.
+// The lock is held.
 func (m *Machine) notifyWatchers() {
 	m.lastEntryChange = m.board.Revision
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// maxSnapshotLag is how many revisions a snapshot for entries is used, with a patch for what has
-// changed since.
+// maxSnapshotLag is how many revisions a cached snapshot may be behind the board. A patch
+// covers the difference.
 const maxSnapshotLag = 256
 
-// Encoded returns the board for an entry that holds none: a snapshot and, if that is not of
-// the present revision, the command that takes it there.
+// Encoded returns the board for an entry that holds none: a snapshot and, if the snapshot is
+// older than the current revision, the command that brings it up to date.
 //
-// Load: half of a thousand entries come back from a loss of power within a second, while each
-// word of the backend servers makes a new revision. Made anew for each revision, the
-// snapshots took the new leader's whole processor, and it lost its leadership.
+// Load: half of a thousand entries restart within one second after a power loss, while each
+// announcement of a backend server makes a new revision. Encoding a snapshot for each revision
+// took the new leader's whole processor, and the leader lost its leadership.
 func (m *Machine) Encoded() (snapshot []byte, commands [][]byte, board *blackboard.Board, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -167,9 +168,9 @@
 	return m.entrySnapshot, [][]byte{patch}, m.board, nil
 }
 
-// PatchSince returns the command that takes an entry's copy from a revision to the
-// present board, nil if it is there, or false when what has changed since is no longer
-// known.
+// PatchSince returns the current board and the command that brings an entry's copy from
+// revision to it. The command is nil if the copy is up to date. The boolean is false if the
+// changes since revision are no longer kept.
 func (m *Machine) PatchSince(revision uint64) (*blackboard.Board, []byte, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -187,8 +188,8 @@
 	return m.board, patch, true, nil
 }
 
-// patchSince returns the command that takes an entry's copy from a revision, which must be
-// among those kept, to the present board. The lock is held.
+// patchSince returns the command that brings an entry's copy from revision to the current
+// board. The changes since revision must still be kept. The lock is held.
 func (m *Machine) patchSince(revision uint64) ([]byte, error) {
 	if patch, known := m.patches[revision]; known {
 		return patch, nil
@@ -205,8 +206,7 @@
 	return patch, nil
 }
 
-// Snapshot returns both machines: the length of the board's part, then the
-// board, then the records.
+// Snapshot encodes both machines: the length of the board's part, the board, and the records.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -225,7 +225,7 @@
 
 const snapshotHeader = 8
 
-// Restore replaces both machines by a snapshot.
+// Restore replaces both machines with the content of a snapshot.
 func (m *Machine) Restore(snapshot []byte) error {
 	if len(snapshot) < snapshotHeader {
 		return errors.Trace(blackboard.ErrMalformed)
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -10,8 +10,8 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Guards against a leader that makes a snapshot for each of many entries that start while the
-// board changes, and against one that lacks what has changed since it was made.
+// Guards against a leader that encodes a snapshot for each of many entries that start while the
+// board changes, and against a cached snapshot that lacks the changes since it was made.
 func TestEntriesThatStartTogetherShareASnapshot(t *testing.T) {
 	m := NewMachine()
 	apply := func(c blackboard.Command) {
