--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -28,9 +28,9 @@
 	adminTimeout = 5 * time.Second
 )
 
-// AdminHandler returns the operators' API, guarded by the token. forward
-// sends a request on to the leader; it is nil on the peers' listener, where
-// forwarded requests arrive, so that none travels twice.
+// AdminHandler returns the operators' API, which requires the bearer token. A non-nil forward
+// relays requests to the leader. Pass nil for the peer listener, which receives the forwarded
+// requests, so that no request is forwarded twice.
 func (s *Server) AdminHandler(token string, forward *Forwarder) http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -68,7 +68,7 @@
 	return c.JSON(http.StatusOK, s.Status())
 }
 
-// Status returns the state of the system as this process knows it.
+// Status returns the state of the system as this process has applied it.
 func (s *Server) Status() adminapi.Status {
 	board := s.o.Machine.Board()
 	st := adminapi.Status{
@@ -127,8 +127,8 @@
 	return list
 }
 
-// postInit founds the cluster and writes its first configuration. A resend
-// after a lost answer finds both done and answers alike.
+// postInit founds (bootstraps) the cluster and writes its first configuration. A request that
+// is sent again after a lost response succeeds with the same reply.
 func (s *Server) postInit(c echo.Context) error {
 	var r adminapi.InitRequest
 	if err := decode(c, &r); err != nil {
@@ -146,8 +146,9 @@
 	return c.JSON(http.StatusOK, adminapi.InitReply{ClusterID: board.ClusterID})
 }
 
-// Found founds the cluster with an initial configuration, which may be empty.
-// A process that belongs to a cluster only makes sure that its board is begun.
+// Found founds (bootstraps) the cluster with an initial configuration, which may be empty. In a
+// process that already belongs to a cluster, it only makes sure that the board has been
+// initialised.
 func (s *Server) Found(ctx context.Context, initial blackboard.ConfigChange) error {
 	if err := s.o.Consensus.Found(ctx); err != nil {
 		return foundError(err)
@@ -161,8 +162,8 @@
 		&blackboard.Found{ClusterID: id, Initial: initial, NowMillis: time.Now().UnixMilli()}, &verdict))
 }
 
-// foundError tells a cluster that exists from a peer that did not answer,
-// after which init may be run again.
+// foundError distinguishes an existing cluster (conflict) from a peer that did not respond
+// (unavailable). In the second case init may be run again.
 func foundError(err error) *failure.Error {
 	t := failure.TypeConflict
 	if errors.Is(err, replica.ErrPeerUnreachable) {
@@ -179,7 +180,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return failure.New(failure.TypeUnavailable, "founded, but no leader yet; run init again")
+			return failure.New(failure.TypeUnavailable, "the cluster is founded but has no leader yet; run init again")
 		case <-time.After(poll):
 		}
 	}
@@ -211,8 +212,9 @@
 	return c.JSON(http.StatusOK, adminapi.ChangeReply{Revision: outcome.Revision})
 }
 
-// getInForce answers only while leading, checked after the lease table was
-// read: a leader that was cut off would count leases that it alone knows.
+// getInForce replies only while this process leads, and checks that again after reading the
+// lease table. A leader that was cut off would otherwise count only the leases that it granted
+// itself.
 func (s *Server) getInForce(c echo.Context) error {
 	revision, err := strconv.ParseUint(c.QueryParam("revision"), 10, 64)
 	if err != nil {
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -6,10 +6,10 @@
 	"github.com/citronstep/citronstep/internal/adminapi"
 )
 
-// maxEvents bounds the events kept for operators; the oldest go first.
+// maxEvents bounds the events kept for operators; the oldest are dropped first.
 const maxEvents = 2000
 
-// eventLog keeps recent events of one leader. It is not safe for concurrent
+// eventLog keeps the recent events of the current leader's term. It is not safe for concurrent
 // use.
 type eventLog struct {
 	leader  string
--- a/internal/control/forward.go
+++ b/internal/control/forward.go
@@ -12,15 +12,14 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// Forwarder sends operators' requests from a control process that does not
-// lead on to the one that does.
+// Forwarder sends operators' requests from a control process that does not lead to the leader.
 type Forwarder struct {
 	Client *http.Client
-	// Token is the secret between the system's own processes.
+	// Token is the bearer token that the system's own processes share.
 	Token string
 }
 
-// forwardTimeout bounds a forwarded request, a long poll for events included.
+// forwardTimeout bounds a forwarded request, including a long poll for events.
 const forwardTimeout = maxEventsWait + 5*time.Second
 
 func (f *Forwarder) middleware(s *Server) echo.MiddlewareFunc {
@@ -36,8 +35,8 @@
 	}
 }
 
-// forward sends the request once. It may have been carried out when no answer
-// comes back; the operator's change id makes a resend safe.
+// forward sends the request once. If no response arrives, the leader may still have executed
+// the request. The operator's change id makes a second attempt safe.
 func (f *Forwarder) forward(c echo.Context, leader string) error {
 	in := c.Request()
 	ctx, cancel := context.WithTimeout(in.Context(), forwardTimeout)
@@ -51,7 +50,7 @@
 	out.Header.Set("Content-Type", "application/json")
 	answer, err := f.Client.Do(out)
 	if err != nil {
-		return failure.New(failure.TypeOutcomeUnknown, "no answer from the leader: "+err.Error()).WithRan(failure.RanUnknown)
+		return failure.New(failure.TypeOutcomeUnknown, "no response from the leader: "+err.Error()).WithRan(failure.RanUnknown)
 	}
 	defer func() { _ = answer.Body.Close() }()
 	return c.Stream(answer.StatusCode, answer.Header.Get("Content-Type"), answer.Body)
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -19,33 +19,33 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Times of the leader's upkeep.
+// Intervals of the leader's periodic clean-up.
 const (
-	// expireInterval is how often records are expired. Claims wait for their
-	// outcome ten seconds past the deadline, so a few seconds more tell no one
-	// anything false.
+	// expireInterval is how often the leader expires records. Claims wait for their outcome
+	// until ten seconds past the deadline, so expiring them a few seconds late misleads no
+	// caller.
 	expireInterval = 5 * time.Second
-	// removeEntryAfter is how long an entry's lease must be out before the
-	// entry is forgotten: longer than a restart of its VM takes.
+	// removeEntryAfter is how long an entry's lease must have expired before the leader removes
+	// the entry. It is longer than a restart of the entry's VM.
 	removeEntryAfter = 10 * time.Minute
 )
 
-// meter adds up the brief's two measures while this process leads.
+// meter accumulates group downtime and stranded accelerator time while this process leads.
 type meter struct {
 	last       time.Time
 	total      adminapi.Measures
 	lastExpiry time.Time
 }
 
-// leadership is what one term of leadership keeps.
+// leadership is the state that lasts for one term of leadership.
 type leadership struct {
 	term uint64
 	mu   sync.Mutex
-	// memory is used by the controllers' run and by answers of engines.
+	// memory is used by runs of the controllers and by the replies of engines.
 	memory *controller.Memory
-	// runTime is how long the controllers have run in this term.
+	// runTime is the total time that the controllers have run in this term.
 	runTime time.Duration
-	// replicas are the roles of the control replicas at the last step.
+	// replicas holds the roles of the control replicas as of the last step.
 	replicas map[string]string
 }
 
@@ -75,7 +75,7 @@
 		}
 		s.reportReplicaChanges(o)
 		began := o.runTime
-		// What one run has written the next may build on at once.
+		// Later runs act at once on what an earlier run has written.
 		for range maxRuns {
 			if !s.step(ctx, o) {
 				break
@@ -85,20 +85,20 @@
 	}
 }
 
-// pausePerRunTime is how many times as long as the controllers ran they rest after it.
+// pausePerRunTime is the pause after a run of the controllers, as a multiple of the run's time.
 //
-// Load: hundreds of backend servers tell of a change each within a second, and each
-// word wakes the controllers. A run over a large pool takes some milliseconds; run after
-// each word they take the whole processor, and what the consensus has to send waits.
-// With a rest of three times the run they take a quarter of it, and what was told
-// meanwhile is dealt with in one run.
+// Load: hundreds of backend servers each announce a change within one second, and each
+// announcement wakes the controllers. A run over a large pool takes some milliseconds. A run
+// for each announcement would take the whole processor and delay the messages of the consensus.
+// With a pause of three times the run, the controllers take a quarter of the processor, and one
+// run handles all announcements that arrived in the pause.
 const pausePerRunTime = 3
 
-// maxPause bounds the rest after a long run, such as the one that forms all groups of
-// a pool, so that the first orders of what it formed are not late.
+// maxPause bounds the pause after a long run, such as a run that forms all groups of a pool, so
+// that the first orders to the new groups are not delayed.
 const maxPause = 100 * time.Millisecond
 
-// rest lets others have the processor.
+// pause leaves the processor to other goroutines for d.
 func (s *Server) pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -108,7 +108,7 @@
 	}
 }
 
-// reportReplicaChanges writes an event for each control replica that came, went or
+// reportReplicaChanges adds an event for each control replica that was added, was removed, or
 // changed between voter and learner.
 func (s *Server) reportReplicaChanges(o *leadership) {
 	now := make(map[string]string)
@@ -141,7 +141,7 @@
 // sampleInterval is the time between two samples of the control metrics.
 const sampleInterval = time.Second
 
-// sample feeds the control metrics. It is called from Run alone.
+// sample records the control metrics. Only Run calls it.
 func (s *Server) sample(leading bool) {
 	now := time.Now()
 	if now.Sub(s.sampled) < sampleInterval {
@@ -155,9 +155,9 @@
 	}
 }
 
-// step runs the controllers once and carries out what they want. It tells
-// whether anything was written. The lease is
-// read before the board, so that a board read under it is this leader's.
+// step runs the controllers once, commits their commands and sends their orders. It reports
+// whether there were any commands. It reads the lease before the board, so a board that was
+// read while the lease is valid belongs to this leader's term.
 func (s *Server) step(ctx context.Context, o *leadership) bool {
 	now := time.Now()
 	view := controller.View{Timing: s.o.Timing, LeaseUntil: now.Add(s.o.Consensus.LeaseRemaining())}
@@ -184,8 +184,8 @@
 	return len(actions.Commands) > 0
 }
 
-// maxRuns bounds the runs of the controllers in one step; forming a group,
-// beginning to load and freeing members take a run each.
+// maxRuns bounds the runs of the controllers in one step. Forming a group, starting to load it
+// and releasing members each take one run.
 const maxRuns = 4
 
 func (s *Server) logDecisions(decisions []controller.Decision) {
@@ -203,13 +203,13 @@
 	return "group"
 }
 
-// commandTimeout bounds the commit of one command of a controller; what is
-// not committed is decided anew in the next step.
+// commandTimeout bounds the commit of one command of a controller. The next step decides again
+// on a command that was not committed.
 const commandTimeout = time.Second
 
-// propose commits the commands in order, in as few entries of the log as they
-// fit. A later one may build on an earlier one, so the first failure ends the
-// step; each command checks its own preconditions when it is applied.
+// propose commits the commands in order, in as few log entries as possible. A command may
+// depend on an earlier one, so the first failure skips the rest. Each command checks its own
+// preconditions when it is applied.
 func (s *Server) propose(ctx context.Context, commands []blackboard.Command) {
 	for batch := range slices.Chunk(commands, maxBatch) {
 		c, err := blackboard.NewBatch(batch)
@@ -223,8 +223,7 @@
 	}
 }
 
-// maxBatch bounds the commands of one entry of the log; a command has a few
-// hundred bytes.
+// maxBatch bounds the commands in one log entry; a command has a few hundred bytes.
 const maxBatch = 256
 
 func (s *Server) proposeOne(ctx context.Context, c blackboard.Command) error {
@@ -240,8 +239,8 @@
 	return nil
 }
 
-// send sends the orders side by side, each with its deadline, which lies
-// within this leader's lease.
+// send sends the orders concurrently. The deadline of each order lies within this leader's
+// lease.
 func (s *Server) send(ctx context.Context, o *leadership, orders []controller.PlannedOrder) {
 	for _, p := range orders {
 		go s.sendOne(ctx, o, p)
@@ -266,7 +265,7 @@
 	return err.Error()
 }
 
-// measure adds the time since the last step to the brief's two measures.
+// measure adds the time since the last step to group downtime and stranded accelerator time.
 func (s *Server) measure(view controller.View, now time.Time) {
 	var at adminapi.Measures
 	s.o.Evidence.With(func(t *evidence.Table) { at = controller.Measures(view.Board, t, now) })
@@ -288,7 +287,8 @@
 	return s.meter.total
 }
 
-// upkeep expires records and forgets entries that are long expired.
+// upkeep expires records, suspects and rate limits, and removes entries whose leases expired
+// long ago.
 func (s *Server) upkeep(ctx context.Context, board *blackboard.Board, now time.Time) {
 	s.mu.Lock()
 	due := now.Sub(s.meter.lastExpiry) >= expireInterval
@@ -318,8 +318,8 @@
 	return errors.Trace(err)
 }
 
-// How long a request stays suspect after its last crash: one that shared a
-// crash for an hour, one that was convicted for a day.
+// Lifetimes of a suspected request after its last crash: one that was running when a backend
+// server crashed, and one that a crash was attributed to (convicted on the board).
 const (
 	suspectLifetime    = time.Hour
 	attributedLifetime = 24 * time.Hour
--- a/internal/control/pool_log.go
+++ b/internal/control/pool_log.go
@@ -6,14 +6,13 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// poolCounts are the VMs of one engine pool by what they are at.
+// poolCounts counts the VMs of one engine pool by state.
 type poolCounts struct {
 	living, serving, loading, held, free, dead, leaving int
 }
 
-// logPools writes one line for each engine pool: how many VMs work, and what
-// the others are at. It is what an operator needs to see first when a model has
-// too few groups.
+// logPools logs one line for each engine pool with the number of VMs in each state. An operator
+// needs these counts first when a model has too few groups.
 func (s *Server) logPools(board *blackboard.Board) {
 	pools := make(map[string]*poolCounts)
 	for _, vm := range board.VMs {
--- a/internal/control/rate_limits.go
+++ b/internal/control/rate_limits.go
@@ -6,12 +6,14 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// unconfirmedLimitLifetime is how long a backend server's rate limit holds that no entry confirms:
-// those that share it send it nothing, and the others have no part of it.
+// unconfirmedLimitLifetime is how long a backend server's rate limit holds if no entry confirms
+// it. In that time, entries without a share of the limit send nothing to the server, and
+// entries with a share may be idle or removed.
 const unconfirmedLimitLifetime = 30 * time.Second
 
-// rateLimitAges is when this process first saw each rate limit as it is on the board. Ages
-// are counted here, as the clocks of entries may be wrong.
+// rateLimitAges holds, by incarnation, when this process first saw each rate limit in its
+// current form. The leader's own clock counts the ages, because the clocks of entries may be
+// wrong.
 type rateLimitAges map[string]seenRateLimit
 
 type seenRateLimit struct {
@@ -19,7 +21,8 @@
 	since time.Time
 }
 
-// unconfirmed returns the commands that end the limits that no entry has confirmed for long.
+// unconfirmed returns the commands that end the limits that no entry has confirmed within
+// unconfirmedLimitLifetime.
 func (a rateLimitAges) unconfirmed(now time.Time, board *blackboard.Board) []blackboard.Command {
 	var ended []blackboard.Command
 	for incarnation := range a {
--- a/internal/control/rate_limits_test.go
+++ b/internal/control/rate_limits_test.go
@@ -9,8 +9,8 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// Guards against a backend server that gets nothing for good, as the entries that share its
-// rate limit have no requests or are gone.
+// Guards against a backend server that never gets requests again, because the entries with a
+// share of its rate limit have no requests or were removed.
 func TestAnUnconfirmedRateLimitEnds(t *testing.T) {
 	ages, start := make(rateLimitAges), time.Now()
 	board := func(heardMillis int64) *blackboard.Board {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -21,7 +21,7 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Consensus is what the control role needs of a consensus replica.
+// Consensus is the part of a consensus replica that the control role uses.
 type Consensus interface {
 	Propose(ctx context.Context, command []byte) ([]byte, error)
 	ReadBarrier(ctx context.Context) error
@@ -31,10 +31,10 @@
 	TransferLeadership(ctx context.Context) error
 }
 
-// Evidence gives the leader what the entry on the same VM has heard of
-// backend servers, directly and from its peers.
+// Evidence gives the leader what the entry on the same VM knows about backend servers, from
+// their own announcements and from peers.
 type Evidence interface {
-	// With calls f with the table; no one else changes it meanwhile.
+	// With calls f with the table. No other goroutine changes the table during the call.
 	With(f func(*evidence.Table))
 }
 
@@ -43,31 +43,31 @@
 	Order(ctx context.Context, address string, o backend.Order) (backend.OrderReply, error)
 }
 
-// Options are what a Server is made of.
+// Options configure a Server.
 type Options struct {
 	Machine   *Machine
 	Consensus Consensus
 	Evidence  Evidence
 	Orders    OrderSender
 	Logger    log.Logger
-	// Lease is how long an entry may serve without hearing from the leader.
+	// Lease is how long an entry may serve without a message from the leader.
 	Lease time.Duration
 	// Step is the time between two runs of the controllers.
 	Step time.Duration
-	// OrderLease is the longest lease of an earlier leader; a new leader gives
-	// no order before it has run out.
+	// OrderLease is the longest lease of an earlier leader. A new leader sends no order until
+	// that time has passed.
 	OrderLease time.Duration
-	// Timing is what the controllers go by where it is not the default.
+	// Timing overrides the default times of the controllers.
 	Timing controller.Timing
-	// MinDisks is how many disks must hold a change before it is acknowledged;
-	// 0 leaves it to the majority of whatever voters there are.
+	// MinDisks is how many disks must hold a change before it is acknowledged. With 0, a
+	// majority of the current voters is enough.
 	MinDisks int
-	// Renewer renews leases through the leader; nil if this process answers no watches for
-	// another one.
+	// Renewer renews leases through the leader. It is nil if this process serves no watches
+	// while another process leads.
 	Renewer Renewer
-	// VM is this machine's name.
+	// VM is the name of this VM.
 	VM string
-	// DataCentres are those that the settings name; the board may know others.
+	// DataCentres are the data centres that the settings name; the board may name others.
 	DataCentres []string
 	Metrics     *metrics.Control
 }
@@ -78,21 +78,21 @@
 
 	mu     sync.Mutex
 	leases *leases
-	// rateLimits is used by Run alone.
+	// rateLimits is used only by Run.
 	rateLimits rateLimitAges
 	term       uint64
 	relay      *relay
 	events     *eventLog
 	meter      meter
-	// stalls holds what entries told of groups without progress.
+	// stalls holds the entries' reports of groups without progress.
 	stalls *controller.Stalls
-	// woken asks for a step before its time.
+	// woken triggers a step before the next tick.
 	woken chan struct{}
-	// sampled is when the metrics were last fed; Run alone uses it.
+	// sampled is the time of the last metrics sample; only Run uses it.
 	sampled time.Time
 }
 
-// NewServer returns a server; Run makes it work.
+// NewServer returns a server. Run starts its work.
 func NewServer(o Options) *Server {
 	return &Server{
 		o: o, woken: make(chan struct{}, 1), stalls: controller.NewStalls(), events: newEventLog(), relay: newRelay(),
@@ -100,9 +100,8 @@
 	}
 }
 
-// leading returns the term that this process leads, or a toFailure refusal that
-// names the leader. It holds only for the instant: a caller that waits after
-// it asks again.
+// leading returns the term in which this process leads, or a failure that names the leader. The
+// result holds only at the moment of the call: a caller that waits must call leading again.
 func (s *Server) leading() (uint64, error) {
 	st := s.o.Consensus.Status()
 	if !st.Founded {
@@ -116,7 +115,7 @@
 	return st.Term, nil
 }
 
-// enterTerm starts the lease table of a new term.
+// enterTerm resets the lease table, the events and the measures when a new term begins.
 func (s *Server) enterTerm(term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +129,7 @@
 	_ = level.Info(s.o.Logger).Log("event", "leading", "term", term)
 }
 
-// commitBoard writes one command of the board and decodes its result.
+// commitBoard commits one command for the board and decodes its result.
 func (s *Server) commitBoard(ctx context.Context, c blackboard.Command, result any) error {
 	encoded, err := blackboard.Encode(c)
 	if err != nil {
@@ -143,13 +142,13 @@
 	return errors.Trace(json.Unmarshal(data, result))
 }
 
-// proposeDurably writes a command of which someone outside is told that it is
-// kept. It refuses while a majority of the voters is fewer disks than MinDisks.
+// proposeDurably commits a command whose success is reported outside the cluster. It returns an
+// error while a majority of the voters is fewer than MinDisks disks.
 //
-// Failure: right after the founding there is one voter. A change that it alone
-// has synced is acknowledged, its disk is lost, and the change is gone although
-// the cluster is meant to bear the loss. The voters are counted again after
-// the commit: a change of the membership may have come between.
+// Failure: right after founding there is one voter. It alone syncs a change, the change is
+// acknowledged, and the disk is lost. The change is lost too, although the cluster is meant to
+// survive the loss of a disk. The voters are counted again after the commit, because the
+// membership may have changed in between.
 func (s *Server) proposeDurably(ctx context.Context, command []byte) ([]byte, error) {
 	if !s.hasDurableMajority() {
 		return nil, tooFewDisks().WithRan(failure.RanNo)
@@ -168,7 +167,7 @@
 	return failure.New(failure.TypeUnavailable, "too few control VMs vote to keep a change safe").WithRetryAfter(time.Second)
 }
 
-// durable tells whether a majority of the voters is at least MinDisks disks.
+// hasDurableMajority reports whether a majority of the voters is at least MinDisks disks.
 func (s *Server) hasDurableMajority() bool {
 	voters := 0
 	for _, m := range s.o.Consensus.Status().Members {
@@ -179,8 +178,7 @@
 	return voters/2+1 >= s.o.MinDisks
 }
 
-// toFailure turns an error of the consensus replica into one for peers and
-// operators.
+// toFailure converts an error of the consensus replica to a failure for peers and operators.
 func toFailure(err error) error {
 	var other *replica.NotLeaderError
 	switch {
