--- a/internal/control/relay.go
+++ b/internal/control/relay.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// renewInterval is the time between two messages to the leader for the entries whose
-	// watches this process answers.
+	// renewInterval is the time between two batches of lease renewals sent to the leader for
+	// the entries whose watches this process serves.
 	renewInterval = 100 * time.Millisecond
-	// renewTimeout bounds one of them.
+	// renewTimeout bounds one such call.
 	renewTimeout = 500 * time.Millisecond
-	// relayGrace is how much longer than its hold a watch may wait for a leader and for
-	// the lease.
+	// relayGrace is how much longer than its hold time a watch may wait for a leader and a
+	// lease.
 	relayGrace = 400 * time.Millisecond
-	// relayPollInterval is how often a watch looks whether there is a leader, or a revision.
+	// relayPollInterval is how often a waiting watch checks for a leader or for a revision.
 	relayPollInterval = 10 * time.Millisecond
 )
 
@@ -30,22 +30,22 @@
 	Renew(ctx context.Context, leader string, r *noderpc.RenewRequest) (*noderpc.RenewReply, error)
 }
 
-// relay renews the leases of the entries whose watches this process answers although it does
-// not lead, many in one message.
+// relay renews the leases of the entries whose watches this process serves without leading. One
+// call renews many leases.
 //
-// Load: a thousand entries watch. Answered by the leader alone, each change of the board is a
-// thousand answers of one process and each renewal one more; divided among the control
-// processes, the leader gets some messages a second from each.
+// Load: a thousand entries watch. A leader that served all of them would send a thousand
+// replies for each change of the board, and more to renew leases. With the watches divided
+// among the control processes, the leader gets only some calls a second from each process.
 type relay struct {
 	mu      sync.Mutex
 	waiting map[string]*noderpc.EntryHolding
-	// next is the round that will renew what waits.
+	// next is the renewal that will include the waiting entries.
 	next *renewal
-	// answered counts the watches that this process has answered for the leader.
+	// answered counts the watches that this process has served for the leader.
 	answered uint64
 }
 
-// renewal is one message to the leader. done closes with its outcome.
+// renewal is one call to the leader. done closes when reply and err are set.
 type renewal struct {
 	done  chan struct{}
 	reply *noderpc.RenewReply
@@ -56,7 +56,7 @@
 	return &relay{waiting: make(map[string]*noderpc.EntryHolding), next: &renewal{done: make(chan struct{})}}
 }
 
-// note adds what an entry holds to the next message, and returns that.
+// enqueue adds an entry's holding to the next renewal, and returns that renewal.
 func (r *relay) enqueue(h *noderpc.EntryHolding) *renewal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,8 +64,8 @@
 	return r.next
 }
 
-// take returns the round that is due and what it renews, and begins another; nil if nothing
-// waits.
+// takeBatch returns the next renewal with its entries, and starts another. It returns nil if no
+// entry waits.
 func (r *relay) takeBatch() (*renewal, []*noderpc.EntryHolding) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +81,7 @@
 	return due, entries
 }
 
-// renewLoop sends what waits to the leader until the context ends.
+// renewLoop sends the waiting renewals to the leader until the context ends.
 func (s *Server) renewLoop(ctx context.Context) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
@@ -110,8 +110,8 @@
 	due.reply, due.err = s.o.Renewer.Renew(ctx, leader, r)
 }
 
-// Renew notes what entries hold and grants them leases. The leases are noted before the board
-// is read, as in grant.
+// Renew records what entries hold, and grants them leases. It records the leases before it
+// reads the board, for the reason given at grantLease.
 func (s *Server) Renew(_ context.Context, r *noderpc.RenewRequest) (*noderpc.RenewReply, error) {
 	if _, err := s.leading(); err != nil {
 		return nil, rpcError(err)
@@ -135,11 +135,12 @@
 	return reply, nil
 }
 
-// relayWatch answers the watch of an entry on a process that does not lead: from its own log,
-// with a lease that the leader has granted since the watch came.
+// relayWatch serves an entry's watch on a process that does not lead. The changes come from
+// this process's own log. The lease comes from the leader, which has granted it since the watch
+// arrived.
 //
-// While no process leads, the watch is held and not refused: a thousand entries that are
-// refused ask again at once, all of them, for as long as an election takes.
+// While there is no leader, relayWatch holds the watch instead of refusing it. A thousand
+// refused entries would all retry at once for as long as the election takes.
 func (s *Server) relayWatch(ctx context.Context, r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
 	if e := s.checkRelay(r); e != nil {
 		return nil, rpcError(e)
@@ -162,19 +163,19 @@
 	return s.replyTo(r, granted.Term, time.Duration(granted.LeaseMs)*time.Millisecond)
 }
 
-// checkRelay refuses a watch that only the leader can answer: of an entry that is not registered
-// as it says, or that holds more than this process has applied.
+// checkRelay returns an error for a watch that only the leader can serve: the entry is not
+// registered with these details, or holds a newer board than this process has applied.
 func (s *Server) checkRelay(r *noderpc.WatchRequest) error {
 	board := s.o.Machine.Board()
 	if board.Entries[r.EntryId] == entryOf(r) && r.ClusterId == board.ClusterID && r.HaveRevision <= board.Revision {
 		return nil
 	}
-	return failure.New(failure.TypeNotLeader, "this control process does not lead, and can't answer for the one that does").
+	return failure.New(failure.TypeNotLeader, "this control process does not lead, and can't answer this watch for the leader").
 		WithDetail(s.o.Consensus.Status().Leader.Address).WithRan(failure.RanNo)
 }
 
-// renewed waits until the leader has renewed an entry's lease in a message that left after
-// the call.
+// waitForRenewal waits until the leader has renewed an entry's lease in a call that was sent
+// after waitForRenewal began.
 func (s *Server) waitForRenewal(ctx context.Context, h *noderpc.EntryHolding) (*noderpc.RenewReply, error) {
 	for {
 		round := s.relay.enqueue(h)
@@ -194,7 +195,7 @@
 	}
 }
 
-// reach waits until this process has applied a revision.
+// waitForRevision waits until this process has applied a revision.
 func (s *Server) waitForRevision(ctx context.Context, revision uint64) error {
 	for s.o.Machine.Board().Revision < revision {
 		select {
@@ -207,10 +208,10 @@
 }
 
 func renewalTimedOut() error {
-	return failure.New(failure.TypeUnavailable, "the leader renewed no lease in time").WithRan(failure.RanNo)
+	return failure.New(failure.TypeUnavailable, "the leader did not renew the lease in time").WithRan(failure.RanNo)
 }
 
-// count counts an answer.
+// countAnswer counts a watch that this process has served.
 func (r *relay) countAnswer() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/relay_test.go
+++ b/internal/control/relay_test.go
@@ -19,7 +19,7 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// followingConsensus is a consensus replica that follows the one that leads.
+// followingConsensus is a consensus replica that follows a leader.
 type followingConsensus struct {
 	immediateConsensus
 	leader string
@@ -33,7 +33,7 @@
 	return s
 }
 
-// localRenewer calls a leader in the same process.
+// localRenewer renews leases through a leader in the same process.
 type localRenewer struct {
 	leader *Server
 	calls  atomic.Int64
@@ -48,7 +48,7 @@
 	return r.leader.Renew(ctx, m)
 }
 
-// relayFixture is a leader and a process that answers watches for it.
+// relayFixture is a leader and a follower that serves watches for it.
 type relayFixture struct {
 	leader, follower *Server
 	renewer          *localRenewer
@@ -73,7 +73,7 @@
 	return w
 }
 
-// apply lets the follower apply a command.
+// apply applies a command on the follower.
 func (w *relayFixture) apply(t *testing.T, c blackboard.Command) {
 	t.Helper()
 	encoded, err := blackboard.Encode(c)
@@ -81,7 +81,7 @@
 	w.follower.o.Machine.Apply(1, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
 }
 
-// both lets the leader and the follower apply a command.
+// both applies a command on the leader and on the follower.
 func (w *relayFixture) both(t *testing.T, c blackboard.Command) {
 	t.Helper()
 	var result any
@@ -93,7 +93,7 @@
 	return w.follower.Watch(w.ctx, &noderpc.WatchRequest{ClusterId: "c", EntryId: "e", HaveRevision: have, HaveConfig: 1, WaitMs: 50, Spread: true})
 }
 
-// Guards against a leader that alone answers the watches of all entries.
+// Guards against a leader that has to serve the watches of all entries itself.
 func TestAFollowerAnswersWatches(t *testing.T) {
 	w := newRelayFixture(t)
 	w.both(t, wholeConfiguration(1))
@@ -109,7 +109,7 @@
 	assert.Equal(t, w.leader.leases.holding("e").board, uint64(2))
 }
 
-// Guards against a fresh lease on a board that is older than what the leader has called in
+// Guards against a new lease on a board that is older than one the leader has reported as in
 // force.
 func TestAFollowerGrantsNoLeaseOnAnOlderBoard(t *testing.T) {
 	w := newRelayFixture(t)
@@ -126,7 +126,7 @@
 	assert.Equal(t, reply.Revision, w.leader.o.Machine.Board().Revision)
 }
 
-// Guards against entries that ask again and again while nobody leads.
+// Guards against entries that retry in a tight loop while there is no leader.
 func TestWatchesAreHeldWhileThereIsNoLeader(t *testing.T) {
 	w := newRelayFixture(t)
 	w.renewer.fails.Store(true)
@@ -135,7 +135,8 @@
 	assert.NilError(t, err)
 }
 
-// Guards against an entry that only the leader can register, or that is ahead.
+// Guards against a follower that serves an entry which only the leader can register, or an
+// entry whose board is newer than the follower's.
 func TestAFollowerRefusesWatchesThatOnlyTheLeaderCanAnswer(t *testing.T) {
 	w := newRelayFixture(t)
 	_, err := w.follower.Watch(w.ctx, &noderpc.WatchRequest{ClusterId: "c", EntryId: "new", WaitMs: 50, Spread: true})
@@ -144,7 +145,7 @@
 	assert.ErrorContains(t, err, "can't answer")
 }
 
-// Guards against messages to the leader that grow with the entries.
+// Guards against calls to the leader that grow with the number of entries.
 func TestManyEntriesAreRenewedInFewMessages(t *testing.T) {
 	const entries = 500
 	w := newRelayFixture(t)
--- a/internal/control/slots.go
+++ b/internal/control/slots.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// answersPerSecond is how many watches a control process answers with a change in a
-	// second: a part of a small VM's processor while everything changes.
+	// answersPerSecond is how many watches with a change a control process answers each second.
+	// It keeps the answers to a part of a small VM's processor while everything changes.
 	answersPerSecond = 800
-	// maxSlotPeriod bounds the time between two slots of an entry: with the time that a
-	// watch is held it stays below the timeout of the call.
+	// maxSlotPeriod bounds the time between two slots of an entry. Added to the time that a
+	// watch is held, it stays below the timeout of the call.
 	maxSlotPeriod = 400 * time.Millisecond
 )
 
-// untilSlot returns how long the answer to an entry's watch waits when something has
-// changed. Each entry has slots at regular times of its own, spread evenly over all
-// entries; what changes between two slots is told together.
+// untilSlot returns how long the reply to an entry's watch waits after a change. Each entry has
+// slots at a regular interval. Its phase is a hash of its ID, so the slots of all entries are
+// spread evenly. One reply carries all changes between two slots.
 //
-// Load: a pool of a thousand VMs starts; for some seconds the board changes twenty times
-// a second, and two hundred entries watch it. Harm of telling each change to each entry
-// at once: heartbeats of the consensus wait behind the answers, and the leader loses its
-// leadership. Reason for slots and not for a pause after each change: the answers come
-// evenly, and with few entries they wait for next to nothing.
+// Load: a pool of a thousand VMs starts. For some seconds the board changes twenty times a
+// second while two hundred entries watch it. If each change went to each entry at once,
+// heartbeats of the consensus would wait behind the replies and the leader would lose its
+// leadership. Slots spread the replies evenly, which a pause after each change would not, and
+// hardly delay them when there are few entries.
 func untilSlot(entry string, entries int, now time.Time) time.Duration {
 	period := min(time.Duration(entries)*time.Second/answersPerSecond, maxSlotPeriod)
 	if period <= 0 {
--- a/internal/control/slots_test.go
+++ b/internal/control/slots_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A pool starts and the board changes every 50 ms for some seconds while 195 entries
-// watch it. Told of each change at once, they cost the leader 3,900 answers a second,
-// and its consensus lost the lead five times. The answers must stay within what the
-// leader can give, come evenly, and still reach each entry within the time of a slot.
+// Guards against bursts of replies. A pool starts, and the board changes every 50 ms for some
+// seconds while 195 entries watch. With a reply to each entry for each change, the leader sent
+// 3,900 replies a second and lost the leadership five times. The replies must stay within the
+// leader's capacity, be spread evenly, and still reach each entry within one slot period.
 func TestAnswersToManyWatchersAreSpreadEvenly(t *testing.T) {
 	const entries, seconds = 195, 5
 	start := time.Unix(1_700_000_000, 0)
@@ -33,8 +33,8 @@
 	}
 }
 
-// A small deployment must not pay for the large one: a group that has broken is told
-// to its few entries almost at once.
+// Guards against slots that delay replies in a small deployment. The few entries there must get
+// the news of a broken group almost at once.
 func TestFewWatchersAreAnsweredAlmostAtOnce(t *testing.T) {
 	for at := range 100 {
 		now := time.Unix(1_700_000_000, int64(at)*1_234_567)
--- a/internal/control/stalled.go
+++ b/internal/control/stalled.go
@@ -12,9 +12,9 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Suspect takes an entry's report that groups make no progress. The entries have
-// requests running on them and so see it seconds before silence of a member
-// would show.
+// Suspect handles an entry's report that groups make no progress. Entries have requests running
+// on the groups, so they notice a stall seconds before a member's missing announcements would
+// reveal it.
 func (s *Server) Suspect(_ context.Context, r *noderpc.SuspectRequest) (*noderpc.SuspectReply, error) {
 	if _, err := s.leading(); err != nil {
 		return nil, rpcError(err)
@@ -47,7 +47,7 @@
 	}
 }
 
-// stalledGroups returns the groups that entries are believed to see stand still.
+// stalledGroups returns the groups that count as stalled by the entries' reports.
 func (s *Server) stalledGroups(now time.Time, board *blackboard.Board) map[controller.StalledGroup]time.Time {
 	entries := make(map[string]int)
 	for _, e := range board.Entries {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -14,12 +14,12 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// maxWatchWait bounds how long a watch is held, so that an entry's lease,
-// counted from when it sent the watch, is renewed well before it runs out.
+// maxWatchWait bounds how long a watch is held. An entry counts its lease from when it sent the
+// watch, so a short hold renews the lease well before it expires.
 const maxWatchWait = time.Second
 
-// Watch answers an entry's long poll: what changed since its revision, and a
-// new lease on the configuration that it then holds.
+// Watch serves an entry's long poll. The reply carries the changes since the entry's revision
+// and a new lease on the resulting configuration.
 func (s *Server) Watch(ctx context.Context, r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
 	if _, err := s.leading(); err != nil {
 		if r.Spread && s.o.Renewer != nil {
@@ -37,7 +37,7 @@
 	return s.answerWatch(r)
 }
 
-// answered is how many entries this process answers, the one of a watch among them.
+// answeredEntries returns how many entries this process serves, including the one of the watch.
 func (s *Server) answeredEntries(r *noderpc.WatchRequest) int {
 	entries := len(s.o.Machine.Board().Entries)
 	if !r.Spread {
@@ -46,8 +46,8 @@
 	return entries / max(1, len(s.o.Consensus.Status().Members))
 }
 
-// waitForSlot holds the answer back until the entry's turn. An entry that has no
-// board yet does not wait: it can serve nobody without one.
+// waitForSlot delays the reply until the entry's next slot. Callers skip it for an entry that
+// has no board yet, because such an entry can't serve any request.
 func (s *Server) waitForSlot(ctx context.Context, entry string, entries int) {
 	timer := time.NewTimer(untilSlot(entry, entries, time.Now()))
 	defer timer.Stop()
@@ -57,8 +57,8 @@
 	}
 }
 
-// registerEntry registers an entry before its first lease, so that a later
-// leader knows that it may hold one.
+// registerEntry registers an entry before its first lease, so that a later leader knows that
+// the entry may hold one.
 func (s *Server) registerEntry(ctx context.Context, r *noderpc.WatchRequest) error {
 	board := s.o.Machine.Board()
 	if r.ClusterId != "" && r.ClusterId != board.ClusterID {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// entryOf returns the row of the entry that watches.
+// entryOf returns the board's row for the entry that watches.
 func entryOf(r *noderpc.WatchRequest) blackboard.Entry {
 	return blackboard.Entry{
 		ID: r.EntryId, Address: r.Address, PeerAddress: r.PeerAddress, DataCentre: r.DataCentre, Deaf: r.Deaf,
@@ -89,8 +89,7 @@
 	s.leases.acknowledge(r.EntryId, r.HaveConfig, r.HaveRevision)
 }
 
-// waitForChange waits until there is something new for the entry, and tells whether
-// there is.
+// waitForChange waits until there is a change for the entry, and reports whether there is one.
 func (s *Server) waitForChange(ctx context.Context, r *noderpc.WatchRequest) bool {
 	wait := min(time.Duration(r.WaitMs)*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
@@ -108,13 +107,12 @@
 	return false
 }
 
-// answerWatch grants a lease only while this process surely leads.
+// answerWatch grants a lease only while this process is certain to lead.
 //
-// It guards against a leader that was frozen or cut off during the wait: it
-// would grant a lease on a configuration that a newer leader has replaced. The
-// lease is checked after the wait and after the board was read, by a clock
-// that counts the time frozen; while it runs no newer leader exists, so no
-// newer configuration does.
+// Failure: a leader is frozen or cut off during the wait, and grants a lease on a configuration
+// that a newer leader has replaced. The check of the leader's own lease prevents that. It comes
+// after the wait and after the board was read, and uses a clock that counts time spent frozen.
+// While the leader's lease runs, there is no newer leader and so no newer configuration.
 func (s *Server) answerWatch(r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
 	s.grantLease(r.EntryId)
 	reply, err := s.replyTo(r, 0, s.o.Lease)
@@ -129,14 +127,14 @@
 	return reply, nil
 }
 
-// replyTo returns what has changed for an entry since its revision, with a lease.
+// replyTo returns the changes for an entry since its revision, with a lease.
 func (s *Server) replyTo(r *noderpc.WatchRequest, term uint64, lease time.Duration) (*noderpc.WatchReply, error) {
 	board, patch, ok, err := s.o.Machine.PatchSince(r.HaveRevision)
 	if err != nil {
 		return nil, rpcError(err)
 	}
 	if _, known := board.Entries[r.EntryId]; !known {
-		return nil, rpcError(failure.New(failure.TypeUnavailable, "the entry was forgotten; ask again").WithRan(failure.RanNo))
+		return nil, rpcError(failure.New(failure.TypeUnavailable, "the entry is no longer registered; ask again").WithRan(failure.RanNo))
 	}
 	reply := &noderpc.WatchReply{}
 	if patch != nil {
@@ -156,9 +154,9 @@
 	return reply, nil
 }
 
-// LastKnown returns what this process has applied, leading or not, and the leader
-// if it knows one. An entry that has just started asks for it. What is applied is
-// committed, so the leader's board only ever goes on from it.
+// LastKnown returns the board that this process has applied, whether it leads or not, and the
+// leader if one is known. An entry calls it when it starts. An applied board is committed, so
+// the leader's board can only be equal or newer.
 func (s *Server) LastKnown(_ context.Context, r *noderpc.LastKnownRequest) (*noderpc.LastKnownReply, error) {
 	reply := &noderpc.LastKnownReply{
 		ControlAddresses: s.controlAddresses(), LeaderAddress: s.o.Consensus.Status().Leader.Address,
@@ -179,7 +177,7 @@
 	return reply, nil
 }
 
-// controlAddresses are the peer addresses of all control replicas.
+// controlAddresses returns the peer addresses of all control replicas.
 func (s *Server) controlAddresses() []string {
 	var addresses []string
 	for _, m := range s.o.Consensus.Status().Members {
@@ -188,16 +186,16 @@
 	return addresses
 }
 
-// grant notes the lease before the board is read. Noted after, a change
-// accepted in between would be reported in force while the answer, with the
-// board before it, gives a lapsed entry a fresh lease.
+// grantLease records the lease before the board is read. If it were recorded afterwards, a
+// change accepted in between would be reported as in force, while the reply renews the lease of
+// an entry with the board before that change.
 func (s *Server) grantLease(entry string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leases.grant(entry, clock.Now())
 }
 
-// Commit writes an entry's command to the log.
+// Commit commits an entry's command to the log.
 func (s *Server) Commit(ctx context.Context, r *noderpc.CommitRequest) (*noderpc.CommitReply, error) {
 	if _, err := s.leading(); err != nil {
 		return nil, rpcError(err)
@@ -213,7 +211,7 @@
 	return &noderpc.CommitReply{Result: result}, nil
 }
 
-// rpcError carries a toFailure failure over Twirp.
+// rpcError converts a failure to a Twirp error, which carries the type of the failure.
 func rpcError(err error) error {
 	f := failure.From(err)
 	code := twirp.Unavailable
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -16,11 +16,11 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// immediateConsensus is a consensus replica that leads and applies at once.
+// immediateConsensus is a consensus replica that leads and applies each command immediately.
 type immediateConsensus struct {
 	machine *Machine
 	voters  int
-	// after is the voters once a command was proposed; 0 leaves them.
+	// after, if not 0, is the number of voters after the next command.
 	after int
 }
 
@@ -64,15 +64,14 @@
 	}
 }
 
-// maxCatchUpBytes bounds in bytes what an entry that was away is sent: 195 entries that come
-// back together get it within a third of a second over a link of 170 Mbit/s.
+// maxCatchUpBytes bounds the reply to an entry that was absent. At this size, 195 entries that
+// return together all get their replies within a third of a second over a link of 170 Mbit/s.
 const maxCatchUpBytes = 32 << 10
 
-// All processes restart after hundreds of changes, and each entry asks for all
-// that has happened. Sent as commands that is more than the leader's link
-// carries in the time of a watch, and no entry ever catches up. An entry must get
-// what is left of the changes alone, however far behind it is, and a whole board
-// where the changes are not known any more.
+// Guards against entries that never catch up. All processes restart after hundreds of changes,
+// and each entry asks for everything since its revision. The full list of commands would exceed
+// the leader's link within the time of a watch. An entry must get one patch with the net
+// effect, however far it is behind, or a snapshot if the changes are no longer kept.
 func TestAnEntryFarBehindGetsOneCompactPatch(t *testing.T) {
 	s, _ := leadingServer(t, 0, 1)
 	for v := range uint64(300) {
@@ -109,9 +108,9 @@
 	assert.Equal(t, board.Revision, reply.Revision)
 }
 
-// A cluster has just been founded and has one voter, or loses voters while a
-// change is committed. The loss of that one disk would lose the change, so it
-// must not be acknowledged until a majority is as many disks as asked for.
+// Guards against the loss of an acknowledged change. A new cluster has one voter, or a cluster
+// loses voters during a commit, and then the loss of one disk would lose the change. It must
+// not be acknowledged until a majority of the voters is at least the required number of disks.
 func TestNoAcknowledgementOnTooFewDisks(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -122,7 +121,7 @@
 		{"four voters", 4, 0, ""},
 		{"five voters", 5, 0, ""},
 		{"three voters", 3, 0, "no"},
-		{"falls to three meanwhile", 5, 3, "unknown"},
+		{"falls to three during the commit", 5, 3, "unknown"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, consensus := leadingServer(t, 3, c.voters)
@@ -136,14 +135,15 @@
 			}
 			assert.ErrorContains(t, err, "too few control VMs")
 			board := s.o.Machine.Board()
-			assert.Equal(t, board.Config.Version == 0, c.want == "no", "what is said not to be written is not")
+			assert.Equal(t, board.Config.Version == 0, c.want == "no", "a change that is reported as not written must not be on the board")
 		})
 	}
 }
 
-// A control process whose disk was lost is back and has not caught up. An entry
-// that starts without a leader asks it; it must say that it holds nothing, and
-// once it holds a configuration it must give it whether it leads or not.
+// Guards against an empty board that counts as a configuration. A control process returns
+// without its disk's content and has not caught up, and an entry that starts without a leader
+// asks it. The process must report that it holds no configuration. Once it holds one, it must
+// return it, whether it leads or not.
 func TestLastKnownReturnsOnlyAnAppliedConfiguration(t *testing.T) {
 	empty := NewServer(Options{Machine: NewMachine(), Consensus: &immediateConsensus{}, Logger: log.NewNopLogger()})
 	reply, err := empty.LastKnown(context.Background(), &noderpc.LastKnownRequest{Board: true})
@@ -173,9 +173,9 @@
 
 func (follower) LeaseRemaining() time.Duration { return 0 }
 
-// A pool starts, and each of its VMs' rows changes some times a second, which no entry has
-// in its copy. An entry's watch must be held as if nothing had changed, and end at once
-// when a row of its copy does.
+// Guards against watches that end for changes that entries don't hold. A pool starts, and the
+// row of each VM changes several times a second. A watch must be held through these changes,
+// and end at once when a row that entries hold changes.
 func TestOnlyChangesThatConcernEntriesEndAWatch(t *testing.T) {
 	s, _ := leadingServer(t, 0, 1)
 	m := s.o.Machine
