--- a/internal/control/evacuation.go
+++ b/internal/control/evacuation.go
@@ -18,14 +18,14 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Evacuate orders the evacuation of a data centre, or ends it, through the leader, which may
-// be another process. An error says by its type whether the outcome is known; the order may
-// be sent again.
+// Evacuate orders the evacuation of a data centre, or ends it if end is set. The command goes
+// through the leader, which may be another process. The type of the error tells whether the
+// outcome is known. The order may be sent again.
 func (s *Server) Evacuate(ctx context.Context, through Committer, dataCentre string, end bool) (blackboard.EvacuationOutcome, error) {
 	return s.evacuateVia(dataCentre, end, func(encoded []byte) ([]byte, error) { return s.commitThrough(ctx, through, encoded) })
 }
 
-// evacuateVia checks an order, has it written by commit and reads the outcome.
+// evacuateVia checks an order, writes it with commit and decodes the outcome.
 func (s *Server) evacuateVia(dataCentre string, end bool, commit func(encoded []byte) ([]byte, error)) (blackboard.EvacuationOutcome, error) {
 	var outcome blackboard.EvacuationOutcome
 	if e := s.checkDataCentre(dataCentre); e != nil {
@@ -49,7 +49,7 @@
 	return outcome, nil
 }
 
-// knows refuses a data centre that neither the board nor the settings name.
+// checkDataCentre returns an error if neither the board nor the settings name the data centre.
 func (s *Server) checkDataCentre(dataCentre string) *failure.Error {
 	known := s.o.Machine.Board().DataCentres()
 	for _, named := range s.o.DataCentres {
@@ -61,7 +61,7 @@
 		return nil
 	}
 	slices.Sort(known)
-	return failure.New(failure.TypeNotFound, "no such data centre; known are "+strings.Join(known, ", ")).WithDetail(dataCentre)
+	return failure.New(failure.TypeNotFound, "unknown data centre; known data centres: "+strings.Join(known, ", ")).WithDetail(dataCentre)
 }
 
 func (s *Server) addEvacuationEvent(dataCentre string, end bool, outcome blackboard.EvacuationOutcome) {
@@ -70,12 +70,12 @@
 		text = "evacuation ended"
 	}
 	if !outcome.Changed {
-		text += ", as before"
+		text += "; nothing changed"
 	}
 	s.event("evacuation", dataCentre, text)
 }
 
-// postEvacuation and deleteEvacuation take an operator's order.
+// postEvacuation and deleteEvacuation handle an operator's order to begin or end an evacuation.
 func (s *Server) postEvacuation(c echo.Context) error { return s.changeEvacuation(c, false) }
 
 func (s *Server) deleteEvacuation(c echo.Context) error { return s.changeEvacuation(c, true) }
@@ -92,8 +92,8 @@
 	return c.JSON(http.StatusOK, adminapi.EvacuationReply{Revision: outcome.Revision, Changed: outcome.Changed})
 }
 
-// getEvacuations lists the data centres that are evacuated. Like getInForce it answers only
-// while leading, checked after the leases were read.
+// getEvacuations lists the data centres under evacuation. Like getInForce, it replies only
+// while this process leads, and checks that again after reading the leases.
 func (s *Server) getEvacuations(c echo.Context) error {
 	if _, err := s.leading(); err != nil {
 		return err
@@ -109,7 +109,7 @@
 	return c.JSON(http.StatusOK, list)
 }
 
-// evacuationOf describes one evacuation.
+// evacuationOf describes the evacuation of one data centre.
 func (s *Server) evacuationOf(board *blackboard.Board, dataCentre string) adminapi.Evacuation {
 	row := board.Evacuations[dataCentre]
 	s.mu.Lock()
--- a/internal/control/evacuation_test.go
+++ b/internal/control/evacuation_test.go
@@ -16,7 +16,7 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// selfCommitter writes commands to the server itself.
+// selfCommitter commits commands through the server itself.
 type selfCommitter struct{ s *Server }
 
 func (c selfCommitter) Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error) {
@@ -34,17 +34,17 @@
 	return s, c
 }
 
-// Guards against an order that names a data centre which nobody knows and evacuates nothing.
+// Guards against an order that names an unknown data centre, and so evacuates nothing.
 func TestEvacuationOfAnUnknownDataCentreIsRefused(t *testing.T) {
 	s, _ := evacuatingServer(t, 0, 1)
 	_, err := s.Evacuate(context.Background(), selfCommitter{s}, "est", false)
 	assert.Assert(t, failure.Is(err, failure.TypeNotFound))
 	assert.ErrorContains(t, err, "east, quiet")
 	_, err = s.Evacuate(context.Background(), selfCommitter{s}, "quiet", false)
-	assert.NilError(t, err, "one without backend servers, by the settings")
+	assert.NilError(t, err, "a data centre without backend servers that the settings name")
 }
 
-// Guards against an evacuation that is acknowledged and lost with one disk.
+// Guards against an evacuation that is acknowledged and then lost with one disk.
 func TestNoEvacuationIsAcknowledgedOnTooFewDisks(t *testing.T) {
 	s, c := evacuatingServer(t, 3, 3)
 	_, err := s.Evacuate(context.Background(), selfCommitter{s}, "east", false)
@@ -58,7 +58,8 @@
 	assert.Equal(t, again.Revision, outcome.Revision)
 }
 
-// Guards against an evacuation that is called in force while an entry may still send there.
+// Guards against an evacuation that is reported as in force while an entry may still send
+// requests to the data centre.
 func TestAnEvacuationIsInForceOnceEachEntryHoldsIt(t *testing.T) {
 	s, _ := evacuatingServer(t, 0, 1)
 	s.mu.Lock()
--- a/internal/control/replace.go
+++ b/internal/control/replace.go
@@ -15,19 +15,19 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Committer writes a command through whichever control process leads.
+// Committer writes a command through the leader, whichever control process that is.
 type Committer interface {
 	Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error)
 }
 
-// Replace writes a whole configuration through the leader, which may be
-// another process. An error says by its type whether the outcome is known; the
-// command may be sent again, as a version is taken in once.
+// Replace writes a complete configuration through the leader, which may be another process. The
+// type of the error tells whether the outcome is known. The command may be sent again, because
+// a version is applied only once.
 func (s *Server) Replace(ctx context.Context, through Committer, c *blackboard.ReplaceConfiguration) (blackboard.ReplaceOutcome, error) {
 	return replaceVia(c, func(encoded []byte) ([]byte, error) { return s.commitThrough(ctx, through, encoded) })
 }
 
-// commitThrough writes a command of the board through the leader.
+// commitThrough writes a command for the board through the leader.
 func (s *Server) commitThrough(ctx context.Context, through Committer, encoded []byte) ([]byte, error) {
 	board := s.o.Machine.Board()
 	if board.ClusterID == "" {
@@ -38,8 +38,7 @@
 	})
 }
 
-// replaceVia checks a whole configuration, has it written by commit and reads the
-// outcome.
+// replaceVia checks a complete configuration, writes it with commit and decodes the outcome.
 func replaceVia(c *blackboard.ReplaceConfiguration, commit func(encoded []byte) ([]byte, error)) (blackboard.ReplaceOutcome, error) {
 	var outcome blackboard.ReplaceOutcome
 	if e := c.Check(); e != nil {
@@ -62,7 +61,7 @@
 	return outcome, nil
 }
 
-// postWholeConfiguration takes a whole configuration from an operator.
+// postWholeConfiguration handles an operator's replacement of the complete configuration.
 func (s *Server) postWholeConfiguration(c echo.Context) error {
 	var whole blackboard.ReplaceConfiguration
 	if err := decode(c, &whole); err != nil {
@@ -78,15 +77,14 @@
 	}
 	board := s.o.Machine.Board()
 	version := strconv.FormatUint(outcome.Version, 10)
-	s.event("configuration", version, "whole configuration of version "+version+" accepted")
+	s.event("configuration", version, "complete configuration of version "+version+" accepted")
 	return c.JSON(http.StatusOK, adminapi.ReplaceReply{
 		Version: outcome.Version, Revision: board.Config.Revision, Replaced: outcome.Replaced,
 	})
 }
 
-// Newest returns the configuration in force, if this process leads and so
-// surely knows it; else a failure of type not_leader, with the leader's peer
-// address as its detail if one is known.
+// Newest returns the configuration in force if this process leads. Otherwise it returns a
+// failure of type not_leader, whose detail is the leader's peer address if that is known.
 func (s *Server) Newest(ctx context.Context) (*blackboard.Configuration, error) {
 	if err := s.o.Consensus.ReadBarrier(ctx); err != nil {
 		return nil, toFailure(err)
