--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -27,23 +27,23 @@
 // It is safe for concurrent use.
 type Client struct {
 	// seeds are the addresses of the settings.
-	seeds  []string
-	boards map[string]noderpc.Board
-	http   *http.Client
+	seeds   []string
+	clients map[string]noderpc.Board
+	http    *http.Client
 
 	mu     sync.Mutex
 	leader string
 	next   int
 	// addresses are those that the cluster names, then the seeds.
 	addresses []string
-	// avoided holds until when a process gets no spread watches.
-	avoided map[string]time.Time
+	// avoidedUntil holds until when a process gets no spread watches.
+	avoidedUntil map[string]time.Time
 }
 
 // New returns a client of the control processes at the addresses. The HTTP
 // client adds the secret between our processes to each call.
 func New(addresses []string, client *http.Client) *Client {
-	return &Client{seeds: addresses, addresses: addresses, boards: make(map[string]noderpc.Board), http: client, avoided: make(map[string]time.Time)}
+	return &Client{seeds: addresses, addresses: addresses, clients: make(map[string]noderpc.Board), http: client, avoidedUntil: make(map[string]time.Time)}
 }
 
 // Learn takes in where the cluster's control processes are. The addresses of
@@ -63,9 +63,9 @@
 			all = append(all, seed)
 		}
 	}
-	for address := range c.boards {
+	for address := range c.clients {
 		if !slices.Contains(all, address) {
-			delete(c.boards, address)
+			delete(c.clients, address)
 		}
 	}
 	c.addresses = all
@@ -88,24 +88,24 @@
 }
 
 // known returns how many control processes there are to ask.
-func (c *Client) known() int {
+func (c *Client) processCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.addresses)
 }
 
-func (c *Client) board() (string, noderpc.Board) {
+func (c *Client) leaderClient() (string, noderpc.Board) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	address := c.leader
 	if address == "" {
 		address = c.addresses[c.next%len(c.addresses)]
 	}
-	return address, c.at(address)
+	return address, c.clientLocked(address)
 }
 
 // learn takes from an answer where the leader is.
-func (c *Client) learn(address string, err error) {
+func (c *Client) recordResult(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
@@ -113,7 +113,7 @@
 		return
 	}
 	c.leader = ""
-	if !refused(err) {
+	if !isRefusal(err) {
 		// No answer, or a broken one: what sits idle beside that connection
 		// may have gone silent with it, and each call would find one more.
 		c.http.CloseIdleConnections()
@@ -140,21 +140,21 @@
 // and names it.
 func (c *Client) Watch(ctx context.Context, r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
 	if r.Spread {
-		if address, ok := c.spreadTo(time.Now(), r.EntryId); ok {
+		if address, ok := c.watchTarget(time.Now(), r.EntryId); ok {
 			reply, err := c.watchAt(ctx, address, r)
-			if !c.followTo(address, err) {
-				return reply, errors.Trace(typed(err))
+			if !c.followRedirect(address, err) {
+				return reply, errors.Trace(toFailure(err))
 			}
 		}
 	}
-	address, b := c.board()
+	address, b := c.leaderClient()
 	reply, err := b.Watch(ctx, r)
-	c.learn(address, err)
-	return reply, errors.Trace(typed(err))
+	c.recordResult(address, err)
+	return reply, errors.Trace(toFailure(err))
 }
 
 // follow makes the next call go to the leader that a control process names.
-func (c *Client) follow(leader string) {
+func (c *Client) setLeader(leader string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = leader
@@ -162,35 +162,35 @@
 
 // followTo makes the next call go to the leader that a process has named in its refusal,
 // and tells whether it has named another one than itself.
-func (c *Client) followTo(address string, err error) bool {
+func (c *Client) followRedirect(address string, err error) bool {
 	leader := leaderIn(err)
 	if leader == "" || leader == address {
 		return false
 	}
-	c.follow(leader)
+	c.setLeader(leader)
 	return true
 }
 
 // all returns the addresses of all known control processes.
-func (c *Client) all() []string {
+func (c *Client) allAddresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.addresses)
 }
 
 // boardOf returns the client of one control process.
-func (c *Client) boardOf(address string) noderpc.Board {
+func (c *Client) clientFor(address string) noderpc.Board {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.at(address)
+	return c.clientLocked(address)
 }
 
 // at returns the client of one control process. The lock is held.
-func (c *Client) at(address string) noderpc.Board {
-	b, ok := c.boards[address]
+func (c *Client) clientLocked(address string) noderpc.Board {
+	b, ok := c.clients[address]
 	if !ok {
 		b = noderpc.NewBoardProtobufClient("http://"+address, c.http)
-		c.boards[address] = b
+		c.clients[address] = b
 	}
 	return b
 }
@@ -198,15 +198,15 @@
 // Suspect tells the leader of groups without progress.
 func (c *Client) Suspect(ctx context.Context, r *noderpc.SuspectRequest) error {
 	var err error
-	for range 2 * c.known() {
-		address, b := c.board()
+	for range 2 * c.processCount() {
+		address, b := c.leaderClient()
 		_, err = b.Suspect(ctx, r)
-		c.learn(address, err)
-		if err == nil || !refused(err) || ctx.Err() != nil {
+		c.recordResult(address, err)
+		if err == nil || !isRefusal(err) || ctx.Err() != nil {
 			break
 		}
 	}
-	return errors.Trace(typed(err))
+	return errors.Trace(toFailure(err))
 }
 
 // Commit writes a command through the leader. It follows refusals that prove
@@ -214,23 +214,23 @@
 // only a command that is safe to write twice may be sent again.
 func (c *Client) Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error) {
 	var err error
-	for range 2 * c.known() {
-		address, b := c.board()
+	for range 2 * c.processCount() {
+		address, b := c.leaderClient()
 		var reply *noderpc.CommitReply
 		reply, err = b.Commit(ctx, r)
-		c.learn(address, err)
+		c.recordResult(address, err)
 		if err == nil {
 			return reply.Result, nil
 		}
-		if !refused(err) || ctx.Err() != nil {
+		if !isRefusal(err) || ctx.Err() != nil {
 			break
 		}
 	}
-	return nil, errors.Trace(typed(err))
+	return nil, errors.Trace(toFailure(err))
 }
 
-// refused tells whether the process said that it did not write the command.
-func refused(err error) bool {
+// isRefusal tells whether the process said that it did not write the command.
+func isRefusal(err error) bool {
 	var te twirp.Error
 	if !errors.As(err, &te) {
 		return false
@@ -242,7 +242,7 @@
 	return false
 }
 
-func typed(err error) error {
+func toFailure(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/controlclient/pace.go
+++ b/internal/controlclient/pace.go
@@ -15,19 +15,19 @@
 	// farthest data centres. A VM that has no power yet does not answer at all, and each
 	// question tries it anew.
 	lastKnownTimeout = 200 * time.Millisecond
-	// lastKnownTimeoutMost bounds a later one.
-	lastKnownTimeoutMost = 800 * time.Millisecond
-	// lastKnownPause is the wait before a process is asked again that gave no
+	// maxLastKnownTimeout bounds a later one.
+	maxLastKnownTimeout = 800 * time.Millisecond
+	// lastKnownRetryPause is the wait before a process is asked again that gave no
 	// answer; one that is just starting refuses connections for some tenths of a
 	// second, which costs it nothing.
-	lastKnownPause = 30 * time.Millisecond
-	// lastKnownAgain is the same for one that answered: all entries ask at once
+	lastKnownRetryPause = 30 * time.Millisecond
+	// lastKnownRepeatInterval is the same for one that answered: all entries ask at once
 	// while it has its log to apply.
-	lastKnownAgain = 150 * time.Millisecond
-	// lastKnownStep is the time before one more process is asked.
-	lastKnownStep = 30 * time.Millisecond
-	// lastKnownRate is how many questions a second a control process is meant to get.
-	lastKnownRate = 1000
+	lastKnownRepeatInterval = 150 * time.Millisecond
+	// lastKnownStepInterval is the time before one more process is asked.
+	lastKnownStepInterval = 30 * time.Millisecond
+	// lastKnownCallsPerSecond is how many questions a second a control process is meant to get.
+	lastKnownCallsPerSecond = 1000
 )
 
 // pace says when an entry that has just started asks control processes, from what it has seen.
@@ -39,38 +39,38 @@
 	// entries is how many entries ask, as far as a process has told.
 	entries int
 	// late is how many questions in a row had no answer in time.
-	late int
+	timeouts int
 }
 
 // learn takes in an answer.
-func (p *pace) learn(reply *noderpc.LastKnownReply) {
+func (p *pace) observe(reply *noderpc.LastKnownReply) {
 	p.entries = max(p.entries, int(reply.Entries))
-	p.late = 0
+	p.timeouts = 0
 }
 
 // step is the time before one more of all control processes is asked.
 func (p *pace) step(processes int) time.Duration {
-	return max(lastKnownStep, p.share()/time.Duration(max(1, processes)))
+	return max(lastKnownStepInterval, p.roundTime()/time.Duration(max(1, processes)))
 }
 
 // timeout bounds the next question. It grows while answers are late: what is given up is
 // worked on all the same.
 func (p *pace) timeout() time.Duration {
-	return min(lastKnownTimeout<<min(p.late, 2), lastKnownTimeoutMost)
+	return min(lastKnownTimeout<<min(p.timeouts, 2), maxLastKnownTimeout)
 }
 
 // pause is the time before the same process is asked again, after an answer or an error.
 func (p *pace) pause(err error) time.Duration {
 	if err == nil {
-		return max(lastKnownAgain, p.share())
+		return max(lastKnownRepeatInterval, p.roundTime())
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		p.late++
+		p.timeouts++
 	}
-	return lastKnownPause
+	return lastKnownRetryPause
 }
 
 // share is the time in which a process is meant to answer each entry once.
-func (p *pace) share() time.Duration {
-	return time.Duration(p.entries) * time.Second / lastKnownRate
+func (p *pace) roundTime() time.Duration {
+	return time.Duration(p.entries) * time.Second / lastKnownCallsPerSecond
 }
--- a/internal/controlclient/pace_test.go
+++ b/internal/controlclient/pace_test.go
@@ -12,10 +12,10 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// start replays, on a virtual clock, entries that all start at once and ask control
+// surveySimulation replays, on a virtual clock, entries that all surveySimulation at once and ask control
 // processes, each of which answers in the order of arrival, also what nobody waits for
 // any more.
-type start struct {
+type surveySimulation struct {
 	now    time.Duration
 	due    events
 	free   []time.Duration
@@ -43,10 +43,10 @@
 	return last
 }
 
-func (s *start) after(d time.Duration, do func()) { heap.Push(&s.due, event{s.now + d, do}) }
+func (s *surveySimulation) after(d time.Duration, do func()) { heap.Push(&s.due, event{s.now + d, do}) }
 
 // run plays until a time or until all entries are served.
-func (s *start) run(entries int, until time.Duration) {
+func (s *surveySimulation) run(entries int, until time.Duration) {
 	for len(s.due) > 0 && s.served < entries && s.now < until {
 		next := heap.Pop(&s.due).(event)
 		s.now = next.at
@@ -54,15 +54,15 @@
 	}
 }
 
-// asking is one entry's survey.
-type asking struct {
-	s      *start
+// simulatedEntry is one entry's survey.
+type simulatedEntry struct {
+	s      *surveySimulation
 	order  []int
 	pace   pace
 	served bool
 }
 
-func (a *asking) widen() {
+func (a *simulatedEntry) widen() {
 	if a.served || len(a.order) == 0 {
 		return
 	}
@@ -72,7 +72,7 @@
 	a.s.after(a.pace.step(len(a.s.free)), a.widen)
 }
 
-func (a *asking) ask(process int, p *pace) {
+func (a *simulatedEntry) ask(process int, p *pace) {
 	if a.served {
 		return
 	}
@@ -81,7 +81,7 @@
 	a.s.free[process] = done
 	took, timeout := done-a.s.now, p.timeout()
 	if took <= timeout {
-		a.s.after(took, a.take)
+		a.s.after(took, a.finish)
 		return
 	}
 	a.s.after(timeout, func() {
@@ -90,7 +90,7 @@
 }
 
 // take ends the survey: the answer names the leader.
-func (a *asking) take() {
+func (a *simulatedEntry) finish() {
 	if a.served {
 		return
 	}
@@ -99,14 +99,14 @@
 	a.s.lastServed = a.s.now
 }
 
-// Failure: two thousand entries start at once, and the control processes work on questions
+// Failure: two thousand entries surveySimulation at once, and the control processes work on questions
 // that nobody waits for any more, for as long as entries ask anew.
 func TestControlProcessesKeepUpWithEntriesThatStartTogether(t *testing.T) {
 	const entries, processes = 2000, 10
-	s := &start{free: make([]time.Duration, processes), answer: time.Millisecond}
+	s := &surveySimulation{free: make([]time.Duration, processes), answer: time.Millisecond}
 	random := rand.New(rand.NewPCG(1, 2))
 	for range entries {
-		a := &asking{s: s, order: random.Perm(processes)}
+		a := &simulatedEntry{s: s, order: random.Perm(processes)}
 		s.after(0, a.widen)
 	}
 	s.run(entries, time.Minute)
@@ -116,12 +116,12 @@
 }
 
 // Failure: nobody leads, and all entries repeat their questions at the pace of a small site.
-func TestQuestionsAreRepeatedAtAPaceByTheNumberOfEntries(t *testing.T) {
+func TestSurveyIntervalsGrowWithTheNumberOfEntries(t *testing.T) {
 	var few, many pace
-	few.learn(&noderpc.LastKnownReply{Entries: 9})
-	many.learn(&noderpc.LastKnownReply{Entries: 2000})
-	assert.Equal(t, few.pause(nil), lastKnownAgain)
+	few.observe(&noderpc.LastKnownReply{Entries: 9})
+	many.observe(&noderpc.LastKnownReply{Entries: 2000})
+	assert.Equal(t, few.pause(nil), lastKnownRepeatInterval)
 	assert.Equal(t, many.pause(nil), 2*time.Second)
-	assert.Equal(t, few.step(3), lastKnownStep)
+	assert.Equal(t, few.step(3), lastKnownStepInterval)
 	assert.Equal(t, many.step(10), 200*time.Millisecond)
 }
--- a/internal/controlclient/spread.go
+++ b/internal/controlclient/spread.go
@@ -13,18 +13,18 @@
 // How long a process gets no spread watches of this entry: after a refusal, and after no
 // answer. A silent one costs a whole watch each time.
 const (
-	avoidRefusing = 2 * time.Second
-	avoidSilent   = 15 * time.Second
+	avoidAfterRefusal = 2 * time.Second
+	avoidAfterTimeout = 15 * time.Second
 )
 
-// spreadTo returns the control process that answers an entry's watches, by rendezvous
-// hashing; false if all are avoided.
-func (c *Client) spreadTo(now time.Time, entry string) (best string, found bool) {
+// watchTarget returns the control process that answers an entry's watches, by rendezvous
+// hashing; false if all are avoidedUntil.
+func (c *Client) watchTarget(now time.Time, entry string) (best string, found bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var most uint64
 	for _, address := range c.addresses {
-		if now.Before(c.avoided[address]) {
+		if now.Before(c.avoidedUntil[address]) {
 			continue
 		}
 		if w := xxhash.Sum64String(entry + "\x00" + address); !found || w > most {
@@ -35,7 +35,7 @@
 }
 
 func (c *Client) watchAt(ctx context.Context, address string, r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
-	reply, err := c.boardOf(address).Watch(ctx, r)
+	reply, err := c.clientFor(address).Watch(ctx, r)
 	if err != nil {
 		c.avoid(time.Now(), address, ctx.Err() != nil)
 	}
@@ -45,17 +45,17 @@
 // avoid keeps further watches from a process that gave none; silent says that it gave no
 // answer at all in time.
 func (c *Client) avoid(now time.Time, address string, silent bool) {
-	wait := avoidRefusing
+	wait := avoidAfterRefusal
 	if silent {
-		wait = avoidSilent
+		wait = avoidAfterTimeout
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.avoided[address] = now.Add(wait)
+	c.avoidedUntil[address] = now.Add(wait)
 }
 
 // Renew calls the leader to renew leases of entries whose watches the caller answers.
 func (c *Client) Renew(ctx context.Context, leader string, r *noderpc.RenewRequest) (*noderpc.RenewReply, error) {
-	reply, err := c.boardOf(leader).Renew(ctx, r)
-	return reply, errors.Trace(typed(err))
+	reply, err := c.clientFor(leader).Renew(ctx, r)
+	return reply, errors.Trace(toFailure(err))
 }
--- a/internal/controlclient/spread_test.go
+++ b/internal/controlclient/spread_test.go
@@ -36,7 +36,7 @@
 
 // Failure: a thousand entries start for the first time, and each asks one follower after the
 // other, none of which knows it, with a survey of all control processes before each watch.
-func TestAnEntryThatFollowersDoNotKnowAsksTheLeaderAtOnce(t *testing.T) {
+func TestAWatchThatAFollowerRefusesGoesToTheLeaderAtOnce(t *testing.T) {
 	leader := &board{watch: func() (*noderpc.WatchReply, error) { return &noderpc.WatchReply{Revision: 7}, nil }}
 	at := serve(t, leader)
 	refusing := func() (*noderpc.WatchReply, error) {
--- a/internal/controlclient/survey.go
+++ b/internal/controlclient/survey.go
@@ -31,11 +31,11 @@
 		return nil, errors.Trace(err)
 	}
 	if best.reply.LeaderAddress != "" {
-		c.follow(best.reply.LeaderAddress)
+		c.setLeader(best.reply.LeaderAddress)
 		return best.reply, nil
 	}
-	reply, err := c.boardOf(best.address).LastKnown(ctx, &noderpc.LastKnownRequest{Board: true})
-	return reply, errors.Trace(typed(err))
+	reply, err := c.clientFor(best.address).LastKnown(ctx, &noderpc.LastKnownRequest{Board: true})
+	return reply, errors.Trace(toFailure(err))
 }
 
 // lastKnown is one control process's answer.
@@ -49,22 +49,22 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answers := make(chan lastKnown)
-	poll := newPoll(shuffled(c.all()))
-	unasked, pace := poll.known, pace{}
+	tally := newTally(shuffled(c.allAddresses()))
+	unasked, pace := tally.known, pace{}
 	widen := time.NewTimer(0)
 	defer widen.Stop()
 	for {
 		select {
 		case <-widen.C:
 			if len(unasked) > 0 {
-				go c.ask(ctx, unasked[0], answers)
+				go c.askRepeatedly(ctx, unasked[0], answers)
 				unasked = unasked[1:]
 			}
-			widen.Reset(pace.step(len(poll.known)))
+			widen.Reset(pace.step(len(tally.known)))
 		case a := <-answers:
-			pace.learn(a.reply)
-			unasked = append(unasked, poll.learn(a.reply.ControlAddresses)...)
-			if best, ok := poll.take(a); ok {
+			pace.observe(a.reply)
+			unasked = append(unasked, tally.setMembers(a.reply.ControlAddresses)...)
+			if best, ok := tally.add(a); ok {
 				return best, nil
 			}
 		case <-ctx.Done():
@@ -81,12 +81,12 @@
 }
 
 // ask passes on each answer of one control process until the context ends.
-func (c *Client) ask(ctx context.Context, address string, answers chan<- lastKnown) {
+func (c *Client) askRepeatedly(ctx context.Context, address string, answers chan<- lastKnown) {
 	var pace pace
 	for ctx.Err() == nil {
 		reply, err := c.askOnce(ctx, address, pace.timeout())
 		if err == nil {
-			pace.learn(reply)
+			pace.observe(reply)
 			select {
 			case answers <- lastKnown{address, reply}:
 			case <-ctx.Done():
@@ -102,30 +102,30 @@
 func (c *Client) askOnce(ctx context.Context, address string, timeout time.Duration) (*noderpc.LastKnownReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := c.boardOf(address).LastKnown(ctx, &noderpc.LastKnownRequest{})
+	reply, err := c.clientFor(address).LastKnown(ctx, &noderpc.LastKnownRequest{})
 	if err != nil && ctx.Err() != nil {
 		return nil, errors.Trace(ctx.Err())
 	}
 	return reply, errors.Trace(err)
 }
 
-// poll gathers the answers of one survey.
-type poll struct {
+// tally gathers the answers of one survey.
+type tally struct {
 	// known are the control processes: those of the settings, and the cluster's
 	// own in their place once one has named them.
-	known  []string
-	named  bool
-	latest map[string]lastKnown
+	known      []string
+	hasMembers bool
+	latest     map[string]lastKnown
 }
 
-func newPoll(known []string) *poll {
-	return &poll{known: slices.Clone(known), latest: make(map[string]lastKnown)}
+func newTally(known []string) *tally {
+	return &tally{known: slices.Clone(known), latest: make(map[string]lastKnown)}
 }
 
 // learn takes in which control processes the cluster has, and returns those that
 // have not been asked.
-func (p *poll) learn(members []string) (fresh []string) {
-	if p.named || len(members) == 0 {
+func (p *tally) setMembers(members []string) (fresh []string) {
+	if p.hasMembers || len(members) == 0 {
 		return nil
 	}
 	for _, address := range members {
@@ -133,13 +133,13 @@
 			fresh = append(fresh, address)
 		}
 	}
-	p.known, p.named = slices.Clone(members), true
+	p.known, p.hasMembers = slices.Clone(members), true
 	return fresh
 }
 
 // take notes an answer, and returns the one that counts if there is: the first
 // that names a leader, or else the newest board of a majority.
-func (p *poll) take(a lastKnown) (lastKnown, bool) {
+func (p *tally) add(a lastKnown) (lastKnown, bool) {
 	if a.reply.LeaderAddress != "" {
 		return a, true
 	}
--- a/internal/controlclient/survey_test.go
+++ b/internal/controlclient/survey_test.go
@@ -12,7 +12,7 @@
 // hundreds of changes and is the first to answer, and the disks of two of the
 // three that the settings name were lost. Neither may decide alone what is
 // served under, and the two others that only the cluster knows of must be asked.
-func TestTheNewestBoardOfAMajority(t *testing.T) {
+func TestLastKnownIsTheNewestBoardOfAMajority(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	at := func(address string, revision uint64) lastKnown {
 		return lastKnown{address, &noderpc.LastKnownReply{Revision: revision}}
@@ -36,13 +36,13 @@
 		{"one knows a leader", []lastKnown{at("a", 3), led}, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPoll([]string{"a", "b", "c"})
+			p := newTally([]string{"a", "b", "c"})
 			var best lastKnown
 			done := false
 			for _, a := range c.answers {
 				assert.Assert(t, !done, "decided too early")
-				p.learn(a.reply.ControlAddresses)
-				best, done = p.take(a)
+				p.setMembers(a.reply.ControlAddresses)
+				best, done = p.add(a)
 			}
 			assert.Equal(t, done, c.done)
 			if done {
@@ -50,7 +50,7 @@
 			}
 		})
 	}
-	p := newPoll([]string{"a", "b", "c"})
-	assert.DeepEqual(t, p.learn(members), []string{"d", "e"})
-	assert.Equal(t, len(p.learn(members)), 0)
+	p := newTally([]string{"a", "b", "c"})
+	assert.DeepEqual(t, p.setMembers(members), []string{"d", "e"})
+	assert.Equal(t, len(p.setMembers(members)), 0)
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -44,9 +44,9 @@
 type Follower struct {
 	o Options
 
-	mu    sync.Mutex
-	board *blackboard.Board
-	until clock.Boot
+	mu         sync.Mutex
+	board      *blackboard.Board
+	leaseUntil clock.Boot
 	// granted is the length of the last lease.
 	granted time.Duration
 	// entries is how many entries the control processes named at the start; Run alone uses it.
@@ -68,11 +68,11 @@
 	// watchWait is how long the leader may hold a watch with nothing new.
 	watchWait = 500 * time.Millisecond
 	// watchTimeout ends a watch on a connection that has gone silent. It is
-	// shorter than the lease, so that another control process is asked
+	// shorter than the lease, so that another control process is sentAt
 	// before the lease runs out.
 	watchTimeout = 1200 * time.Millisecond
-	// spreadFrom is from how many entries on the control processes share the watches.
-	spreadFrom = 400
+	// spreadMinEntries is from how many entries on the control processes share the watches.
+	spreadMinEntries = 400
 	// watchPause keeps a refused watch from spinning.
 	watchPause = 50 * time.Millisecond
 )
@@ -93,7 +93,7 @@
 func (f *Follower) Lease() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(0, f.until.Sub(clock.Now()))
+	return max(0, f.leaseUntil.Sub(clock.Now()))
 }
 
 // Granted returns the length of the leases that the leader grants, 0 before
@@ -107,23 +107,23 @@
 // Run follows the leader until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := f.next(ctx); err != nil {
+		if err := f.callOnce(ctx); err != nil {
 			_ = level.Debug(f.o.Logger).Log("event", "watch_failed", "err", err)
-			pause(ctx, watchPause)
+			sleep(ctx, watchPause)
 		}
 	}
 }
 
 // next makes one call to the control processes.
-func (f *Follower) next(ctx context.Context) error {
+func (f *Follower) callOnce(ctx context.Context) error {
 	if !f.o.StartWithoutLease || f.Board().Revision > 0 {
-		return f.step(ctx)
+		return f.watchOnce(ctx)
 	}
-	led, err := f.begin(ctx)
+	led, err := f.startFromLastKnown(ctx)
 	if err != nil || !led {
 		return errors.Trace(err)
 	}
-	return f.step(ctx)
+	return f.watchOnce(ctx)
 }
 
 // begin asks all control processes what they last knew. It tells whether there
@@ -137,14 +137,14 @@
 // refused, and come back at once on top of the others. The board holds what is
 // committed, so the leader's only ever goes on from it; it may lack the last
 // change until then.
-func (f *Follower) begin(ctx context.Context) (led bool, err error) {
+func (f *Follower) startFromLastKnown(ctx context.Context) (led bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	reply, err := f.o.Watcher.LastKnown(ctx)
 	if err != nil {
 		return false, errors.Trace(err)
 	}
-	f.tellControl(reply.ControlAddresses)
+	f.notifyControl(reply.ControlAddresses)
 	f.entries = int(reply.Entries)
 	if reply.LeaderAddress != "" {
 		return true, nil
@@ -155,18 +155,18 @@
 	}
 	_ = level.Info(f.o.Logger).Log("event", "started_without_leader", "board", next.Revision,
 		"configuration", next.Config.Revision, "reason", "no control process leads; this is what a majority last knew")
-	f.take(next, clock.Now(), 0)
+	f.publish(next, clock.Now(), 0)
 	return false, nil
 }
 
-// tellControl passes on where the control processes are.
-func (f *Follower) tellControl(addresses []string) {
+// notifyControl passes on where the control processes are.
+func (f *Follower) notifyControl(addresses []string) {
 	if f.o.OnControl != nil {
 		f.o.OnControl(addresses)
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -175,9 +175,9 @@
 	}
 }
 
-func (f *Follower) step(ctx context.Context) error {
+func (f *Follower) watchOnce(ctx context.Context) error {
 	board := f.Board()
-	asked := clock.Now()
+	sentAt := clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	reply, err := f.o.Watcher.Watch(ctx, &noderpc.WatchRequest{
@@ -189,7 +189,7 @@
 		HaveRevision: board.Revision,
 		HaveConfig:   board.Config.Revision,
 		WaitMs:       watchWait.Milliseconds(),
-		Spread:       max(len(board.Entries), f.entries) >= spreadFrom,
+		Spread:       max(len(board.Entries), f.entries) >= spreadMinEntries,
 		Deaf:         f.o.Entry.Deaf,
 	})
 	if err != nil {
@@ -199,8 +199,8 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	f.tellControl(reply.ControlAddresses)
-	f.take(next, asked, time.Duration(reply.LeaseMs)*time.Millisecond)
+	f.notifyControl(reply.ControlAddresses)
+	f.publish(next, sentAt, time.Duration(reply.LeaseMs)*time.Millisecond)
 	return nil
 }
 
@@ -231,14 +231,14 @@
 
 // take publishes the board before the lease that was granted with it, so that
 // nothing is admitted under the lease with an older board.
-func (f *Follower) take(next *blackboard.Board, asked clock.Boot, lease time.Duration) {
-	until := asked.Add(lease)
+func (f *Follower) publish(next *blackboard.Board, sentAt clock.Boot, lease time.Duration) {
+	until := sentAt.Add(lease)
 	f.mu.Lock()
 	f.granted = lease
 	changed := next.Revision != f.board.Revision
 	f.board = next
-	if until > f.until {
-		f.until = until
+	if until > f.leaseUntil {
+		f.leaseUntil = until
 	}
 	f.mu.Unlock()
 	if changed && f.o.OnChange != nil {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -16,11 +16,11 @@
 // leader answers watches from a list of commands, and can be made to answer
 // from an earlier state, as a leader does that was cut off long ago.
 type leader struct {
-	commands [][]byte
-	have     int
-	snapshot bool
-	delay    time.Duration
-	asked    uint64
+	commands    [][]byte
+	have        int
+	snapshot    bool
+	delay       time.Duration
+	askedConfig uint64
 	// leaderless refuses watches.
 	leaderless bool
 	// lastKnown counts the questions for what was last known.
@@ -41,7 +41,7 @@
 }
 
 func (l *leader) Watch(_ context.Context, r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
-	l.asked = r.HaveConfig
+	l.askedConfig = r.HaveConfig
 	if l.leaderless {
 		return nil, failure.New(failure.TypeNotLeader, "this control process does not lead")
 	}
@@ -81,44 +81,44 @@
 	return New(Options{Watcher: l, Entry: blackboard.Entry{ID: "e"}, Logger: log.NewNopLogger()})
 }
 
-func TestFollowsByCommandsAndBySnapshot(t *testing.T) {
+func TestFollowsByCommandsAndBySnapshots(t *testing.T) {
 	l := &leader{commands: commands(t), have: 1}
 	f := newFollower(l)
 	assert.Equal(t, f.Lease(), time.Duration(0))
-	assert.NilError(t, f.step(context.Background()))
+	assert.NilError(t, f.watchOnce(context.Background()))
 	assert.Equal(t, f.Board().Config.ActivePreset, "first")
 	assert.Assert(t, f.Lease() > 0)
 	l.have, l.snapshot = 3, true
-	assert.NilError(t, f.step(context.Background()))
+	assert.NilError(t, f.watchOnce(context.Background()))
 	assert.Equal(t, f.Board().Config.ActivePreset, "third")
-	assert.NilError(t, f.step(context.Background()))
-	assert.Equal(t, l.asked, uint64(3))
+	assert.NilError(t, f.watchOnce(context.Background()))
+	assert.Equal(t, l.askedConfig, uint64(3))
 }
 
 // A control VM sits silently behind a cut for an hour and comes back as if it
 // led. An entry that takes its board would bring back a preset that operators
 // replaced long ago.
-func TestNeverGoesBackToAnEarlierConfiguration(t *testing.T) {
+func TestNeverRevertsToAnEarlierConfiguration(t *testing.T) {
 	l := &leader{commands: commands(t), have: 3}
 	f := newFollower(l)
-	assert.NilError(t, f.step(context.Background()))
+	assert.NilError(t, f.watchOnce(context.Background()))
 	l.have, l.snapshot = 1, true
-	assert.ErrorIs(t, f.step(context.Background()), ErrBackwards)
+	assert.ErrorIs(t, f.watchOnce(context.Background()), ErrBackwards)
 	assert.Equal(t, f.Board().Config.ActivePreset, "third")
 }
 
 // The leader's answer is held up on its way. A lease counted from its arrival
 // would outlive the one that the leader counts, and a replaced configuration
 // would be served after it was reported gone.
-func TestTheLeaseIsCountedFromTheQuestion(t *testing.T) {
+func TestTheLeaseIsCountedFromWhenTheWatchIsSent(t *testing.T) {
 	l := &leader{commands: commands(t), have: 1, delay: 300 * time.Millisecond}
 	f := newFollower(l)
-	assert.NilError(t, f.step(context.Background()))
+	assert.NilError(t, f.watchOnce(context.Background()))
 	assert.Assert(t, f.Lease() <= 700*time.Millisecond)
 }
 
-// following runs a follower until done tells it to end.
-func following(t *testing.T, f *Follower, done func() bool) {
+// runUntil runs a follower until done tells it to end.
+func runUntil(t *testing.T, f *Follower, done func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -134,26 +134,26 @@
 // processes may elect nobody for a while; all callers of that time would be
 // refused. The entry must begin with what was last known, without a lease, and
 // go on by the leader's word once there is one.
-func TestAnEntryBeginsWithoutALeader(t *testing.T) {
+func TestAnEntryStartsWithoutALeader(t *testing.T) {
 	l := &leader{commands: commands(t), have: 2, leaderless: true}
 	f := newFollower(l)
 	f.o.StartWithoutLease = true
-	following(t, f, func() bool { return true })
+	runUntil(t, f, func() bool { return true })
 	assert.Equal(t, f.Board().Config.ActivePreset, "second")
 	assert.Equal(t, f.Lease(), time.Duration(0))
 	l.have, l.leaderless = 3, false
-	following(t, f, func() bool { return f.Board().Config.ActivePreset == "third" })
+	runUntil(t, f, func() bool { return f.Board().Config.ActivePreset == "third" })
 	assert.Assert(t, f.Lease() > 0)
 	assert.Equal(t, l.lastKnown, 1)
 }
 
 // One entry restarts while the control processes have a leader. It must begin
 // with the leader's board and a lease, and not with another process's.
-func TestAnEntryBeginsWithTheLeaderIfThereIsOne(t *testing.T) {
+func TestAnEntryStartsFromTheLeaderIfThereIsOne(t *testing.T) {
 	l := &leader{commands: commands(t), have: 3}
 	f := newFollower(l)
 	f.o.StartWithoutLease = true
-	following(t, f, func() bool { return true })
+	runUntil(t, f, func() bool { return true })
 	assert.Equal(t, l.lastKnown, 1)
 	assert.Equal(t, f.Board().Config.ActivePreset, "third")
 	assert.Assert(t, f.Lease() > 0)
