--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,4 +1,4 @@
-// Package controlclient calls the control process that leads.
+// Package controlclient calls the control processes, mainly the leader.
 package controlclient
 
 import (
@@ -15,18 +15,18 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// The keys of a Twirp error's meta.
+// Keys of the metadata of a Twirp error.
 const (
-	// MetaLeader carries the leader's peer address.
+	// MetaLeader holds the leader's peer address.
 	MetaLeader = "leader"
-	// MetaType carries the failure's type.
+	// MetaType holds the type of the failure.
 	MetaType = "type"
 )
 
-// Client finds the leader among the control processes and remembers it.
-// It is safe for concurrent use.
+// Client finds the leader among the control processes and remembers it. It is safe for
+// concurrent use.
 type Client struct {
-	// seeds are the addresses of the settings.
+	// seeds are the addresses from the settings.
 	seeds   []string
 	clients map[string]noderpc.Board
 	http    *http.Client
@@ -34,23 +34,23 @@
 	mu     sync.Mutex
 	leader string
 	next   int
-	// addresses are those that the cluster names, then the seeds.
+	// addresses are the addresses that the cluster reports, followed by the seeds.
 	addresses []string
-	// avoidedUntil holds until when a process gets no spread watches.
+	// avoidedUntil holds, by address, until when a process gets no spread watches.
 	avoidedUntil map[string]time.Time
 }
 
-// New returns a client of the control processes at the addresses. The HTTP
-// client adds the secret between our processes to each call.
+// New returns a client of the control processes at the addresses. The HTTP client must add the
+// bearer token that the system's own processes share.
 func New(addresses []string, client *http.Client) *Client {
 	return &Client{seeds: addresses, addresses: addresses, clients: make(map[string]noderpc.Board), http: client, avoidedUntil: make(map[string]time.Time)}
 }
 
-// Learn takes in where the cluster's control processes are. The addresses of
-// the settings stay the last resort.
+// Learn sets the addresses of the cluster's control processes. The addresses from the settings
+// stay as the last resort.
 //
-// Failure: control VMs are replaced one after the other, and a process that
-// knows only those of its settings finds none of them any more.
+// Failure: control VMs are replaced one after the other, until a process that knows only the
+// addresses from its settings finds no control process any more.
 func (c *Client) Learn(addresses []string) {
 	if len(addresses) == 0 {
 		return
@@ -71,7 +71,7 @@
 	c.addresses = all
 }
 
-// Reseed replaces the addresses of the settings.
+// Reseed replaces the addresses from the settings.
 func (c *Client) Reseed(seeds []string) {
 	c.mu.Lock()
 	c.seeds = slices.Clone(seeds)
@@ -87,7 +87,7 @@
 	return c.leader
 }
 
-// known returns how many control processes there are to ask.
+// processCount returns the number of known control processes.
 func (c *Client) processCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 	return address, c.clientLocked(address)
 }
 
-// learn takes from an answer where the leader is.
+// recordResult updates the leader from the result of a call to the process at address.
 func (c *Client) recordResult(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,8 +114,8 @@
 	}
 	c.leader = ""
 	if !isRefusal(err) {
-		// No answer, or a broken one: what sits idle beside that connection
-		// may have gone silent with it, and each call would find one more.
+		// The connection broke or timed out. Idle connections on the same path may be dead as
+		// well, and each further call would run into one of them.
 		c.http.CloseIdleConnections()
 	}
 	if leader := leaderIn(err); leader != "" && leader != address {
@@ -134,10 +134,9 @@
 	return te.Meta(MetaLeader)
 }
 
-// Watch calls the process last known to lead, once. After a failure the next
-// call goes to another process. A watch that may be spread goes to one of all
-// control processes, chosen for the entry, and to the leader if that one can't answer
-// and names it.
+// Watch calls the last known leader once. After a failure the next call goes to another
+// process. A watch that may be spread goes to the control process that is chosen for the entry.
+// If that process can't serve the watch and names the leader, Watch calls the leader.
 func (c *Client) Watch(ctx context.Context, r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
 	if r.Spread {
 		if address, ok := c.watchTarget(time.Now(), r.EntryId); ok {
@@ -153,15 +152,15 @@
 	return reply, errors.Trace(toFailure(err))
 }
 
-// follow makes the next call go to the leader that a control process names.
+// setLeader directs the next call to a leader that a control process has named.
 func (c *Client) setLeader(leader string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = leader
 }
 
-// followTo makes the next call go to the leader that a process has named in its refusal,
-// and tells whether it has named another one than itself.
+// followRedirect directs the next call to the leader that the process at address has named in
+// its refusal. It reports whether the refusal names another process.
 func (c *Client) followRedirect(address string, err error) bool {
 	leader := leaderIn(err)
 	if leader == "" || leader == address {
@@ -171,21 +170,21 @@
 	return true
 }
 
-// all returns the addresses of all known control processes.
+// allAddresses returns the addresses of all known control processes.
 func (c *Client) allAddresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.addresses)
 }
 
-// boardOf returns the client of one control process.
+// clientFor returns the client of one control process.
 func (c *Client) clientFor(address string) noderpc.Board {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.clientLocked(address)
 }
 
-// at returns the client of one control process. The lock is held.
+// clientLocked returns the client of one control process. The lock is held.
 func (c *Client) clientLocked(address string) noderpc.Board {
 	b, ok := c.clients[address]
 	if !ok {
@@ -195,7 +194,7 @@
 	return b
 }
 
-// Suspect tells the leader of groups without progress.
+// Suspect reports groups without progress to the leader.
 func (c *Client) Suspect(ctx context.Context, r *noderpc.SuspectRequest) error {
 	var err error
 	for range 2 * c.processCount() {
@@ -209,9 +208,9 @@
 	return errors.Trace(toFailure(err))
 }
 
-// Commit writes a command through the leader. It follows refusals that prove
-// that nothing was written; any other failure leaves the outcome unknown, and
-// only a command that is safe to write twice may be sent again.
+// Commit commits a command through the leader. It retries after a refusal, which proves that
+// nothing was written. Any other failure leaves the outcome unknown, and then only a command
+// that is safe to commit twice may be sent again.
 func (c *Client) Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error) {
 	var err error
 	for range 2 * c.processCount() {
@@ -229,7 +228,7 @@
 	return nil, errors.Trace(toFailure(err))
 }
 
-// isRefusal tells whether the process said that it did not write the command.
+// isRefusal reports whether err states that the process did not execute the call.
 func isRefusal(err error) bool {
 	var te twirp.Error
 	if !errors.As(err, &te) {
--- a/internal/controlclient/pace_test.go
+++ b/internal/controlclient/pace_test.go
@@ -12,9 +12,9 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// surveySimulation replays, on a virtual clock, entries that all surveySimulation at once and ask control
-// processes, each of which answers in the order of arrival, also what nobody waits for
-// any more.
+// surveySimulation simulates, on a virtual clock, entries that all start at once and call
+// control processes. Each process replies in the order of arrival, even to callers that have
+// given up.
 type surveySimulation struct {
 	now    time.Duration
 	due    events
@@ -22,7 +22,7 @@
 	answer time.Duration
 	asked  int
 	served int
-	// lastServed is when the last entry had its answer.
+	// lastServed is when the last entry got its reply.
 	lastServed time.Duration
 }
 
@@ -45,7 +45,7 @@
 
 func (s *surveySimulation) after(d time.Duration, do func()) { heap.Push(&s.due, event{s.now + d, do}) }
 
-// run plays until a time or until all entries are served.
+// run processes events until the time until or until all entries have got a reply.
 func (s *surveySimulation) run(entries int, until time.Duration) {
 	for len(s.due) > 0 && s.served < entries && s.now < until {
 		next := heap.Pop(&s.due).(event)
@@ -54,7 +54,7 @@
 	}
 }
 
-// simulatedEntry is one entry's survey.
+// simulatedEntry is the survey of one entry.
 type simulatedEntry struct {
 	s      *surveySimulation
 	order  []int
@@ -89,7 +89,7 @@
 	})
 }
 
-// take ends the survey: the answer names the leader.
+// finish ends the survey: the reply names the leader.
 func (a *simulatedEntry) finish() {
 	if a.served {
 		return
@@ -99,8 +99,9 @@
 	a.s.lastServed = a.s.now
 }
 
-// Failure: two thousand entries surveySimulation at once, and the control processes work on questions
-// that nobody waits for any more, for as long as entries ask anew.
+// Guards against overload by repeated calls. Two thousand entries start at once, and the
+// control processes work on calls whose callers have given up, for as long as the entries
+// repeat them.
 func TestControlProcessesKeepUpWithEntriesThatStartTogether(t *testing.T) {
 	const entries, processes = 2000, 10
 	s := &surveySimulation{free: make([]time.Duration, processes), answer: time.Millisecond}
@@ -115,7 +116,8 @@
 	assert.Assert(t, s.lastServed <= 2*time.Second, "%s", s.lastServed)
 }
 
-// Failure: nobody leads, and all entries repeat their questions at the pace of a small site.
+// Guards against surveys that ignore the number of entries. While there is no leader, all
+// entries would repeat their calls at the rate of a small site.
 func TestSurveyIntervalsGrowWithTheNumberOfEntries(t *testing.T) {
 	var few, many pace
 	few.observe(&noderpc.LastKnownReply{Entries: 9})
--- a/internal/controlclient/spread.go
+++ b/internal/controlclient/spread.go
@@ -10,15 +10,15 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// How long a process gets no spread watches of this entry: after a refusal, and after no
-// answer. A silent one costs a whole watch each time.
+// How long a process gets no spread watches of this entry after a refusal and after a timeout.
+// A process that doesn't respond costs a whole watch each time.
 const (
 	avoidAfterRefusal = 2 * time.Second
 	avoidAfterTimeout = 15 * time.Second
 )
 
-// watchTarget returns the control process that answers an entry's watches, by rendezvous
-// hashing; false if all are avoidedUntil.
+// watchTarget returns the control process that serves an entry's watches, by rendezvous
+// hashing. found is false if all processes are avoided.
 func (c *Client) watchTarget(now time.Time, entry string) (best string, found bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,8 +42,8 @@
 	return reply, err
 }
 
-// avoid keeps further watches from a process that gave none; silent says that it gave no
-// answer at all in time.
+// avoid keeps further watches from a process whose watch has failed. silent means that the
+// process did not respond before the deadline.
 func (c *Client) avoid(now time.Time, address string, silent bool) {
 	wait := avoidAfterRefusal
 	if silent {
@@ -54,7 +54,7 @@
 	c.avoidedUntil[address] = now.Add(wait)
 }
 
-// Renew calls the leader to renew leases of entries whose watches the caller answers.
+// Renew asks the leader to renew the leases of entries whose watches the caller serves.
 func (c *Client) Renew(ctx context.Context, leader string, r *noderpc.RenewRequest) (*noderpc.RenewReply, error) {
 	reply, err := c.clientFor(leader).Renew(ctx, r)
 	return reply, errors.Trace(toFailure(err))
--- a/internal/controlclient/spread_test.go
+++ b/internal/controlclient/spread_test.go
@@ -14,7 +14,8 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// board answers watches for a control process; the calls that a test doesn't need are missing.
+// board serves watches as a control process does. Methods that the test doesn't need are
+// missing.
 type board struct {
 	noderpc.Board
 	watch func() (*noderpc.WatchReply, error)
@@ -26,7 +27,7 @@
 	return b.watch()
 }
 
-// serve returns the address of a control process.
+// serve starts a control process and returns its address.
 func serve(t *testing.T, b *board) string {
 	t.Helper()
 	s := httptest.NewServer(noderpc.NewBoardServer(b))
@@ -34,8 +35,9 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// Failure: a thousand entries start for the first time, and each asks one follower after the
-// other, none of which knows it, with a survey of all control processes before each watch.
+// Guards against entries that try one follower after the other. A thousand entries start for
+// the first time. No follower knows them, and each attempt would cost a survey of all control
+// processes.
 func TestAWatchThatAFollowerRefusesGoesToTheLeaderAtOnce(t *testing.T) {
 	leader := &board{watch: func() (*noderpc.WatchReply, error) { return &noderpc.WatchReply{Revision: 7}, nil }}
 	at := serve(t, leader)
--- a/internal/controlclient/survey.go
+++ b/internal/controlclient/survey.go
@@ -12,19 +12,19 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// errNoMajority is returned when the time is up before a majority has answered.
+// errNoMajority is returned if the context ends before a majority has replied.
 const errNoMajority = errors.ConstError("no majority of the control processes holds a configuration, and none knows a leader")
 
-// LastKnown asks control processes what they last knew, one after the other and again and
-// again until enough have answered or the context ends. The reply either names the leader, whom
-// the next call goes to, or there is none and it holds the newest board that a
-// majority has.
+// LastKnown returns the newest state that the control processes report. It calls one process
+// after the other, and repeats the calls until enough have replied or the context ends. The
+// reply either names the leader, which gets the next call, or holds the newest board of a
+// majority.
 //
-// Failure: the process that is asked has been away for long, and callers are
-// served under a configuration of long ago. An acknowledged configuration is on
-// the disks of a majority, so one of any majority holds it, though it may not
-// know yet that it is committed. Those that the settings name may be just the
-// ones whose disks were lost; the others are learned from whichever answers.
+// Failure: the only process that is called was absent for a long time, and callers are served
+// under an outdated configuration. An acknowledged configuration is on the disks of a majority.
+// So any majority has a process that holds it, although that process may not know yet that it
+// is committed. The processes that the settings name may be the very ones whose disks were
+// lost. Any process that replies names the others.
 func (c *Client) LastKnown(ctx context.Context) (*noderpc.LastKnownReply, error) {
 	best, err := c.survey(ctx)
 	if err != nil {
@@ -38,13 +38,13 @@
 	return reply, errors.Trace(toFailure(err))
 }
 
-// lastKnown is one control process's answer.
+// lastKnown is the reply of one control process.
 type lastKnown struct {
 	address string
 	reply   *noderpc.LastKnownReply
 }
 
-// survey asks until the answers suffice: one process, and one more after each step.
+// survey calls one process, and one more after each step, until the replies suffice.
 func (c *Client) survey(ctx context.Context) (lastKnown, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -73,14 +73,16 @@
 	}
 }
 
-// shuffled returns the addresses in an order that differs from entry to entry.
+// shuffled returns the addresses in random order, so that entries start with different
+// processes.
 func shuffled(addresses []string) []string {
 	out := slices.Clone(addresses)
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
 }
 
-// ask passes on each answer of one control process until the context ends.
+// askRepeatedly calls one control process until the context ends, and sends each reply to
+// answers.
 func (c *Client) askRepeatedly(ctx context.Context, address string, answers chan<- lastKnown) {
 	var pace pace
 	for ctx.Err() == nil {
@@ -109,10 +111,10 @@
 	return reply, errors.Trace(err)
 }
 
-// tally gathers the answers of one survey.
+// tally collects the replies of one survey.
 type tally struct {
-	// known are the control processes: those of the settings, and the cluster's
-	// own in their place once one has named them.
+	// known are the control processes: those from the settings until hasMembers is set, then
+	// the members of the cluster.
 	known      []string
 	hasMembers bool
 	latest     map[string]lastKnown
@@ -122,8 +124,8 @@
 	return &tally{known: slices.Clone(known), latest: make(map[string]lastKnown)}
 }
 
-// learn takes in which control processes the cluster has, and returns those that
-// have not been asked.
+// setMembers sets the control processes of the cluster, once. It returns the processes that
+// have not been called.
 func (p *tally) setMembers(members []string) (fresh []string) {
 	if p.hasMembers || len(members) == 0 {
 		return nil
@@ -137,8 +139,8 @@
 	return fresh
 }
 
-// take notes an answer, and returns the one that counts if there is: the first
-// that names a leader, or else the newest board of a majority.
+// add records a reply and returns the decisive one, if there is one: a reply that names a
+// leader, or else the newest board of a majority.
 func (p *tally) add(a lastKnown) (lastKnown, bool) {
 	if a.reply.LeaderAddress != "" {
 		return a, true
--- a/internal/controlclient/survey_test.go
+++ b/internal/controlclient/survey_test.go
@@ -8,10 +8,10 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// An entry starts without a leader to ask. One control process has been away for
-// hundreds of changes and is the first to answer, and the disks of two of the
-// three that the settings name were lost. Neither may decide alone what is
-// served under, and the two others that only the cluster knows of must be asked.
+// Guards against a decision by a minority. An entry starts without a leader. The first control
+// process to reply was absent for hundreds of changes, and two of the three that the settings
+// name lost their disks. None of them may decide alone which configuration is served. The two
+// processes that only the cluster knows must be called too.
 func TestLastKnownIsTheNewestBoardOfAMajority(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	at := func(address string, revision uint64) lastKnown {
@@ -27,13 +27,13 @@
 		want    uint64
 		done    bool
 	}{
-		{"the old one answers first", []lastKnown{at("a", 3), at("b", 400)}, 400, true},
-		{"the newest answers first", []lastKnown{at("a", 401), at("b", 3)}, 401, true},
-		{"one answers again and again", []lastKnown{at("a", 3), at("a", 3), at("a", 3)}, 0, false},
-		{"lost disks hold nothing", []lastKnown{at("a", 0), at("b", 0), at("c", 400)}, 0, false},
-		{"of five, two are no majority", []lastKnown{named("a", 3), at("b", 400)}, 0, false},
-		{"the others of the cluster make one", []lastKnown{at("a", 0), at("b", 0), named("c", 3), named("d", 400), named("e", 399)}, 400, true},
-		{"one knows a leader", []lastKnown{at("a", 3), led}, 0, true},
+		{"the outdated process replies first", []lastKnown{at("a", 3), at("b", 400)}, 400, true},
+		{"the newest process replies first", []lastKnown{at("a", 401), at("b", 3)}, 401, true},
+		{"one process replies repeatedly", []lastKnown{at("a", 3), at("a", 3), at("a", 3)}, 0, false},
+		{"processes that lost their disks don't count", []lastKnown{at("a", 0), at("b", 0), at("c", 400)}, 0, false},
+		{"two of five are no majority", []lastKnown{named("a", 3), at("b", 400)}, 0, false},
+		{"the other members complete a majority", []lastKnown{at("a", 0), at("b", 0), named("c", 3), named("d", 400), named("e", 399)}, 400, true},
+		{"one process knows a leader", []lastKnown{at("a", 3), led}, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newTally([]string{"a", "b", "c"})
