--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,5 +1,5 @@
-// Package follow keeps an entry's copy of the blackboard and the lease that
-// lets the entry serve under the configuration in it.
+// Package follow keeps an entry's copy of the blackboard, and the lease under which the entry
+// may serve with the configuration in that copy.
 package follow
 
 import (
@@ -17,30 +17,28 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Watcher asks the leader what has changed, and all control processes what they
-// last knew.
+// Watcher gets changes from the leader, and the last known state from all control processes.
 type Watcher interface {
 	Watch(ctx context.Context, r *noderpc.WatchRequest) (*noderpc.WatchReply, error)
 	LastKnown(ctx context.Context) (*noderpc.LastKnownReply, error)
 }
 
-// Options are what a Follower is made of.
+// Options configure a Follower.
 type Options struct {
 	Watcher Watcher
 	Entry   blackboard.Entry
 	Logger  log.Logger
-	// OnChange is called, from one goroutine, with each new board.
+	// OnChange is called with each new board, always from the same goroutine.
 	OnChange func(*blackboard.Board)
-	// OnControl is called with the peer addresses of the control replicas as
-	// the leader names them; nil if nobody needs them.
+	// OnControl is called with the peer addresses of the control replicas as a control process
+	// reports them. It may be nil.
 	OnControl func([]string)
-	// StartWithoutLease lets an entry that holds no board begin with what the
-	// control processes last knew, while none of them leads.
+	// StartWithoutLease lets an entry that holds no board start with the last known state of
+	// the control processes while none of them leads.
 	StartWithoutLease bool
 }
 
-// Follower holds the newest board that it has applied. It is safe for
-// concurrent use.
+// Follower holds the newest board that it has applied. It is safe for concurrent use.
 type Follower struct {
 	o Options
 
@@ -49,55 +47,53 @@
 	leaseUntil clock.Boot
 	// granted is the length of the last lease.
 	granted time.Duration
-	// entries is how many entries the control processes named at the start; Run alone uses it.
+	// entries is the number of entries that the control processes reported at the start; only
+	// Run uses it.
 	entries int
 }
 
 // New returns a follower that holds an empty board and no lease.
 //
-// It starts empty, never from a file, so that an entry that restarts after
-// hundreds of changes serves nothing under an old configuration: its first
-// lease comes with the leader's newest board. Options.StartWithoutLease trades
-// some of that for an earlier start.
+// It starts empty, never from a file. So an entry that restarts after hundreds of changes never
+// serves under an old configuration: its first lease comes with the leader's newest board.
+// Options.StartWithoutLease gives up some of this guarantee for an earlier start.
 func New(o Options) *Follower {
 	return &Follower{o: o, board: blackboard.New()}
 }
 
-// Times of the watch.
+// Parameters of the watch.
 const (
-	// watchWait is how long the leader may hold a watch with nothing new.
+	// watchWait is how long the leader may hold a watch while there is no change.
 	watchWait = 500 * time.Millisecond
-	// watchTimeout ends a watch on a connection that has gone silent. It is
-	// shorter than the lease, so that another control process is sentAt
-	// before the lease runs out.
+	// watchTimeout ends a watch on a dead connection. It is shorter than the lease, so that
+	// another control process can be called before the lease expires.
 	watchTimeout = 1200 * time.Millisecond
-	// spreadMinEntries is from how many entries on the control processes share the watches.
+	// spreadMinEntries is the number of entries from which the control processes share the
+	// watches.
 	spreadMinEntries = 400
-	// watchPause keeps a refused watch from spinning.
+	// watchPause prevents a tight loop of refused watches.
 	watchPause = 50 * time.Millisecond
 )
 
-// Board returns the newest board applied here.
+// Board returns the newest board that this entry has applied.
 func (f *Follower) Board() *blackboard.Board {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.board
 }
 
-// Lease returns how long this entry may go on admitting, 0 when not at all.
+// Lease returns how much longer this entry may admit requests, or 0 if it may not.
 //
-// It guards against an entry that is cut off and serves under a configuration
-// that operators have replaced long ago. The guard holds because the lease is
-// counted from before the watch was sent, by a clock that counts the time in
-// which the process was frozen.
+// Failure: an entry is cut off and serves under a configuration that operators replaced long
+// ago. The lease prevents that, because it is counted from before the watch was sent, by a
+// clock that includes the time in which the process was frozen.
 func (f *Follower) Lease() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return max(0, f.leaseUntil.Sub(clock.Now()))
 }
 
-// Granted returns the length of the leases that the leader grants, 0 before
-// the first.
+// Granted returns the length of the leases that the leader grants, or 0 before the first.
 func (f *Follower) Granted() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,7 +110,8 @@
 	}
 }
 
-// next makes one call to the control processes.
+// callOnce makes one round of calls: a watch, or for an entry without a board the last known
+// state and then a watch if there is a leader.
 func (f *Follower) callOnce(ctx context.Context) error {
 	if !f.o.StartWithoutLease || f.Board().Revision > 0 {
 		return f.watchOnce(ctx)
@@ -126,17 +123,16 @@
 	return f.watchOnce(ctx)
 }
 
-// begin asks all control processes what they last knew. It tells whether there
-// is a leader to watch; while there is none, it takes the newest board that a
-// majority holds, without a lease.
+// startFromLastKnown gets the last known state of the control processes. It reports whether
+// there is a leader to watch. If there is none, it publishes the newest board that a majority
+// holds, without a lease.
 //
-// Load: all processes lose power and come back together. The entries listen
-// within 0.1 s, while the control processes may elect nobody before the promises
-// that they may have given an earlier leader have run out, and a VM that is
-// still without power lets a connection hang. Harm: all callers of that second are
-// refused, and come back at once on top of the others. The board holds what is
-// committed, so the leader's only ever goes on from it; it may lack the last
-// change until then.
+// Load: all processes restart together after a power loss. The entries listen within 0.1 s. The
+// control processes may elect no leader before the leases that they may have granted an earlier
+// leader have expired, and connections hang to a VM that is still without power. All requests
+// of that second would be refused, and the callers would all retry at once on top of the
+// others. The board holds only committed changes, so the leader's board can only be equal or
+// newer. The last change may be missing until the first watch.
 func (f *Follower) startFromLastKnown(ctx context.Context) (led bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
@@ -159,7 +155,7 @@
 	return false, nil
 }
 
-// notifyControl passes on where the control processes are.
+// notifyControl reports the addresses of the control processes to OnControl.
 func (f *Follower) notifyControl(addresses []string) {
 	if f.o.OnControl != nil {
 		f.o.OnControl(addresses)
@@ -204,11 +200,10 @@
 	return nil
 }
 
-// ErrBackwards is returned for an answer that would take the entry back to an
-// earlier configuration.
+// ErrBackwards is returned for a reply that would revert the entry to an earlier configuration.
 const ErrBackwards = errors.ConstError("the leader's board is older than the one held here")
 
-// advance returns the board that the reply leads to.
+// advance returns the board that results from applying the reply.
 func advance(board *blackboard.Board, reply *noderpc.WatchReply) (*blackboard.Board, error) {
 	next := board
 	var err error
@@ -229,8 +224,8 @@
 	return next, nil
 }
 
-// take publishes the board before the lease that was granted with it, so that
-// nothing is admitted under the lease with an older board.
+// publish stores the board and the lease that was granted with it in one step, so that no
+// request is admitted under the new lease with an older board.
 func (f *Follower) publish(next *blackboard.Board, sentAt clock.Boot, lease time.Duration) {
 	until := sentAt.Add(lease)
 	f.mu.Lock()
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -13,17 +13,17 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// leader answers watches from a list of commands, and can be made to answer
-// from an earlier state, as a leader does that was cut off long ago.
+// leader serves watches from a list of commands. It can also reply from an earlier state, as a
+// leader does that was cut off long ago.
 type leader struct {
 	commands    [][]byte
 	have        int
 	snapshot    bool
 	delay       time.Duration
 	askedConfig uint64
-	// leaderless refuses watches.
+	// leaderless makes the leader refuse watches.
 	leaderless bool
-	// lastKnown counts the questions for what was last known.
+	// lastKnown counts the calls of LastKnown.
 	lastKnown int
 }
 
@@ -95,8 +95,8 @@
 	assert.Equal(t, l.askedConfig, uint64(3))
 }
 
-// A control VM sits silently behind a cut for an hour and comes back as if it
-// led. An entry that takes its board would bring back a preset that operators
+// Guards against a leader that was cut off. A control VM is isolated for an hour and then acts
+// as if it led. An entry that applied its board would revert to a preset that operators
 // replaced long ago.
 func TestNeverRevertsToAnEarlierConfiguration(t *testing.T) {
 	l := &leader{commands: commands(t), have: 3}
@@ -107,9 +107,9 @@
 	assert.Equal(t, f.Board().Config.ActivePreset, "third")
 }
 
-// The leader's answer is held up on its way. A lease counted from its arrival
-// would outlive the one that the leader counts, and a replaced configuration
-// would be served after it was reported gone.
+// Guards against a lease that lasts too long. The leader's reply is delayed. A lease counted
+// from its arrival would outlive the lease that the leader records, and the entry would serve
+// under a configuration that was reported as replaced.
 func TestTheLeaseIsCountedFromWhenTheWatchIsSent(t *testing.T) {
 	l := &leader{commands: commands(t), have: 1, delay: 300 * time.Millisecond}
 	f := newFollower(l)
@@ -117,7 +117,7 @@
 	assert.Assert(t, f.Lease() <= 700*time.Millisecond)
 }
 
-// runUntil runs a follower until done tells it to end.
+// runUntil runs a follower until done returns true after a change.
 func runUntil(t *testing.T, f *Follower, done func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -130,10 +130,9 @@
 	f.Run(ctx)
 }
 
-// All processes lose power. The entries are back at once, and the control
-// processes may elect nobody for a while; all callers of that time would be
-// refused. The entry must begin with what was last known, without a lease, and
-// go on by the leader's word once there is one.
+// Guards against refused requests after a power loss. The entries restart at once, while the
+// control processes may have no leader for some time. The entry must start with the last known
+// board, without a lease, and follow the leader once there is one.
 func TestAnEntryStartsWithoutALeader(t *testing.T) {
 	l := &leader{commands: commands(t), have: 2, leaderless: true}
 	f := newFollower(l)
@@ -147,8 +146,8 @@
 	assert.Equal(t, l.lastKnown, 1)
 }
 
-// One entry restarts while the control processes have a leader. It must begin
-// with the leader's board and a lease, and not with another process's.
+// Guards against an entry that restarts with another process's board while there is a leader.
+// It must start with the leader's board and a lease.
 func TestAnEntryStartsFromTheLeaderIfThereIsOne(t *testing.T) {
 	l := &leader{commands: commands(t), have: 3}
 	f := newFollower(l)
