--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -184,7 +184,7 @@
 	assert.NilError(h.t, os.RemoveAll(h.opts.Folder))
 }
 
-func within(t testing.TB) context.Context {
+func testContext(t testing.TB) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	t.Cleanup(cancel)
@@ -244,7 +244,7 @@
 // found makes the first host the founder and waits for the voters.
 func (c *cluster) found(voters int) {
 	c.t.Helper()
-	assert.NilError(c.t, c.hosts[0].node.Found(within(c.t)))
+	assert.NilError(c.t, c.hosts[0].node.Found(testContext(c.t)))
 	eventually(c.t, "all voters", func() bool { return c.voters() == voters })
 }
 
@@ -257,7 +257,7 @@
 func (c *cluster) put(key, value string) {
 	c.t.Helper()
 	eventually(c.t, "a write is answered", func() bool {
-		_, err := c.leader().node.Propose(within(c.t), command(key, value))
+		_, err := c.leader().node.Propose(testContext(c.t), command(key, value))
 		return err == nil
 	})
 }
--- a/internal/replica/compaction_test.go
+++ b/internal/replica/compaction_test.go
@@ -9,7 +9,7 @@
 // A replica holds megabytes of records and gets two small commands for each
 // request. A snapshot for each 128 of them would write the whole state again and
 // again; one for a small state may come that often, so that a restart applies little.
-func TestSnapshotsFollowTheSizeOfTheState(t *testing.T) {
+func TestCompactionDependsOnTheSizeOfTheState(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		state, bytes int
--- a/internal/replica/silent_test.go
+++ b/internal/replica/dead_connections_test.go
@@ -10,36 +10,36 @@
 	"gotest.tools/v3/assert"
 )
 
-// relay passes connections on to a host. silence makes those that are open go
+// proxy passes connections on to a host. silence makes those that are open go
 // silent for good, without closing them, while new ones still work.
-type relay struct {
+type proxy struct {
 	listener net.Listener
 	target   string
 
-	mu     sync.Mutex
-	conns  []net.Conn
-	silent map[net.Conn]bool
-	taken  int
+	mu            sync.Mutex
+	conns         []net.Conn
+	silent        map[net.Conn]bool
+	acceptedCount int
 }
 
-func newRelay(t *testing.T, target string) *relay {
+func newProxy(t *testing.T, target string) *proxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	r := &relay{listener: l, target: target, silent: map[net.Conn]bool{}}
+	r := &proxy{listener: l, target: target, silent: map[net.Conn]bool{}}
 	go r.accept()
 	t.Cleanup(r.close)
 	return r
 }
 
-func (r *relay) accept() {
+func (r *proxy) accept() {
 	for {
 		in, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
-		r.taken++
+		r.acceptedCount++
 		r.mu.Unlock()
 		out, err := net.Dial("tcp", r.target)
 		if err != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (r *relay) pass(from, to net.Conn) {
+func (r *proxy) pass(from, to net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
@@ -75,7 +75,7 @@
 	}
 }
 
-func (r *relay) silence() {
+func (r *proxy) silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.conns {
@@ -83,13 +83,13 @@
 	}
 }
 
-func (r *relay) accepted() int {
+func (r *proxy) accepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.taken
+	return r.acceptedCount
 }
 
-func (r *relay) close() {
+func (r *proxy) close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,15 +101,15 @@
 // Story: a firewall between the data centres forgets the open connections
 // between the control VMs. They look open and carry nothing; new ones work.
 // Writes must go on, at the latest after one election, on new connections.
-func TestSilentConnections(t *testing.T) {
+func TestDeadConnections(t *testing.T) {
 	c := newCluster(t, 0, nil)
-	var relays []*relay
+	var proxies []*proxy
 	for range 3 {
 		h := c.addHost()
-		r := newRelay(t, h.opts.Address)
+		r := newProxy(t, h.opts.Address)
 		h.opts.Address = r.listener.Addr().String()
 		c.peers[len(c.peers)-1] = h.opts.Address
-		relays = append(relays, r)
+		proxies = append(proxies, r)
 	}
 	for _, h := range c.hosts {
 		h.opts.Peers = c.peers
@@ -119,14 +119,14 @@
 	for round := range 3 {
 		c.put("k", "before")
 		opened := 0
-		for _, r := range relays {
+		for _, r := range proxies {
 			opened -= r.accepted()
 			r.silence()
 		}
 		start := time.Now()
 		c.put("k", "after")
 		t.Logf("round %d: a write was answered after %v", round, time.Since(start))
-		for _, r := range relays {
+		for _, r := range proxies {
 			opened += r.accepted()
 		}
 		assert.Assert(t, opened > 0)
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -60,15 +60,15 @@
 	old := c.leader()
 	thaw := old.freeze()
 	next := c.otherLeader(old)
-	_, err := next.node.Propose(within(t), command("k", "new"))
+	_, err := next.node.Propose(testContext(t), command("k", "new"))
 	assert.NilError(t, err)
 
 	assert.Equal(t, old.node.LeaseRemaining(), time.Duration(0))
 	assert.Assert(t, !old.node.readByLease())
 	result := make(chan error, 2)
-	go func() { result <- old.node.ReadBarrier(within(t)) }()
+	go func() { result <- old.node.ReadBarrier(testContext(t)) }()
 	go func() {
-		_, err := old.node.Propose(within(t), command("k", "stale"))
+		_, err := old.node.Propose(testContext(t), command("k", "stale"))
 		result <- err
 	}()
 	thaw()
@@ -76,7 +76,7 @@
 		err := <-result
 		assert.Assert(t, err != nil, "the frozen leader answered")
 	}
-	assert.NilError(t, c.otherLeader(old).node.ReadBarrier(within(t)))
+	assert.NilError(t, c.otherLeader(old).node.ReadBarrier(testContext(t)))
 	assert.Equal(t, next.machine.get("k"), "new")
 }
 
@@ -108,10 +108,10 @@
 			h.kill()
 		}
 	}
-	_, err := leader.node.Propose(within(t), command("k", "v"))
+	_, err := leader.node.Propose(testContext(t), command("k", "v"))
 	assert.Assert(t, errors.Is(err, ErrOutcomeUnknown), "%v", err)
 	var notLeader *NotLeaderError
-	_, err = leader.node.Propose(within(t), command("k", "w"))
+	_, err = leader.node.Propose(testContext(t), command("k", "w"))
 	assert.Assert(t, errors.As(err, &notLeader), "%v", err)
 }
 
@@ -121,12 +121,12 @@
 func TestFoundingIsRefused(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	c.hosts[1].kill()
-	err := c.hosts[0].node.Found(within(t))
+	err := c.hosts[0].node.Found(testContext(t))
 	assert.Assert(t, errors.Is(err, ErrPeerUnreachable), "%v", err)
 	c.hosts[1].open()
 
 	c.hosts[1].node.beginFounding()
-	err = c.hosts[0].node.Found(within(t))
+	err = c.hosts[0].node.Found(testContext(t))
 	assert.Assert(t, errors.Is(err, ErrAlreadyFounded), "%v", err)
 	c.hosts[1].node.endFounding()
 
@@ -135,7 +135,7 @@
 	third.opts.Peers = c.peers[1:]
 	third.opts.Voters = 3
 	third.open()
-	err = third.node.Found(within(t))
+	err = third.node.Found(testContext(t))
 	founded := third.node.Status().Founded
 	assert.Assert(t, founded || errors.Is(err, ErrAlreadyFounded), "%v", err)
 	eventually(t, "it joins the cluster that is there", func() bool {
@@ -145,15 +145,15 @@
 
 // Story: the settings of two VMs carry the same name. The second one must not
 // throw the first out of the cluster.
-func TestNameOfALiveVMIsRefused(t *testing.T) {
+func TestJoinWithTheNameOfALiveVMIsRefused(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
-	twin := c.addHost()
-	twin.opts.Peers = c.peers
-	twin.opts.VM = c.hosts[1].opts.VM
-	twin.open()
+	duplicate := c.addHost()
+	duplicate.opts.Peers = c.peers
+	duplicate.opts.VM = c.hosts[1].opts.VM
+	duplicate.open()
 	time.Sleep(3 * joinInterval)
-	assert.Assert(t, !twin.node.Status().Founded)
+	assert.Assert(t, !duplicate.node.Status().Founded)
 	_, ok := c.member(c.hosts[1].node.Status().ID)
 	assert.Assert(t, ok)
 }
@@ -164,31 +164,31 @@
 	c := newCluster(t, 3, nil)
 	c.found(3)
 	leader := c.leader()
-	var gone *host
+	var removed *host
 	for _, h := range c.hosts {
 		if h != leader {
-			gone = h
+			removed = h
 		}
 	}
-	id := gone.node.Status().ID
-	assert.NilError(t, leader.node.RemoveMember(within(t), id))
-	eventually(t, "it learns of its removal", func() bool { return gone.node.Status().Removed })
-	_, err := gone.node.Propose(within(t), command("k", "v"))
+	id := removed.node.Status().ID
+	assert.NilError(t, leader.node.RemoveMember(testContext(t), id))
+	eventually(t, "it learns of its removal", func() bool { return removed.node.Status().Removed })
+	_, err := removed.node.Propose(testContext(t), command("k", "v"))
 	assert.Assert(t, errors.Is(err, ErrRemoved), "%v", err)
-	gone.kill()
-	gone.open()
-	assert.Equal(t, gone.node.Status().Role, "removed")
-	err = c.leader().node.RemoveMember(within(t), id)
+	removed.kill()
+	removed.open()
+	assert.Equal(t, removed.node.Status().Role, "removed")
+	err = c.leader().node.RemoveMember(testContext(t), id)
 	assert.Assert(t, errors.Is(err, ErrUnknownMember), "%v", err)
 }
 
 // Story: the leader stops gracefully. It hands over first, and writes go on
 // at the next one without an election timeout between.
-func TestHandover(t *testing.T) {
+func TestLeadershipTransfer(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
 	old := c.leader()
-	assert.NilError(t, old.node.TransferLeadership(within(t)))
+	assert.NilError(t, old.node.TransferLeadership(testContext(t)))
 	assert.Equal(t, old.node.LeaseRemaining(), time.Duration(0))
 	c.put("k", "v")
 	assert.Assert(t, c.leader() != old)
@@ -196,7 +196,7 @@
 
 // Story: a process that is none of ours, or of another cluster, sends
 // messages. Neither may reach the step machine.
-func TestStrangersAreRefused(t *testing.T) {
+func TestForeignMessagesAreRefused(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	c.found(1)
 	response, err := http.Post(c.hosts[0].server.URL+PathPrefix+"Deliver", "application/json", bytes.NewBufferString("{}"))
@@ -208,12 +208,12 @@
 	other.found(1)
 	p := newPeer(other.hosts[0].node.transport, 1)
 	p.deliver([]raft.Message{{Type: raft.MessageHeartbeat}}, 0, c.hosts[0].opts.Address)
-	assert.Assert(t, p.failing)
+	assert.Assert(t, p.isFailing)
 }
 
 // Story: a replica's file is damaged. The process says which file and what to
 // do; after the operator has done it, the VM joins again.
-func TestDamagedFolder(t *testing.T) {
+func TestCorruptDataFolder(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
 	c.put("k", "v")
@@ -235,27 +235,27 @@
 	})
 }
 
-// Story: a voter's VM is gone for good while a fourth control VM stands by.
+// Story: a voter's VM is removed for good while a fourth control VM stands by.
 // The spare becomes a voter without a command. The old VM, should it return,
 // learns that its identity was removed.
 func TestSpareReplacesAVoter(t *testing.T) {
 	c := newCluster(t, 4, func(o *Options) { o.ReplaceAfter = time.Second })
 	c.found(3)
 	c.put("k", "v")
-	var gone *host
+	var removed *host
 	for _, h := range c.hosts {
 		if m, ok := c.member(h.node.Status().ID); ok && !m.Learner && h != c.leader() {
-			gone = h
+			removed = h
 		}
 	}
-	id := gone.node.Status().ID
-	gone.kill()
+	id := removed.node.Status().ID
+	removed.kill()
 	eventually(t, "the spare votes in its place", func() bool {
 		_, still := c.member(id)
 		return !still && c.voters() == 3
 	})
-	gone.open()
-	eventually(t, "it learns of its removal", func() bool { return gone.node.Status().Removed })
+	removed.open()
+	eventually(t, "it learns of its removal", func() bool { return removed.node.Status().Removed })
 }
 
 // Story: two of three control VMs lose their disks for good. The group stands
--- a/internal/replica/found.go
+++ b/internal/replica/found.go
@@ -32,7 +32,7 @@
 // takes a VM that is gone out of the settings. On a node that belongs to a
 // cluster it returns nil, so that a repeated command does no harm.
 func (n *Node) Found(ctx context.Context) error {
-	err := n.usable()
+	err := n.checkUsable()
 	if err == nil {
 		return nil
 	}
@@ -45,7 +45,7 @@
 		return errors.Trace(ErrAlreadyFounded)
 	}
 	defer n.endFounding()
-	if err := n.askAllPeers(ctx); err != nil {
+	if err := n.checkAllPeers(ctx); err != nil {
 		return errors.Trace(err)
 	}
 	var foundErr error
@@ -84,7 +84,7 @@
 	n.founding = false
 }
 
-func (n *Node) askAllPeers(ctx context.Context) error {
+func (n *Node) checkAllPeers(ctx context.Context) error {
 	peers := n.peerAddresses()
 	results := make([]error, len(peers))
 	var asking sync.WaitGroup
@@ -92,14 +92,14 @@
 		asking.Add(1)
 		go func() {
 			defer asking.Done()
-			results[i] = n.askPeer(ctx, address)
+			results[i] = n.checkPeer(ctx, address)
 		}()
 	}
 	asking.Wait()
 	return errors.Trace(firstError(results...))
 }
 
-func (n *Node) askPeer(ctx context.Context, address string) error {
+func (n *Node) checkPeer(ctx context.Context, address string) error {
 	if address == n.opts.Address {
 		return nil
 	}
@@ -136,7 +136,7 @@
 	if err := n.wal.Found(id, first); err != nil {
 		return errors.Trace(err)
 	}
-	n.showIdentity(id)
+	n.publishIdentity(id)
 	n.logger.info("msg", "cluster founded", "cluster", cluster)
 	saved := raft.Saved{HardState: raft.HardState{Term: 1, Commit: 1}, Entries: []raft.Entry{first}}
 	return errors.Trace(n.startCore(saved))
@@ -149,8 +149,8 @@
 	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
 	for {
-		if n.wantsToJoin() {
-			n.askToJoin(ctx)
+		if n.shouldJoin() {
+			n.requestJoin(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -166,7 +166,7 @@
 	return Member{ID: n.id, VM: n.opts.VM, DataCentre: n.opts.DataCentre, Address: n.opts.Address}
 }
 
-func (n *Node) wantsToJoin() bool {
+func (n *Node) shouldJoin() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.identity.Removed || n.founding {
@@ -183,26 +183,26 @@
 	return !ok || listed != n.self()
 }
 
-// askToJoin asks one peer after the other, and the leader that one names.
-func (n *Node) askToJoin(ctx context.Context) {
+// requestJoin asks one peer after the other, and the leader that one names.
+func (n *Node) requestJoin(ctx context.Context) {
 	for _, address := range n.peerAddresses() {
 		if address == n.opts.Address || ctx.Err() != nil {
 			continue
 		}
-		response, err := n.askOne(ctx, address)
+		response, err := n.requestJoinAt(ctx, address)
 		if err == nil && response.Verdict == raftrpc.JoinResponse_NOT_LEADER && response.LeaderAddress != "" {
-			response, err = n.askOne(ctx, response.LeaderAddress)
+			response, err = n.requestJoinAt(ctx, response.LeaderAddress)
 		}
 		if err != nil {
 			continue
 		}
-		if n.takeVerdict(ctx, response) {
+		if n.handleVerdict(ctx, response) {
 			return
 		}
 	}
 }
 
-func (n *Node) askOne(ctx context.Context, address string) (*raftrpc.JoinResponse, error) {
+func (n *Node) requestJoinAt(ctx context.Context, address string) (*raftrpc.JoinResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	c := newConnection(n.opts)
@@ -215,9 +215,9 @@
 	return response, errors.Trace(err)
 }
 
-// takeVerdict acts on the answer to a request to join, and tells whether it
+// handleVerdict acts on the answer to a request to join, and tells whether it
 // settles this round.
-func (n *Node) takeVerdict(ctx context.Context, response *raftrpc.JoinResponse) bool {
+func (n *Node) handleVerdict(ctx context.Context, response *raftrpc.JoinResponse) bool {
 	own := n.clusterID()
 	if own != 0 && response.Cluster != 0 && response.Cluster != own {
 		n.logger.error("msg", "a peer belongs to another cluster", "own", own, "other", response.Cluster)
--- a/internal/replica/full.go
+++ b/internal/replica/full_disk.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// fullRetry is the time between two tries of a write that finds no room: a disk
+// fullDiskRetryInterval is the time between two tries of a write that finds no room: a disk
 // that has room again is used within a fraction of an election timeout, and the
 // tries cost a few system calls a second.
-const fullRetry = 250 * time.Millisecond
+const fullDiskRetryInterval = 250 * time.Millisecond
 
 // fullDisk waits while the disk has no room.
 //
@@ -16,18 +16,18 @@
 type fullDisk struct {
 	logger logger
 	// stop ends the wait.
-	stop chan struct{}
-	lost bool
+	stop   chan struct{}
+	isFull bool
 }
 
 // NoRoom returns true when the write is to be tried again.
 func (d *fullDisk) NoRoom(err error) bool {
-	if !d.lost {
-		d.lost = true
+	if !d.isFull {
+		d.isFull = true
 		d.logger.error("event", "dependency_lost", "what", "disk", "err", err)
 	}
 	select {
-	case <-time.After(fullRetry):
+	case <-time.After(fullDiskRetryInterval):
 		return true
 	case <-d.stop:
 		return false
@@ -36,6 +36,6 @@
 
 // Room notes that the write has been made.
 func (d *fullDisk) Room() {
-	d.lost = false
+	d.isFull = false
 	d.logger.info("event", "dependency_regained", "what", "disk")
 }
--- a/internal/replica/linearizable_test.go
+++ b/internal/replica/linearizable_test.go
@@ -157,7 +157,7 @@
 	}
 	rng := rand.New(rand.NewPCG(*faultSeed, 4))
 	for end := time.Now().Add(*faultTime); time.Now().Before(end); {
-		c.strike(rng)
+		c.injectFault(rng)
 		eventually(t, "three voters again", func() bool { return c.voters() == 3 })
 	}
 	close(stop)
@@ -169,7 +169,7 @@
 	t.Logf("verdict %s", verdict)
 }
 
-func (c *cluster) strike(rng *rand.Rand) {
+func (c *cluster) injectFault(rng *rand.Rand) {
 	leader := c.leader()
 	victim := c.hosts[rng.IntN(len(c.hosts))]
 	switch rng.IntN(4) {
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -85,7 +85,7 @@
 // disk is replaced without a command. Asked to remove itself, the leader hands
 // over and returns a NotLeaderError: repeat the call there.
 func (n *Node) RemoveMember(ctx context.Context, id raft.NodeID) error {
-	if err := n.usable(); err != nil {
+	if err := n.checkUsable(); err != nil {
 		return errors.Trace(err)
 	}
 	if id == n.Status().ID {
@@ -111,14 +111,14 @@
 func (n *Node) removeOnce(ctx context.Context, id raft.NodeID) error {
 	p := newProposal(nil)
 	err := n.do(ctx, func() {
-		p.taken.Store(true)
+		p.claimed.Store(true)
 		status := n.core.Status()
 		if _, ok := status.Membership.Find(id); !ok && status.Role == raft.RoleLeader {
 			p.done <- outcome{err: errors.Trace(ErrUnknownMember)}
 			return
 		}
 		at, err := n.core.ProposeMembership(status.Membership.Without(id))
-		n.wait(p, at, err)
+		n.trackProposal(p, at, err)
 	})
 	if err != nil {
 		return errors.Trace(err)
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -40,14 +40,14 @@
 	cancel    context.CancelFunc
 
 	// What follows is touched by the node's own goroutine only.
-	core           *raft.Node
-	waiters        map[uint64]*proposal
-	reads          map[uint64]*proposal
-	unaskedReads   []*proposal
-	nextRead       uint64
-	joins          map[raft.NodeID]join
-	lostAt         time.Duration
-	bytesSinceSnap int
+	core             *raft.Node
+	waiters          map[uint64]*proposal
+	reads            map[uint64]*proposal
+	waitingReads     []*proposal
+	nextRead         uint64
+	joins            map[raft.NodeID]join
+	lostLeadershipAt time.Duration
+	bytesSinceSnap   int
 	// snapshotBytes is the size of the last snapshot.
 	snapshotBytes int
 
@@ -74,8 +74,8 @@
 	term uint64
 	// taken settles the race between the node that appends the command and
 	// the caller that stops waiting: whoever sets it decides the outcome.
-	taken atomic.Bool
-	done  chan outcome
+	claimed atomic.Bool
+	done    chan outcome
 }
 
 type outcome struct {
@@ -149,7 +149,7 @@
 		Group:             n.opts.Group,
 		ElectionTimeout:   timeout,
 		HeartbeatInterval: time.Duration(n.opts.HeartbeatTicks) * n.opts.TickInterval,
-		LeaseMargin:       timeout / leaseMarginParts,
+		LeaseMargin:       timeout / leaseMarginDivisor,
 		MaxBatchBytes:     maxBatchBytes,
 		Rand:              rand.New(rand.NewPCG(seed, uint64(n.id))),
 	}, saved, n.opts.Now())
@@ -278,11 +278,11 @@
 	if err := n.wal.SetIdentity(id); err != nil {
 		return errors.Trace(err)
 	}
-	n.showIdentity(id)
+	n.publishIdentity(id)
 	return nil
 }
 
-func (n *Node) showIdentity(id wal.Identity) {
+func (n *Node) publishIdentity(id wal.Identity) {
 	n.mu.Lock()
 	n.identity = id
 	n.mu.Unlock()
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -106,9 +106,9 @@
 	maxCommandBytes = 1 << 20
 	// maxBatchBytes bounds one append, well under maxRequestBytes.
 	maxBatchBytes = 1 << 20
-	// leaseMarginParts is the part of the election timeout that the lease is
+	// leaseMarginDivisor is the part of the election timeout that the lease is
 	// shorter by: an eighth covers clocks that differ by 6% in rate.
-	leaseMarginParts = 8
+	leaseMarginDivisor = 8
 )
 
 func (o Options) withDefaults() Options {
--- a/internal/replica/process.go
+++ b/internal/replica/process.go
@@ -17,19 +17,19 @@
 // sync first, publish, then send, apply and answer.
 func (n *Node) process() error {
 	for {
-		n.askReads()
+		n.requestReads()
 		r := n.core.Ready()
 		if r.Empty() {
 			n.publish()
-			return errors.Trace(n.noteRemoval())
+			return errors.Trace(n.recordRemoval())
 		}
-		if err := n.carryOut(r); err != nil {
+		if err := n.execute(r); err != nil {
 			return errors.Trace(err)
 		}
 	}
 }
 
-func (n *Node) carryOut(r raft.Ready) error {
+func (n *Node) execute(r raft.Ready) error {
 	if err := n.wal.Save(r); err != nil {
 		return errors.Trace(err)
 	}
@@ -100,12 +100,12 @@
 	return answers
 }
 
-// snapshotParts and snapshotPatience keep the writing of snapshots a small part of
+// snapshotSizeDivisor and maxEntriesFactor keep the writing of snapshots a small part of
 // the writing of the log: one is written once the log since the last has a fourth of
 // its size, or has grown to eight times the entries that suffice for a small state.
 const (
-	snapshotParts    = 4
-	snapshotPatience = 8
+	snapshotSizeDivisor = 4
+	maxEntriesFactor    = 8
 )
 
 // compactionDue tells whether the log since the last snapshot is long enough.
@@ -113,10 +113,10 @@
 	switch {
 	case entries == 0:
 		return false
-	case n.bytesSinceSnap >= maxBytesSinceSnapshot, entries >= snapshotPatience*n.opts.SnapshotEntries:
+	case n.bytesSinceSnap >= maxBytesSinceSnapshot, entries >= maxEntriesFactor*n.opts.SnapshotEntries:
 		return true
 	}
-	return entries >= n.opts.SnapshotEntries && n.bytesSinceSnap*snapshotParts >= n.snapshotBytes
+	return entries >= n.opts.SnapshotEntries && n.bytesSinceSnap*snapshotSizeDivisor >= n.snapshotBytes
 }
 
 func (n *Node) compact() error {
@@ -140,7 +140,7 @@
 	return errors.Trace(n.wal.Compact(s, base))
 }
 
-func (n *Node) noteRemoval() error {
+func (n *Node) recordRemoval() error {
 	if n.identity.Removed || !n.core.Status().Removed {
 		return nil
 	}
@@ -163,40 +163,40 @@
 	n.mu.Lock()
 	old := n.view
 	n.view = v
-	leaseCameOrWent := (old.leaseExpiry == 0) != (v.leaseExpiry == 0)
-	if visiblyChanged(old.status, v.status) || leaseCameOrWent {
+	leaseStartedOrEnded := (old.leaseExpiry == 0) != (v.leaseExpiry == 0)
+	if hasVisibleChange(old.status, v.status) || leaseStartedOrEnded {
 		close(n.changed)
 		n.changed = make(chan struct{})
 	}
 	n.mu.Unlock()
 	if old.status.MembershipIndex != v.status.MembershipIndex || old.status.Leader != v.status.Leader {
-		n.useMembers(v.status)
+		n.updatePeers(v.status)
 	}
-	n.noteLeadership(old.status, v.status)
+	n.handleRoleChange(old.status, v.status)
 }
 
-func visiblyChanged(a, b raft.Status) bool {
+func hasVisibleChange(a, b raft.Status) bool {
 	return a.Role != b.Role || a.Leader != b.Leader || a.Term != b.Term ||
 		a.MembershipIndex != b.MembershipIndex || a.Removed != b.Removed ||
 		a.OwnTermCommitted != b.OwnTermCommitted
 }
 
-func (n *Node) useMembers(s raft.Status) {
+func (n *Node) updatePeers(s raft.Status) {
 	for _, m := range s.Membership.Members {
 		n.transport.setAddress(m.ID, m.Address, false)
 	}
-	n.transport.keepOnly(s.Membership.Members)
+	n.transport.removeIdlePeers(s.Membership.Members)
 }
 
-// noteLeadership logs each change of role, and starts the wait of those whose
+// handleRoleChange logs each change of role, and starts the wait of those whose
 // leader is gone.
-func (n *Node) noteLeadership(old, now raft.Status) {
+func (n *Node) handleRoleChange(old, now raft.Status) {
 	if old.Role == now.Role && old.Term == now.Term {
 		return
 	}
 	n.logger.info("msg", "role changed", "role", now.Role, "term", now.Term, "leader", idString(now.Leader))
 	if old.Role == raft.RoleLeader && now.Role != raft.RoleLeader {
-		n.lostAt = n.opts.Now()
+		n.lostLeadershipAt = n.opts.Now()
 		n.failReads()
 	}
 }
@@ -207,8 +207,8 @@
 	if len(n.waiters) == 0 || n.core.Status().Role == raft.RoleLeader {
 		return
 	}
-	const patience = 2
-	if n.opts.Now()-n.lostAt < patience*n.opts.electionTimeout() {
+	const waitElectionTimeouts = 2
+	if n.opts.Now()-n.lostLeadershipAt < waitElectionTimeouts*n.opts.electionTimeout() {
 		return
 	}
 	n.failWaiters(ErrOutcomeUnknown)
@@ -227,10 +227,10 @@
 		delete(n.reads, id)
 		p.done <- outcome{err: err}
 	}
-	for _, p := range n.unaskedReads {
+	for _, p := range n.waitingReads {
 		p.done <- outcome{err: err}
 	}
-	n.unaskedReads = nil
+	n.waitingReads = nil
 }
 
 // notLeader returns the error that names the leader, if one is known.
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -17,7 +17,7 @@
 	if len(command) == 0 || len(command) > maxCommandBytes {
 		return nil, errors.Trace(ErrInvalidCommand)
 	}
-	if err := n.usable(); err != nil {
+	if err := n.checkUsable(); err != nil {
 		return nil, errors.Trace(err)
 	}
 	p := newProposal(command)
@@ -45,14 +45,14 @@
 	case <-n.failed:
 		cause = ErrClosed
 	}
-	if p.taken.CompareAndSwap(false, true) {
+	if p.claimed.CompareAndSwap(false, true) {
 		return nil, errors.Trace(cause)
 	}
-	return n.lastLook(p)
+	return n.lateOutcome(p)
 }
 
-// lastLook takes an outcome that came together with the end of the wait.
-func (n *Node) lastLook(p *proposal) ([]byte, error) {
+// lateOutcome takes an outcome that came together with the end of the wait.
+func (n *Node) lateOutcome(p *proposal) ([]byte, error) {
 	select {
 	case o := <-p.done:
 		return o.result, o.err
@@ -62,7 +62,7 @@
 }
 
 // usable refuses early what can't succeed on this node.
-func (n *Node) usable() error {
+func (n *Node) checkUsable() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
@@ -78,15 +78,15 @@
 
 // propose runs on the node's goroutine.
 func (n *Node) propose(p *proposal) {
-	if !p.taken.CompareAndSwap(false, true) {
+	if !p.claimed.CompareAndSwap(false, true) {
 		return // its caller has stopped waiting
 	}
 	at, err := n.core.Propose(p.data)
-	n.wait(p, at, err)
+	n.trackProposal(p, at, err)
 }
 
 // wait notes a proposal under its position, or answers that it has none.
-func (n *Node) wait(p *proposal, at raft.Position, err error) {
+func (n *Node) trackProposal(p *proposal, at raft.Position, err error) {
 	switch {
 	case errors.Is(err, raft.ErrBusy):
 		p.done <- outcome{err: errors.Annotate(ErrNotProposed, err.Error())}
@@ -110,14 +110,14 @@
 // ReadBarrier returns once this node's state machine holds every command that
 // any Propose had answered before the call. It succeeds on the leader only.
 func (n *Node) ReadBarrier(ctx context.Context) error {
-	if err := n.usable(); err != nil {
+	if err := n.checkUsable(); err != nil {
 		return errors.Trace(err)
 	}
 	if n.readByLease() {
 		return nil
 	}
 	p := newProposal(nil)
-	err := n.do(ctx, func() { n.takeRead(p) })
+	err := n.do(ctx, func() { n.queueRead(p) })
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -145,25 +145,25 @@
 	return applied && n.opts.Now() < v.leaseExpiry
 }
 
-func (n *Node) takeRead(p *proposal) {
+func (n *Node) queueRead(p *proposal) {
 	if n.core.Status().Role != raft.RoleLeader {
 		p.done <- outcome{err: n.notLeader()}
 		return
 	}
-	n.unaskedReads = append(n.unaskedReads, p)
+	n.waitingReads = append(n.waitingReads, p)
 }
 
-// askReads asks for the reads that wait, once the leader has committed an
+// requestReads asks for the reads that wait, once the leader has committed an
 // entry of its own term.
-func (n *Node) askReads() {
-	for len(n.unaskedReads) > 0 {
-		p := n.unaskedReads[0]
+func (n *Node) requestReads() {
+	for len(n.waitingReads) > 0 {
+		p := n.waitingReads[0]
 		id := n.nextRead + 1
 		err := n.core.ReadIndex(n.opts.Now(), id)
 		if errors.Is(err, raft.ErrNotReady) {
 			return
 		}
-		n.unaskedReads = n.unaskedReads[1:]
+		n.waitingReads = n.waitingReads[1:]
 		if err != nil {
 			p.done <- outcome{err: n.notLeader()}
 			continue
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -12,19 +12,19 @@
 // join by themselves, and a write answered by the leader is on all three.
 func TestFoundJoinPropose(t *testing.T) {
 	c := newCluster(t, 3, nil)
-	_, err := c.hosts[0].node.Propose(within(t), command("k", "v"))
+	_, err := c.hosts[0].node.Propose(testContext(t), command("k", "v"))
 	assert.Assert(t, errors.Is(err, ErrNotFounded), "%v", err)
 
 	c.found(3)
 	c.put("k", "v")
-	assert.NilError(t, c.leader().node.ReadBarrier(within(t)))
+	assert.NilError(t, c.leader().node.ReadBarrier(testContext(t)))
 	leader := c.leader().node
 	assert.Assert(t, leader.LeaseRemaining() < leader.MaxLease())
 	for _, h := range c.hosts {
 		eventually(t, "the write is everywhere", func() bool { return h.machine.get("k") == "v" })
 	}
-	assert.NilError(t, c.hosts[0].node.Found(within(t)))
-	assert.NilError(t, c.hosts[1].node.Found(within(t)))
+	assert.NilError(t, c.hosts[0].node.Found(testContext(t)))
+	assert.NilError(t, c.hosts[1].node.Found(testContext(t)))
 }
 
 // Story: all three VMs lose power at once. After the restart every answered
@@ -41,33 +41,33 @@
 	for _, h := range c.hosts {
 		h.open()
 	}
-	assert.NilError(t, c.leader().node.ReadBarrier(within(t)))
+	assert.NilError(t, c.leader().node.ReadBarrier(testContext(t)))
 	for i := range 300 {
 		assert.Equal(t, c.leader().machine.get(strconv.Itoa(i)), "v"+strconv.Itoa(i))
 	}
 }
 
-// Story: a control VM is away for hundreds of changes, so that the log it
+// Story: a control VM is absent for hundreds of changes, so that the log it
 // needs is compacted. When it returns it gets the snapshot and what followed.
-func TestReturnAfterHundredsOfChanges(t *testing.T) {
+func TestReturningReplicaRestoresASnapshot(t *testing.T) {
 	c := newCluster(t, 3, func(o *Options) { o.SnapshotEntries = 64 })
 	c.found(3)
 	c.put("first", "1")
-	away := c.hosts[2]
-	away.kill()
+	absent := c.hosts[2]
+	absent.kill()
 	for i := range 400 {
 		c.put(strconv.Itoa(i), "v")
 	}
-	away.open()
-	eventually(t, "it has caught up", func() bool { return away.machine.get("399") == "v" })
-	assert.Equal(t, away.machine.get("first"), "1")
-	assert.Assert(t, away.node.Status().SnapshotIndex > 0)
+	absent.open()
+	eventually(t, "it has caught up", func() bool { return absent.machine.get("399") == "v" })
+	assert.Equal(t, absent.machine.get("first"), "1")
+	assert.Assert(t, absent.node.Status().SnapshotIndex > 0)
 }
 
 // Story: a VM comes back at night with an empty disk, and soon after a second
 // one does. Each gets a new identity, the old one is removed, and all writes
 // are still there. Nobody types a command.
-func TestLostDiskTwice(t *testing.T) {
+func TestTwoReplicasLoseTheirDisks(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
 	c.put("k", "v")
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -91,18 +91,18 @@
 		return nil, twirp.InvalidArgument.Error("id, vm and address are needed")
 	}
 	response := &raftrpc.JoinResponse{}
-	err := n.do(ctx, func() { n.takeJoin(req, response) })
+	err := n.do(ctx, func() { n.handleJoin(req, response) })
 	if err != nil {
 		return nil, twirp.Unavailable.Error(err.Error())
 	}
 	return response, nil
 }
 
-// takeJoin runs on the node's goroutine.
-func (n *Node) takeJoin(req *raftrpc.JoinRequest, response *raftrpc.JoinResponse) {
+// handleJoin runs on the node's goroutine.
+func (n *Node) handleJoin(req *raftrpc.JoinRequest, response *raftrpc.JoinResponse) {
 	status := n.core.Status()
 	response.Cluster = n.identity.Cluster
-	response.Verdict = n.judgeJoin(status, req)
+	response.Verdict = n.joinVerdict(status, req)
 	if response.Verdict == raftrpc.JoinResponse_NOT_LEADER {
 		leader, _ := status.Membership.Find(status.Leader)
 		response.LeaderAddress = leader.Address
@@ -121,7 +121,7 @@
 	}
 }
 
-func (n *Node) judgeJoin(status raft.Status, req *raftrpc.JoinRequest) raftrpc.JoinResponse_Verdict {
+func (n *Node) joinVerdict(status raft.Status, req *raftrpc.JoinRequest) raftrpc.JoinResponse_Verdict {
 	id := raft.NodeID(req.Id)
 	switch {
 	case n.identity.Cluster == 0:
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// maxQueued bounds the messages that wait for one peer. A peer that is
+	// maxQueuedMessages bounds the messages that wait for one peer. A peer that is
 	// slow or cut off would else collect them without end; past the bound the
 	// oldest is dropped, because a later one supersedes it.
-	maxQueued = 1024
+	maxQueuedMessages = 1024
 	// maxDeliverBytes bounds what one call carries, unless a single message is larger.
 	maxDeliverBytes = 4 << 20
-	// slowestPeer, in bytes a second, stretches the deadline of a large call,
+	// minPeerBytesPerSecond, in bytes a second, stretches the deadline of a large call,
 	// so that a snapshot gets through a slow link.
-	slowestPeer = 1 << 20
+	minPeerBytesPerSecond = 1 << 20
 )
 
 // transport sends messages to the other members: for each one goroutine, one
@@ -50,9 +50,9 @@
 	t.cluster = cluster
 }
 
-// setAddress notes where a node is reached. heard is set when the node itself
+// setAddress notes where a node is reached. selfReported is set when the node itself
 // said so, which counts more than the membership: its VM may have moved.
-func (t *transport) setAddress(id raft.NodeID, address string, heard bool) {
+func (t *transport) setAddress(id raft.NodeID, address string, selfReported bool) {
 	if id == t.self || address == "" {
 		return
 	}
@@ -68,11 +68,11 @@
 		t.running.Add(1)
 		go p.run()
 	}
-	p.setAddress(address, heard)
+	p.setAddress(address, selfReported)
 }
 
-// keepOnly ends the senders to nodes that are neither members nor heard from.
-func (t *transport) keepOnly(members []Member) {
+// removeIdlePeers ends the senders to nodes that are neither members nor selfReported from.
+func (t *transport) removeIdlePeers(members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	member := map[raft.NodeID]bool{}
@@ -80,7 +80,7 @@
 		member[m.ID] = true
 	}
 	for id, p := range t.peers {
-		if !member[id] && p.idle() {
+		if !member[id] && p.isIdle() {
 			p.stop()
 			delete(t.peers, id)
 		}
@@ -122,12 +122,12 @@
 	stop   context.CancelFunc
 	wake   chan struct{}
 
-	mu       sync.Mutex
-	address  string
-	heard    bool
-	queue    []raft.Message
-	lastUsed time.Time
-	failing  bool
+	mu           sync.Mutex
+	address      string
+	selfReported bool
+	queue        []raft.Message
+	lastUsed     time.Time
+	isFailing    bool
 }
 
 func newPeer(t *transport, id raft.NodeID) *peer {
@@ -138,29 +138,29 @@
 	}
 }
 
-func (p *peer) setAddress(address string, heard bool) {
+func (p *peer) setAddress(address string, selfReported bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.heard && !heard {
+	if p.selfReported && !selfReported {
 		return
 	}
 	p.address = address
-	p.heard = heard
+	p.selfReported = selfReported
 }
 
-// idleAfter is how long a peer that is no member keeps its sender: long
+// idlePeerTimeout is how long a peer that is no member keeps its sender: long
 // enough to tell a removed one that it was removed.
-const idleAfter = 30 * time.Second
+const idlePeerTimeout = 30 * time.Second
 
-func (p *peer) idle() bool {
+func (p *peer) isIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.lastUsed) > idleAfter
+	return time.Since(p.lastUsed) > idlePeerTimeout
 }
 
 func (p *peer) enqueue(m raft.Message) {
 	p.mu.Lock()
-	if len(p.queue) >= maxQueued {
+	if len(p.queue) >= maxQueuedMessages {
 		p.queue = p.queue[1:]
 	}
 	p.queue = append(p.queue, m)
@@ -173,7 +173,7 @@
 }
 
 // take returns the next messages to send, up to maxDeliverBytes, and where to.
-func (p *peer) take() ([]raft.Message, int, string) {
+func (p *peer) nextBatch() ([]raft.Message, int, string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	size := 0
@@ -201,7 +201,7 @@
 		case <-p.wake:
 		}
 		for {
-			batch, size, address := p.take()
+			batch, size, address := p.nextBatch()
 			if len(batch) == 0 {
 				break
 			}
@@ -226,11 +226,11 @@
 	// The call must end well within an election timeout: a connection that has
 	// gone silent is then found, closed and replaced before the peer misses
 	// the leader.
-	timeout := p.t.opts.electionTimeout()/3 + time.Duration(size)*time.Second/slowestPeer
+	timeout := p.t.opts.electionTimeout()/3 + time.Duration(size)*time.Second/minPeerBytesPerSecond
 	ctx, cancel := context.WithTimeout(p.ctx, timeout)
 	defer cancel()
 	_, err := p.client.rpc(address).Deliver(ctx, request)
-	p.note(err, address)
+	p.logReachability(err, address)
 	if err == nil || p.ctx.Err() != nil {
 		return
 	}
@@ -242,10 +242,10 @@
 }
 
 // note logs when a peer begins to fail and when it answers again.
-func (p *peer) note(err error, address string) {
+func (p *peer) logReachability(err error, address string) {
 	p.mu.Lock()
-	changed := p.failing != (err != nil)
-	p.failing = err != nil
+	changed := p.isFailing != (err != nil)
+	p.isFailing = err != nil
 	p.mu.Unlock()
 	if !changed || p.ctx.Err() != nil {
 		return
@@ -259,21 +259,21 @@
 
 // connection calls one peer over at most one connection.
 type connection struct {
-	http HTTPClient
-	own  *http.Transport
+	http      HTTPClient
+	transport *http.Transport
 }
 
 func newConnection(opts Options) *connection {
 	if opts.HTTPClient != nil {
 		return &connection{http: authorised{opts.HTTPClient, opts.Secret}}
 	}
-	own := &http.Transport{
+	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: opts.electionTimeout() / 3, LocalAddr: opts.LocalAddr}).DialContext,
 		MaxConnsPerHost:     1,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     time.Minute,
 	}
-	return &connection{http: authorised{&http.Client{Transport: own}, opts.Secret}, own: own}
+	return &connection{http: authorised{&http.Client{Transport: transport}, opts.Secret}, transport: transport}
 }
 
 func (c *connection) rpc(address string) raftrpc.Consensus {
@@ -281,8 +281,8 @@
 }
 
 func (c *connection) closeIdle() {
-	if c.own != nil {
-		c.own.CloseIdleConnections()
+	if c.transport != nil {
+		c.transport.CloseIdleConnections()
 	}
 }
 
