--- a/internal/replica/codec.go
+++ b/internal/replica/codec.go
@@ -73,7 +73,7 @@
 	return m, nil
 }
 
-// wireSize is about how many bytes a message takes on the wire.
+// wireSize returns the approximate size of a message on the wire, in bytes.
 func wireSize(m raft.Message) int {
 	const header = 64
 	size := header
--- a/internal/replica/full_disk.go
+++ b/internal/replica/full_disk.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// fullDiskRetryInterval is the time between two tries of a write that finds no room: a disk
-// that has room again is used within a fraction of an election timeout, and the
-// tries cost a few system calls a second.
+// fullDiskRetryInterval is the time between two attempts of a write while the disk is full.
+// Freed space is then used within a fraction of an election timeout, and the attempts cost only
+// a few system calls a second.
 const fullDiskRetryInterval = 250 * time.Millisecond
 
-// fullDisk waits while the disk has no room.
+// fullDisk makes writes wait while the disk is full.
 //
-// Failure: the disk is full for some seconds. The replica can't keep what it would
-// vouch for, so its goroutine waits here and answers nobody: it acknowledges
-// nothing, grants no vote, and its lease as a leader runs out by the clock. It goes
-// on where it was once there is room.
+// Failure: the disk is full for some seconds. The replica can't store what it would have to
+// acknowledge. So its goroutine waits here and sends nothing: it acknowledges no entry, grants
+// no vote, and its lease as leader expires by the clock. When the disk has free space again,
+// the replica continues.
 type fullDisk struct {
 	logger logger
-	// stop ends the wait.
+	// stop ends the wait when it closes.
 	stop   chan struct{}
 	isFull bool
 }
 
-// NoRoom returns true when the write is to be tried again.
+// NoRoom waits before the next attempt of a write that failed because the disk is full. It
+// returns false if the node is stopping.
 func (d *fullDisk) NoRoom(err error) bool {
 	if !d.isFull {
 		d.isFull = true
@@ -34,7 +35,7 @@
 	}
 }
 
-// Room notes that the write has been made.
+// Room records that a write has succeeded after NoRoom.
 func (d *fullDisk) Room() {
 	d.isFull = false
 	d.logger.info("event", "dependency_regained", "what", "disk")
--- a/internal/replica/logger.go
+++ b/internal/replica/logger.go
@@ -5,8 +5,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// logger writes lines of one level. A line that can't be written is lost: no
-// replica stops because its log does.
+// logger writes log lines by level. It drops a line that can't be written, because a replica
+// must not stop when its log does.
 type logger struct{ to log.Logger }
 
 func (l logger) debug(keyvals ...any) { _ = level.Debug(l.to).Log(keyvals...) }
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// inboxSize bounds the batches of messages that wait for the node.
+	// inboxSize bounds the batches of messages that wait for the node's goroutine.
 	inboxSize = 256
-	// proposalQueue bounds the proposals that wait for the node; beyond it
-	// Propose waits, so that callers feel a slow disk.
+	// proposalQueue bounds the proposals that wait for the node's goroutine. When it is full,
+	// Propose blocks, so a slow disk slows its callers down.
 	proposalQueue = 4096
 )
 
-// Node is one replica of a group.
+// Node is one replica of a consensus group.
 type Node struct {
 	id        raft.NodeID
 	opts      Options
@@ -39,7 +39,7 @@
 	running   sync.WaitGroup
 	cancel    context.CancelFunc
 
-	// What follows is touched by the node's own goroutine only.
+	// Only the node's own goroutine uses the fields from here to mu.
 	core             *raft.Node
 	waiters          map[uint64]*proposal
 	reads            map[uint64]*proposal
@@ -48,7 +48,7 @@
 	joins            map[raft.NodeID]join
 	lostLeadershipAt time.Duration
 	bytesSinceSnap   int
-	// snapshotBytes is the size of the last snapshot.
+	// snapshotBytes is the size of the last snapshot in bytes.
 	snapshotBytes int
 
 	mu       sync.Mutex
@@ -60,7 +60,7 @@
 	err      error
 }
 
-// view is what the node last published of its state.
+// view is the last published state of the node.
 type view struct {
 	status      raft.Status
 	leaseExpiry time.Duration
@@ -72,8 +72,8 @@
 type proposal struct {
 	data []byte
 	term uint64
-	// taken settles the race between the node that appends the command and
-	// the caller that stops waiting: whoever sets it decides the outcome.
+	// claimed decides the race between the node's goroutine, which appends the command, and a
+	// caller that stops waiting. The side that sets it first determines the outcome.
 	claimed atomic.Bool
 	done    chan outcome
 }
@@ -87,8 +87,8 @@
 	return &proposal{data: data, done: make(chan outcome, 1)}
 }
 
-// Open opens the data folder and starts the node. A folder without content
-// becomes a new identity, which asks its peers to let it join.
+// Open opens the data folder and starts the node. In an empty folder it creates a new identity,
+// which asks the peers to let it join.
 func Open(opts Options) (*Node, error) {
 	opts = opts.withDefaults()
 	if err := opts.check(); err != nil {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// run is the node's goroutine.
+// run is the loop of the node's goroutine.
 func (n *Node) run() {
 	defer n.running.Done()
 	defer n.failWaiters(ErrOutcomeUnknown)
@@ -189,8 +189,8 @@
 	}
 }
 
-// drain takes what else has arrived, so that it shares the next sync. A sync
-// costs the same for one entry as for a thousand.
+// drain handles further proposals and messages that have already arrived, so that they share
+// the next sync. A sync costs the same for one entry as for a thousand.
 func (n *Node) drain() {
 	for range n.opts.MaxBatch - 1 {
 		select {
@@ -223,8 +223,8 @@
 	}
 }
 
-// fail stops the node for good: after a failed write nobody knows what the
-// disk holds, so it may neither vote nor acknowledge any more.
+// fail stops the node permanently. After a failed write the content of the disk is unknown, so
+// the node may neither vote nor acknowledge any more.
 func (n *Node) fail(err error) {
 	n.logger.error("msg", "the replica stopped", "err", err)
 	n.mu.Lock()
@@ -234,8 +234,8 @@
 	close(n.failed)
 }
 
-// Failed is closed when the node has stopped by itself; Status tells why. The
-// process should then exit and be started again.
+// Failed returns a channel that closes when the node has stopped because of an error, which
+// Status returns. The process should then exit and be restarted.
 func (n *Node) Failed() <-chan struct{} { return n.failed }
 
 // Close stops the node and closes its data folder.
@@ -247,7 +247,7 @@
 	return errors.Trace(n.wal.Close())
 }
 
-// do runs f on the node's goroutine and waits for it.
+// do runs f on the node's goroutine and waits until f has returned.
 func (n *Node) do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	call := func() {
@@ -273,7 +273,7 @@
 	return n.identity.Cluster
 }
 
-// setIdentity persists a change of the identity, then shows it.
+// setIdentity persists a change of the identity, then publishes it.
 func (n *Node) setIdentity(id wal.Identity) error {
 	if err := n.wal.SetIdentity(id); err != nil {
 		return errors.Trace(err)
--- a/internal/replica/process.go
+++ b/internal/replica/process.go
@@ -9,12 +9,12 @@
 	"github.com/citronstep/citronstep/internal/raft"
 )
 
-// maxBytesSinceSnapshot bounds the log on disk and in memory between
-// snapshots, when commands are large.
+// maxBytesSinceSnapshot bounds the log on disk and in memory between snapshots when commands
+// are large.
 const maxBytesSinceSnapshot = 8 << 20
 
-// process carries out what the step machine asks for, until it asks nothing:
-// sync first, publish, then send, apply and answer.
+// process handles the output of the consensus state machine until there is none left. It syncs
+// first, publishes, and then sends, applies and returns results.
 func (n *Node) process() error {
 	for {
 		n.requestReads()
@@ -45,8 +45,8 @@
 	if err := n.compact(); err != nil {
 		return errors.Trace(err)
 	}
-	// Published before the answers leave: a read that starts after a write
-	// was answered must see that write's index.
+	// The state is published before the results are returned: a read that starts after a write
+	// has returned must see the index of that write.
 	n.publish()
 	for _, a := range answers {
 		a.to.done <- a.outcome
@@ -91,8 +91,7 @@
 		}
 		delete(n.waiters, e.Index)
 		if p.term != e.Term {
-			// Another entry was committed in its place, so the command can
-			// never be.
+			// Another entry was committed at this index, so the command can never be committed.
 			o = outcome{err: n.notLeader()}
 		}
 		answers = append(answers, answer{to: p, outcome: o})
@@ -100,15 +99,16 @@
 	return answers
 }
 
-// snapshotSizeDivisor and maxEntriesFactor keep the writing of snapshots a small part of
-// the writing of the log: one is written once the log since the last has a fourth of
-// its size, or has grown to eight times the entries that suffice for a small state.
+// snapshotSizeDivisor and maxEntriesFactor limit the cost of snapshots to a small part of the
+// cost of the log. A snapshot is written once the log since the last one has a fourth of its
+// size, or eight times SnapshotEntries entries.
 const (
 	snapshotSizeDivisor = 4
 	maxEntriesFactor    = 8
 )
 
-// compactionDue tells whether the log since the last snapshot is long enough.
+// compactionDue reports whether the log since the last snapshot is long enough for a
+// compaction.
 func (n *Node) compactionDue(entries uint64) bool {
 	switch {
 	case entries == 0:
@@ -129,8 +129,8 @@
 	if err != nil {
 		return errors.Annotate(err, "taking a snapshot of the state machine")
 	}
-	// Half of the entries stay, so that a follower that was away for a short
-	// time catches up without the whole state.
+	// Half of the entries stay in the log, so that a follower that was absent for a short time
+	// catches up without a snapshot.
 	s, base, err := n.core.Compact(data, n.opts.SnapshotEntries/2)
 	if err != nil {
 		return errors.Trace(err)
@@ -150,7 +150,7 @@
 	return errors.Trace(n.setIdentity(id))
 }
 
-// publish shows the state to the other goroutines.
+// publish makes the state visible to other goroutines.
 func (n *Node) publish() {
 	v := view{status: n.core.Status(), leaseExpiry: n.core.LeaseExpiry(), leaderSince: n.core.LeaderSince()}
 	if v.status.Role == raft.RoleLeader {
@@ -188,8 +188,8 @@
 	n.transport.removeIdlePeers(s.Membership.Members)
 }
 
-// handleRoleChange logs each change of role, and starts the wait of those whose
-// leader is gone.
+// handleRoleChange logs each change of role or term. If this node has lost the leadership, it
+// starts the wait limit of the pending commands and fails the pending reads.
 func (n *Node) handleRoleChange(old, now raft.Status) {
 	if old.Role == now.Role && old.Term == now.Term {
 		return
@@ -201,8 +201,8 @@
 	}
 }
 
-// dropLostWaiters ends the wait of commands that this node appended as leader
-// and that no later leader has settled. They may still be committed.
+// dropLostWaiters ends the wait for commands that this node appended as leader and that no
+// later leader has committed or replaced. They may still be committed.
 func (n *Node) dropLostWaiters() {
 	if len(n.waiters) == 0 || n.core.Status().Role == raft.RoleLeader {
 		return
@@ -233,7 +233,7 @@
 	n.waitingReads = nil
 }
 
-// notLeader returns the error that names the leader, if one is known.
+// notLeader returns a NotLeaderError, which names the leader if one is known.
 func (n *Node) notLeader() error {
 	status := n.core.Status()
 	if status.Leader == status.ID {
@@ -243,7 +243,7 @@
 	return &NotLeaderError{Leader: leader}
 }
 
-// Status returns the node's state.
+// Status returns the state of the node.
 func (n *Node) Status() Status {
 	now := n.opts.Now()
 	n.mu.Lock()
@@ -286,25 +286,25 @@
 	return max(0, expiry-now)
 }
 
-// LeaseRemaining is how long no other node can lead; it is zero on a node that
-// doesn't lead, or whose lease has run out, also while it was frozen.
+// LeaseRemaining returns how long no other node can lead. It is zero on a node that does not
+// lead or whose lease has expired, including while the node was frozen.
 func (n *Node) LeaseRemaining() time.Duration {
 	n.mu.Lock()
 	expiry := n.view.leaseExpiry
 	n.mu.Unlock()
-	// The clock is read after the expiry: a freeze in between then only makes
-	// the answer smaller.
+	// The clock is read after the expiry, so a freeze in between can only make the result
+	// smaller.
 	return remaining(expiry, n.opts.Now())
 }
 
-// MaxLease is longer than any lease of any leader of this group, by any of
-// their clocks. A new leader that waits for it after Status.LeaderSince knows
-// that no order sent under an earlier lease can still be running, also after
-// a handover, which ends the old lease early but not what was sent under it.
+// MaxLease returns a time longer than any lease of any leader of this group, by any of their
+// clocks. After Status.LeaderSince plus MaxLease, a new leader knows that no order sent under
+// an earlier lease can still be running. That also holds after a leadership transfer, which
+// ends the old lease early but not the orders sent under it.
 func (n *Node) MaxLease() time.Duration { return n.opts.electionTimeout() }
 
-// Changed returns a channel that is closed when the role, leader, term or
-// membership next changes.
+// Changed returns a channel that closes when the role, leader, term, membership or presence of
+// a lease next changes.
 func (n *Node) Changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -8,11 +8,11 @@
 	"github.com/citronstep/citronstep/internal/raft"
 )
 
-// Propose replicates a command and returns what the state machine answered,
-// after a majority has synced it and this node has applied it.
+// Propose replicates a command. It returns the result of the state machine once a majority has
+// synced the command and this node has applied it.
 //
-// A NotLeaderError, ErrNotProposed, ErrNotFounded, ErrRemoved or ErrClosed
-// means that the command never takes effect; ErrOutcomeUnknown that it may.
+// NotLeaderError, ErrNotProposed, ErrNotFounded, ErrRemoved and ErrClosed mean that the command
+// never takes effect. ErrOutcomeUnknown means that it may.
 func (n *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	if len(command) == 0 || len(command) > maxCommandBytes {
 		return nil, errors.Trace(ErrInvalidCommand)
@@ -51,7 +51,8 @@
 	return n.lateOutcome(p)
 }
 
-// lateOutcome takes an outcome that came together with the end of the wait.
+// lateOutcome returns an outcome that arrived at the same time as the end of the wait, or
+// ErrOutcomeUnknown.
 func (n *Node) lateOutcome(p *proposal) ([]byte, error) {
 	select {
 	case o := <-p.done:
@@ -61,7 +62,7 @@
 	}
 }
 
-// usable refuses early what can't succeed on this node.
+// checkUsable returns an error early for calls that can't succeed on this node.
 func (n *Node) checkUsable() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -85,7 +86,8 @@
 	n.trackProposal(p, at, err)
 }
 
-// wait notes a proposal under its position, or answers that it has none.
+// trackProposal registers a proposal under its log index, or returns the error of a proposal
+// that was not appended.
 func (n *Node) trackProposal(p *proposal, at raft.Position, err error) {
 	switch {
 	case errors.Is(err, raft.ErrBusy):
@@ -100,15 +102,15 @@
 	}
 	p.term = at.Term
 	if old := n.waiters[at.Index]; old != nil {
-		// This node led before, lost its log's end and leads again: the old
-		// command's place now holds another entry of this node's.
+		// This node led before, lost the end of its log and leads again. Another entry of this
+		// node now has the old command's index.
 		old.done <- outcome{err: errors.Trace(ErrOutcomeUnknown)}
 	}
 	n.waiters[at.Index] = p
 }
 
-// ReadBarrier returns once this node's state machine holds every command that
-// any Propose had answered before the call. It succeeds on the leader only.
+// ReadBarrier returns once this node's state machine has applied every command for which a
+// Propose returned before the call. It succeeds only on the leader.
 func (n *Node) ReadBarrier(ctx context.Context) error {
 	if err := n.checkUsable(); err != nil {
 		return errors.Trace(err)
@@ -132,11 +134,10 @@
 	return errors.Trace(ErrClosed)
 }
 
-// readByLease tells whether the state machine is up to date as of now. The
-// lease is compared with the clock last, after all that may wait: a leader
-// that was frozen at any point before then sees that its lease is over, and a
-// freeze after it only makes the caller later, not the state older than the
-// moment of the comparison.
+// readByLease reports whether the lease proves that the state machine is up to date. The lease
+// is compared with the clock last, after every step that may block. A leader that was frozen
+// before the comparison sees that its lease has expired. A freeze after the comparison only
+// delays the caller; the state is still as new as the moment of the comparison.
 func (n *Node) readByLease() bool {
 	n.mu.Lock()
 	v := n.view
@@ -153,7 +154,7 @@
 	n.waitingReads = append(n.waitingReads, p)
 }
 
-// requestReads asks for the reads that wait, once the leader has committed an
+// requestReads requests a read index for each waiting read, once the leader has committed an
 // entry of its own term.
 func (n *Node) requestReads() {
 	for len(n.waitingReads) > 0 {
@@ -173,9 +174,8 @@
 	}
 }
 
-// TransferLeadership hands the leadership to another voter, for a graceful
-// stop, and returns once this node no longer leads. It returns at once on a
-// node that does not lead.
+// TransferLeadership transfers the leadership to another voter, for a graceful stop. It returns
+// once this node no longer leads, and at once if this node does not lead.
 func (n *Node) TransferLeadership(ctx context.Context) error {
 	for {
 		changed := n.Changed()
