--- a/internal/replica/found.go
+++ b/internal/replica/found.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// identityTimeout bounds the question to one peer while founding.
+	// identityTimeout bounds the identity request to one peer during founding.
 	identityTimeout = 2 * time.Second
-	// joinInterval is how often a node that is no member asks to be one.
+	// joinInterval is how often a node that is not a member asks to join.
 	joinInterval = 500 * time.Millisecond
-	// joinTimeout bounds one such question.
+	// joinTimeout bounds one request to join.
 	joinTimeout = 2 * time.Second
 )
 
-// Found makes this node the first, single voter of a new cluster. It is an
-// operator's command and never inferred from an empty disk: a node whose disk
-// was lost would else found a second cluster beside its own.
+// Found bootstraps a new cluster with this node as its first and only voter. It runs only on an
+// operator's command, never because a disk is empty: a node whose disk was lost would otherwise
+// found a second cluster beside its own.
 //
-// It asks every peer first. It refuses if one belongs to a cluster, if one is
-// founding at the same moment, and also if one can't be asked, because that
-// one may belong to a cluster: the operator starts all processes first, or
-// takes a VM that is gone out of the settings. On a node that belongs to a
-// cluster it returns nil, so that a repeated command does no harm.
+// Found first asks every peer for its identity. It fails if a peer belongs to a cluster or is
+// founding one at the same moment. It also fails if a peer can't be reached, because that peer
+// may belong to a cluster. The operator must first start all processes, or remove a lost VM
+// from the settings. On a node that belongs to a cluster, Found returns nil, so a repeated
+// command does no harm.
 func (n *Node) Found(ctx context.Context) error {
 	err := n.checkUsable()
 	if err == nil {
@@ -39,8 +39,8 @@
 	if !errors.Is(err, ErrNotFounded) {
 		return errors.Trace(err)
 	}
-	// The mark is set before the peers are asked. Of two nodes that found at
-	// once, at least one then sees the other's mark, so never both succeed.
+	// The founding flag is set before the peers are asked. Of two nodes that found at once, at
+	// least one sees the other's flag, so they never both succeed.
 	if !n.beginFounding() {
 		return errors.Trace(ErrAlreadyFounded)
 	}
@@ -55,7 +55,7 @@
 	return errors.Trace(foundErr)
 }
 
-// SetPeers replaces the addresses under which this node looks for its cluster.
+// SetPeers replaces the addresses at which this node looks for its cluster.
 func (n *Node) SetPeers(addresses []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// writeFounding runs on the node's goroutine. It writes the log's first entry,
-// the list with this node as the only voter, and starts the step machine anew.
+// writeFounding runs on the node's goroutine. It writes the first log entry, a membership with
+// this node as the only voter, and restarts the consensus state machine.
 func (n *Node) writeFounding() error {
 	cluster, err := wal.RandomID()
 	if err != nil {
@@ -142,8 +142,8 @@
 	return errors.Trace(n.startCore(saved))
 }
 
-// joinLoop asks the peers to make this node a member while it is none, or is
-// listed under another address. Nothing is sent to the peers otherwise.
+// joinLoop asks the peers to make this node a member while it is not one, or while the
+// membership lists it under another address. Otherwise it sends nothing to the peers.
 func (n *Node) joinLoop(ctx context.Context) {
 	defer n.running.Done()
 	ticker := time.NewTicker(joinInterval)
@@ -174,8 +174,8 @@
 	}
 	status := n.view.status
 	listed, ok := status.Membership.Find(n.id)
-	// A learner starts no elections, so nobody tells it in that way that it
-	// was removed: one that misses its leader asks.
+	// A learner starts no elections, so it would not learn from a voter's response that it was
+	// removed. A learner without a leader therefore asks to join.
 	if listed.Learner && status.Leader == 0 {
 		return true
 	}
@@ -183,7 +183,8 @@
 	return !ok || listed != n.self()
 }
 
-// requestJoin asks one peer after the other, and the leader that one names.
+// requestJoin asks the peers one after the other, and the leader that a peer names, until one
+// settles the request.
 func (n *Node) requestJoin(ctx context.Context) {
 	for _, address := range n.peerAddresses() {
 		if address == n.opts.Address || ctx.Err() != nil {
@@ -215,8 +216,8 @@
 	return response, errors.Trace(err)
 }
 
-// handleVerdict acts on the answer to a request to join, and tells whether it
-// settles this round.
+// handleVerdict acts on the response to a join request. It reports whether the response settles
+// the request for now.
 func (n *Node) handleVerdict(ctx context.Context, response *raftrpc.JoinResponse) bool {
 	own := n.clusterID()
 	if own != 0 && response.Cluster != 0 && response.Cluster != own {
@@ -246,7 +247,7 @@
 	}
 	id.Cluster = cluster
 	if err := n.setIdentity(id); err != nil {
-		n.logger.error("msg", "cluster not recorded", "err", err)
+		n.logger.error("msg", "the cluster id could not be recorded", "err", err)
 		return
 	}
 	n.logger.info("msg", "joined a cluster", "cluster", cluster)
@@ -256,6 +257,6 @@
 	id := n.identity
 	id.Removed = true
 	if err := n.setIdentity(id); err != nil {
-		n.logger.error("msg", "removal not recorded", "err", err)
+		n.logger.error("msg", "the removal could not be recorded", "err", err)
 	}
 }
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -10,17 +10,17 @@
 	"github.com/citronstep/citronstep/internal/raft"
 )
 
-// joinLifetime is how long the leader remembers a request to join; the one who
-// wants in repeats it more often.
+// joinLifetime is how long the leader remembers a request to join. The joining node repeats the
+// request more often.
 const joinLifetime = 10 * time.Second
 
-// join is a request to be a member.
+// join is a request to become a member.
 type join struct {
 	member Member
 	at     time.Duration
 }
 
-// manageMembers makes the next change of the membership, on the leader.
+// manageMembers proposes the next membership change if this node leads.
 func (n *Node) manageMembers() {
 	status := n.core.Status()
 	if status.Role != raft.RoleLeader {
@@ -35,7 +35,7 @@
 		return
 	}
 	if _, err := n.core.ProposeMembership(next); err != nil {
-		n.logger.debug("msg", "membership change waits", "reason", reason, "err", err)
+		n.logger.debug("msg", "membership change postponed", "reason", reason, "err", err)
 		return
 	}
 	n.logger.info("msg", "membership change proposed", "reason", reason,
@@ -80,10 +80,10 @@
 	return 0
 }
 
-// RemoveMember takes a member out for good and returns once that is committed.
-// It is for a VM that does not come back; one that comes back with an empty
-// disk is replaced without a command. Asked to remove itself, the leader hands
-// over and returns a NotLeaderError: repeat the call there.
+// RemoveMember removes a member permanently, and returns once the removal is committed. It is
+// for a VM that does not return; a VM that returns with an empty disk is replaced without a
+// command. If the leader is asked to remove itself, it transfers the leadership and returns a
+// NotLeaderError; the caller must repeat the call at the new leader.
 func (n *Node) RemoveMember(ctx context.Context, id raft.NodeID) error {
 	if err := n.checkUsable(); err != nil {
 		return errors.Trace(err)
@@ -99,7 +99,7 @@
 		if !errors.Is(err, raft.ErrChangePending) && !errors.Is(err, raft.ErrNotReady) {
 			return errors.Trace(err)
 		}
-		// The leader is at another change of its own, which takes a moment.
+		// The leader has another membership change in progress, which takes a moment.
 		select {
 		case <-ctx.Done():
 			return errors.Trace(err)
--- a/internal/replica/recover.go
+++ b/internal/replica/recover.go
@@ -7,31 +7,30 @@
 	"github.com/citronstep/citronstep/internal/wal"
 )
 
-// ErrNothingToRecover refuses to recover from a folder that never belonged to
-// a cluster.
+// ErrNothingToRecover means that the data folder never belonged to a cluster.
 const ErrNothingToRecover = errors.ConstError("the data folder holds no cluster's state")
 
-// Recovered says what a survivor's folder held.
+// Recovered describes the content of a survivor's data folder.
 type Recovered struct {
-	// OldCluster and NewCluster are the ids before and after.
+	// OldCluster and NewCluster are the cluster ids before and after the recovery.
 	OldCluster uint64
 	NewCluster uint64
-	// LastIndex is the last entry that was kept, CommitIndex the last that the
+	// LastIndex is the last entry that was kept. CommitIndex is the last entry that the
 	// survivor knew to be committed.
 	LastIndex   uint64
 	CommitIndex uint64
 }
 
-// Recover makes the state in a stopped node's folder the start of a new
-// cluster with this node as its only voter. It is an operator's last resort
-// after a majority of the voters lost their disks for good.
+// Recover turns the state in a stopped node's data folder into the start of a new cluster, with
+// this node as its only voter. It is an operator's last resort after a majority of the voters
+// has lost their disks permanently.
 //
-// Answered writes that only the lost disks held are gone, and writes whose
-// outcome was unknown may take effect. Cluster and identity are new, so that
-// a replica of the old cluster that turns up after all is refused and can't
-// mix its log into this one; its folder must be emptied before it can join.
-// Of several survivors the operator takes the one with the highest term, then
-// the highest last index, as Status and Recovered show them.
+// Acknowledged writes that were only on the lost disks are lost, and writes whose outcome was
+// unknown may take effect. The cluster and the node get new ids. So a replica of the old
+// cluster that returns later is refused and can't mix its log into the new one; its data folder
+// must be emptied before it can join. If there are several survivors, the operator must choose
+// the one with the highest term, then the highest last index, as reported by Status and
+// Recovered.
 func Recover(opts Options) (Recovered, error) {
 	opts = opts.withDefaults()
 	store, err := wal.Open(opts.Folder, nil)
