--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -14,7 +14,8 @@
 
 const (
 	bearerPrefix = "Bearer "
-	// maxRequestBytes bounds one call's body: a snapshot and one batch.
+	// maxRequestBytes bounds the body of one call, which holds at most a snapshot and one
+	// batch.
 	maxRequestBytes = 256 << 20
 )
 
@@ -38,17 +39,17 @@
 
 func idString(id raft.NodeID) string { return strconv.FormatUint(uint64(id), 16) }
 
-// service answers the other replicas.
+// service serves the calls of the other replicas.
 type service struct{ n *Node }
 
-// Deliver takes messages into the node's queue.
+// Deliver puts messages into the node's queue.
 func (s service) Deliver(_ context.Context, req *raftrpc.DeliverRequest) (*raftrpc.DeliverResponse, error) {
 	n := s.n
 	if raft.GroupID(req.Group) != n.opts.Group {
 		return nil, twirp.NotFound.Errorf("group %d is not served here", req.Group)
 	}
-	// A replica of another cluster has another log under the same indexes and
-	// terms; taking its messages would mix the two.
+	// A replica of another cluster has a different log with the same indexes and terms. Its
+	// messages would mix the two logs.
 	if cluster := n.clusterID(); cluster == 0 || req.Cluster != cluster {
 		return nil, twirp.FailedPrecondition.Error("the sender belongs to another cluster")
 	}
@@ -65,13 +66,13 @@
 	case n.inbox <- batch:
 		return &raftrpc.DeliverResponse{}, nil
 	default:
-		// The node is busy or its disk hangs; waiting here would only hold the
-		// sender's one connection.
+		// The node is busy or its disk hangs. Waiting here would only block the sender's one
+		// connection.
 		return &raftrpc.DeliverResponse{Dropped: uint32(len(batch))}, nil
 	}
 }
 
-// Identity says who this process is.
+// Identity returns the identity of this process.
 func (s service) Identity(_ context.Context, req *raftrpc.IdentityRequest) (*raftrpc.IdentityResponse, error) {
 	n := s.n
 	n.mu.Lock()
@@ -81,7 +82,7 @@
 	}, nil
 }
 
-// Join notes that the caller wants to be a member.
+// Join handles a request of the caller to become a member.
 func (s service) Join(ctx context.Context, req *raftrpc.JoinRequest) (*raftrpc.JoinResponse, error) {
 	n := s.n
 	if raft.GroupID(req.Group) != n.opts.Group {
@@ -133,8 +134,8 @@
 	}
 	for _, m := range status.Membership.Members {
 		if m.VM == req.Vm && m.ID != id && (m.ID == status.ID || n.core.Active(m.ID)) {
-			// Two machines with one name in their settings would else throw
-			// each other out without end.
+			// Two machines with the same name in their settings would otherwise replace each
+			// other endlessly.
 			n.logger.warn("msg", "join refused", "vm", req.Vm, "id", idString(id),
 				"reason", "a live member has this VM name", "member", idString(m.ID))
 			return raftrpc.JoinResponse_NAME_IN_USE
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// maxQueuedMessages bounds the messages that wait for one peer. A peer that is
-	// slow or cut off would else collect them without end; past the bound the
-	// oldest is dropped, because a later one supersedes it.
+	// maxQueuedMessages bounds the messages that wait for one peer. Without it, messages for a
+	// slow or disconnected peer would accumulate without limit. When the queue is full, the
+	// oldest message is dropped, because later messages supersede it.
 	maxQueuedMessages = 1024
-	// maxDeliverBytes bounds what one call carries, unless a single message is larger.
+	// maxDeliverBytes bounds the messages of one call, unless a single message is larger.
 	maxDeliverBytes = 4 << 20
-	// minPeerBytesPerSecond, in bytes a second, stretches the deadline of a large call,
-	// so that a snapshot gets through a slow link.
+	// minPeerBytesPerSecond extends the deadline of a large call in proportion to its size, so
+	// that a snapshot gets through a slow link.
 	minPeerBytesPerSecond = 1 << 20
 )
 
-// transport sends messages to the other members: for each one goroutine, one
-// connection and one call at a time, so that messages stay in order.
+// transport sends messages to the other members. Each peer has one goroutine and one
+// connection, and gets one call at a time, so that messages stay in order.
 type transport struct {
 	opts   Options
 	self   raft.NodeID
@@ -43,15 +43,15 @@
 	return &transport{opts: opts, self: self, logger: logger{opts.Logger}, peers: map[raft.NodeID]*peer{}}
 }
 
-// setCluster sets the cluster in whose name messages are sent.
+// setCluster sets the cluster id that messages carry.
 func (t *transport) setCluster(cluster uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cluster = cluster
 }
 
-// setAddress notes where a node is reached. selfReported is set when the node itself
-// said so, which counts more than the membership: its VM may have moved.
+// setAddress sets the address of a node. selfReported means that the node itself reported it.
+// Such an address overrides the one in the membership, because the VM may have moved.
 func (t *transport) setAddress(id raft.NodeID, address string, selfReported bool) {
 	if id == t.self || address == "" {
 		return
@@ -71,7 +71,7 @@
 	p.setAddress(address, selfReported)
 }
 
-// removeIdlePeers ends the senders to nodes that are neither members nor selfReported from.
+// removeIdlePeers stops the senders to idle nodes that are not members.
 func (t *transport) removeIdlePeers(members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,8 +148,8 @@
 	p.selfReported = selfReported
 }
 
-// idlePeerTimeout is how long a peer that is no member keeps its sender: long
-// enough to tell a removed one that it was removed.
+// idlePeerTimeout is how long a peer that is not a member keeps its sender. It is long enough
+// to notify a removed node of its removal.
 const idlePeerTimeout = 30 * time.Second
 
 func (p *peer) isIdle() bool {
@@ -172,7 +172,8 @@
 	}
 }
 
-// take returns the next messages to send, up to maxDeliverBytes, and where to.
+// nextBatch returns the next messages to send, up to maxDeliverBytes, their size in bytes, and
+// the peer's address.
 func (p *peer) nextBatch() ([]raft.Message, int, string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -218,14 +219,13 @@
 	for _, m := range batch {
 		w, err := toWire(m)
 		if err != nil {
-			p.t.logger.error("msg", "message not encoded", "err", err)
+			p.t.logger.error("msg", "the message could not be encoded", "err", err)
 			continue
 		}
 		request.Messages = append(request.Messages, w)
 	}
-	// The call must end well within an election timeout: a connection that has
-	// gone silent is then found, closed and replaced before the peer misses
-	// the leader.
+	// The call must end well within an election timeout. A dead connection is then found,
+	// closed and replaced before the peer misses the leader.
 	timeout := p.t.opts.electionTimeout()/3 + time.Duration(size)*time.Second/minPeerBytesPerSecond
 	ctx, cancel := context.WithTimeout(p.ctx, timeout)
 	defer cancel()
@@ -241,7 +241,7 @@
 	}
 }
 
-// note logs when a peer begins to fail and when it answers again.
+// logReachability logs when calls to a peer start to fail and when they succeed again.
 func (p *peer) logReachability(err error, address string) {
 	p.mu.Lock()
 	changed := p.isFailing != (err != nil)
@@ -251,10 +251,10 @@
 		return
 	}
 	if err != nil {
-		p.t.logger.warn("msg", "peer does not take messages", "peer", idString(p.id), "address", address, "err", err)
+		p.t.logger.warn("msg", "peer does not accept messages", "peer", idString(p.id), "address", address, "err", err)
 		return
 	}
-	p.t.logger.info("msg", "peer takes messages again", "peer", idString(p.id), "address", address)
+	p.t.logger.info("msg", "peer accepts messages again", "peer", idString(p.id), "address", address)
 }
 
 // connection calls one peer over at most one connection.
