--- a/internal/replica/benchmark_test.go
+++ b/internal/replica/benchmark_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkPropose measures answered writes a second on three nodes with real
-// disks and connections, from 64 callers a core, with and without batching.
+// BenchmarkPropose measures committed writes a second on three nodes with real disks and
+// connections, from 64 callers a core, with and without batching.
 func BenchmarkPropose(b *testing.B) {
 	for _, batch := range []int{1, defaultMaxBatch} {
 		b.Run("batch="+strconv.Itoa(batch), func(b *testing.B) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkReadBarrier measures a linearizable read by lease.
+// BenchmarkReadBarrier measures a linearizable read under the lease.
 func BenchmarkReadBarrier(b *testing.B) {
 	b.StopTimer()
 	leader := benchCluster(b, nil)
@@ -47,8 +47,8 @@
 	b.StopTimer()
 }
 
-// BenchmarkNewLeader measures, with the default timing, the time from the end
-// of the leader's process to a lease of the next one.
+// BenchmarkNewLeader measures, with the default timing, the time from the end of the leader's
+// process until the next leader has a lease.
 func BenchmarkNewLeader(b *testing.B) {
 	c := newCluster(b, 3, func(o *Options) { o.TickInterval = 0; o.ElectionTicks = 0 })
 	c.found(3)
@@ -61,7 +61,7 @@
 		c.otherLeader(old)
 		took = append(took, time.Since(start))
 		old.open()
-		eventually(b, "it follows", func() bool { return old.machine.get("k") == "v" })
+		eventually(b, "the old leader follows", func() bool { return old.machine.get("k") == "v" })
 	}
 	slices.Sort(took)
 	b.ReportMetric(took[len(took)/2].Seconds(), "median-s")
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -18,8 +18,8 @@
 	"github.com/citronstep/citronstep/internal/raft"
 )
 
-// register is a state machine of named values. A command sets one value,
-// alone or if it still has an expected one.
+// register is a state machine of named values. A command sets one value, either always or only
+// if the value is the expected one.
 type register struct {
 	mu     sync.Mutex
 	values map[string]string
@@ -68,8 +68,8 @@
 	return r.values[key]
 }
 
-// host is one VM of a test: an address that outlives the node, a data folder
-// and a clock that can be frozen.
+// host is one VM of a test: an address that outlives the node, a data folder and a clock that
+// goes on while the node is frozen.
 type host struct {
 	t       testing.TB
 	opts    Options
@@ -80,8 +80,8 @@
 	machine *register
 }
 
-// running is a node and its state machine, as callers on other goroutines see
-// them while the host is killed and opened again.
+// running is a node and its state machine. Callers on other goroutines load it while the host
+// is killed and reopened.
 type running struct {
 	node    *Node
 	machine *register
@@ -94,16 +94,16 @@
 	hosts []*host
 	peers []string
 	edit  func(*Options)
-	// traffic counts the bytes that all hosts received and answered.
+	// traffic counts the bytes that all hosts received and sent.
 	traffic atomic.Int64
 }
 
-// logVariable, set in the environment, shows the nodes' log lines.
+// logVariable names the environment variable that makes the tests print the nodes' logs.
 const logVariable = "CITRONSTEP_TEST_LOG"
 
 const testSecret = "between-processes"
 
-// newCluster starts count hosts without a cluster.
+// newCluster starts count hosts that do not belong to a cluster yet.
 func newCluster(t testing.TB, count int, edit func(*Options)) *cluster {
 	t.Helper()
 	c := &cluster{t: t, edit: edit}
@@ -168,7 +168,7 @@
 	h.current.Store(&running{node: node, machine: h.machine})
 }
 
-// kill ends the node without a farewell; what is synced stays.
+// kill stops the node without a leadership transfer. Synced data remains.
 func (h *host) kill() {
 	if h.node == nil {
 		return
@@ -191,7 +191,7 @@
 	return ctx
 }
 
-// eventually waits until ok holds.
+// eventually waits until ok returns true.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
@@ -203,7 +203,7 @@
 	}
 }
 
-// leader waits for a leader with a lease among the running hosts.
+// leader waits until a running host has a lease, and returns that host.
 func (c *cluster) leader() *host {
 	c.t.Helper()
 	var found *host
@@ -219,8 +219,8 @@
 	return found
 }
 
-// members returns the leader's list once it is committed. Before that a test
-// that takes another disk away may take the majority.
+// members returns the leader's membership once it is committed. Before that, a test that
+// removes another disk may lose the majority.
 func (c *cluster) members() []Member {
 	var members []Member
 	eventually(c.t, "a committed membership", func() bool {
@@ -241,7 +241,7 @@
 	return count
 }
 
-// found makes the first host the founder and waits for the voters.
+// found founds the cluster on the first host and waits for the voters.
 func (c *cluster) found(voters int) {
 	c.t.Helper()
 	assert.NilError(c.t, c.hosts[0].node.Found(testContext(c.t)))
@@ -253,7 +253,7 @@
 	return data
 }
 
-// put proposes on whichever host leads until it is answered.
+// put proposes a write at the current leader until one succeeds.
 func (c *cluster) put(key, value string) {
 	c.t.Helper()
 	eventually(c.t, "a write is answered", func() bool {
--- a/internal/replica/compaction_test.go
+++ b/internal/replica/compaction_test.go
@@ -6,9 +6,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A replica holds megabytes of records and gets two small commands for each
-// request. A snapshot for each 128 of them would write the whole state again and
-// again; one for a small state may come that often, so that a restart applies little.
+// Guards against snapshots that rewrite a large state too often. A replica holds megabytes of
+// records and gets two small commands for each request, so a snapshot every 128 entries would
+// rewrite the whole state again and again. A snapshot of a small state may be that frequent, so
+// that a restart applies few entries.
 func TestCompactionDependsOnTheSizeOfTheState(t *testing.T) {
 	for _, c := range []struct {
 		name         string
--- a/internal/replica/dead_connections_test.go
+++ b/internal/replica/dead_connections_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// proxy passes connections on to a host. silence makes those that are open go
-// silent for good, without closing them, while new ones still work.
+// proxy forwards connections to a host. silence makes the open connections carry nothing more,
+// without closing them, while new connections still work.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -98,9 +98,10 @@
 	}
 }
 
-// Story: a firewall between the data centres forgets the open connections
-// between the control VMs. They look open and carry nothing; new ones work.
-// Writes must go on, at the latest after one election, on new connections.
+// Guards against waiting for dead connections. A firewall between the data centres drops the
+// state of the open connections between the control VMs. They look open but carry nothing,
+// while new connections work. Writes must continue on new connections, at the latest after one
+// election.
 func TestDeadConnections(t *testing.T) {
 	c := newCluster(t, 0, nil)
 	var proxies []*proxy
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -16,8 +16,8 @@
 	"github.com/citronstep/citronstep/internal/wal"
 )
 
-// freeze stops the node's goroutine, as SIGSTOP would, until thaw is called.
-// Messages pile up meanwhile and its clock goes on.
+// freeze blocks the node's goroutine, as SIGSTOP would, until thaw is called. Meanwhile
+// messages queue up and the clock goes on.
 func (h *host) freeze() (thaw func()) {
 	h.t.Helper()
 	frozen := make(chan struct{})
@@ -50,9 +50,9 @@
 	return found
 }
 
-// Story: the leader's process is stopped. Another is elected and takes a
-// write. The old one wakes and is asked to read at once, before it has seen a
-// single message: it must not answer with the value from before.
+// Guards against a stale read. The leader's process is frozen, and another leader is elected
+// and commits a write. The old leader resumes and gets a read before it has processed any
+// message. It must not return the old value.
 func TestFrozenLeaderAnswersNobody(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
@@ -80,9 +80,8 @@
 	assert.Equal(t, next.machine.get("k"), "new")
 }
 
-// Story: a write's caller stops waiting while the leader hangs before it has
-// taken the write in. The caller is told that it was not proposed, and it
-// must then never take effect.
+// Guards against a write that takes effect after its caller got ErrNotProposed. The caller
+// stops waiting while the leader hangs and has not yet handled the proposal.
 func TestNotProposedNeverTakesEffect(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	c.found(1)
@@ -97,8 +96,8 @@
 	assert.Equal(t, leader.machine.get("k"), "")
 }
 
-// Story: the leader loses both peers after it appended a write. Its caller
-// must hear that the outcome is unknown, neither yes nor no.
+// Guards against a definite result for an undecided write. The leader loses both peers after it
+// appended the write, so the caller must get ErrOutcomeUnknown.
 func TestLostQuorumLeavesTheOutcomeUnknown(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
@@ -115,9 +114,8 @@
 	assert.Assert(t, errors.As(err, &notLeader), "%v", err)
 }
 
-// Story: an operator types the founding command on a node whose peer is down,
-// on one whose peer already has a cluster, and on two empty nodes at once. No
-// second cluster may come into being.
+// Guards against a second cluster. An operator runs init on a node whose peer is down, on a
+// node whose peer is founding or belongs to a cluster, and on two empty nodes at once.
 func TestFoundingIsRefused(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	c.hosts[1].kill()
@@ -138,13 +136,13 @@
 	err = third.node.Found(testContext(t))
 	founded := third.node.Status().Founded
 	assert.Assert(t, founded || errors.Is(err, ErrAlreadyFounded), "%v", err)
-	eventually(t, "it joins the cluster that is there", func() bool {
+	eventually(t, "the third node joins the existing cluster", func() bool {
 		return third.node.Status().Cluster == c.hosts[0].node.Status().Cluster
 	})
 }
 
-// Story: the settings of two VMs carry the same name. The second one must not
-// throw the first out of the cluster.
+// Guards against a VM that replaces another with the same name in its settings while that other
+// one is alive.
 func TestJoinWithTheNameOfALiveVMIsRefused(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
@@ -158,8 +156,8 @@
 	assert.Assert(t, ok)
 }
 
-// Story: an operator removes a VM that is alive. It learns so, and stays out
-// also after a restart.
+// Guards against a removed VM that comes back. The VM is alive when it is removed. It must
+// learn of its removal and stay out, even after a restart.
 func TestRemovedReplicaStaysOut(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
@@ -182,8 +180,8 @@
 	assert.Assert(t, errors.Is(err, ErrUnknownMember), "%v", err)
 }
 
-// Story: the leader stops gracefully. It hands over first, and writes go on
-// at the next one without an election timeout between.
+// Guards against a graceful stop that costs an election timeout. The leader transfers its
+// leadership first, and writes continue at the next leader.
 func TestLeadershipTransfer(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
@@ -194,8 +192,8 @@
 	assert.Assert(t, c.leader() != old)
 }
 
-// Story: a process that is none of ours, or of another cluster, sends
-// messages. Neither may reach the step machine.
+// Guards against messages without the token or from another cluster. Neither may reach the
+// consensus state machine.
 func TestForeignMessagesAreRefused(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	c.found(1)
@@ -211,8 +209,8 @@
 	assert.Assert(t, p.isFailing)
 }
 
-// Story: a replica's file is damaged. The process says which file and what to
-// do; after the operator has done it, the VM joins again.
+// Guards against a replica that starts from a damaged file. Open must return a CorruptError.
+// After the operator has emptied the data folder, the VM must join again.
 func TestCorruptDataFolder(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
@@ -229,15 +227,15 @@
 
 	h.loseDisk()
 	h.open()
-	eventually(t, "it votes again", func() bool {
+	eventually(t, "the replica votes again", func() bool {
 		m, ok := c.member(h.node.Status().ID)
 		return ok && !m.Learner && h.machine.get("k") == "v"
 	})
 }
 
-// Story: a voter's VM is removed for good while a fourth control VM stands by.
-// The spare becomes a voter without a command. The old VM, should it return,
-// learns that its identity was removed.
+// Guards against a lost voter that is never replaced. The VM is lost permanently while a fourth
+// control VM stands by. The standby must become a voter without a command. If the old VM
+// returns, it must learn that its identity was removed.
 func TestSpareReplacesAVoter(t *testing.T) {
 	c := newCluster(t, 4, func(o *Options) { o.ReplaceAfter = time.Second })
 	c.found(3)
@@ -250,7 +248,7 @@
 	}
 	id := removed.node.Status().ID
 	removed.kill()
-	eventually(t, "the spare votes in its place", func() bool {
+	eventually(t, "the standby votes in place of the lost voter", func() bool {
 		_, still := c.member(id)
 		return !still && c.voters() == 3
 	})
@@ -258,9 +256,9 @@
 	eventually(t, "it learns of its removal", func() bool { return removed.node.Status().Removed })
 }
 
-// Story: two of three control VMs lose their disks for good. The group stands
-// still, rightly. The operator recovers from the survivor's folder; the other
-// two VMs, with empty folders, join the new cluster and the writes are there.
+// Guards against a recovery that loses writes. Two of three control VMs lose their disks
+// permanently, so the group stops. After the operator recovers from the survivor's folder, the
+// other two VMs must join the new cluster with empty folders, and get the writes.
 func TestRecoverFromTheSurvivor(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
--- a/internal/replica/linearizable_test.go
+++ b/internal/replica/linearizable_test.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	faultTime = flag.Duration("fault-time", 4*time.Second, "how long TestLinearizable strikes")
-	faultSeed = flag.Uint64("fault-seed", 1, "which faults TestLinearizable strikes with")
+	faultTime = flag.Duration("fault-time", 4*time.Second, "how long TestLinearizable injects faults")
+	faultSeed = flag.Uint64("fault-seed", 1, "seed of the faults that TestLinearizable injects")
 )
 
 // call is one operation on the register "k".
@@ -28,7 +28,8 @@
 	expect *string
 }
 
-// result is what the caller saw; unknown stands for no definite answer.
+// result is the outcome that the caller observed. unknown means that there was no definite
+// outcome.
 type result struct {
 	value   string
 	ok      bool
@@ -60,7 +61,7 @@
 	})
 }
 
-// caller reads and writes on any node that takes it, until stop is closed.
+// caller reads and writes at random nodes until stop is closed.
 func (r *recorder) caller(c *cluster, seed uint64, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	client := r.client()
@@ -86,7 +87,7 @@
 			continue
 		}
 		if !definite && !out.unknown {
-			continue // surely without effect
+			continue // the write never takes effect
 		}
 		ended := r.now()
 		if out.unknown {
@@ -103,7 +104,7 @@
 	}
 }
 
-// perform carries out one call. definite is false if it got no answer.
+// perform executes one call. definite is false if the call had no definite outcome.
 func perform(n *running, c call) (out result, definite bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
@@ -138,10 +139,10 @@
 	}
 }
 
-// Story: while callers read, write and compare-and-set on whichever node takes
-// them, the leader is frozen and woken, processes end and restart, disks are
-// lost and the leadership is handed over. What the callers saw must agree with
-// one register. Longer runs: -args -fault-time=5m -fault-seed=7.
+// Guards against results that are not linearizable. Callers read, write and compare-and-set at
+// random nodes. Meanwhile the leader is frozen and resumed, processes stop and restart, disks
+// are lost and the leadership is transferred. The observed results must be consistent with a
+// single register. Longer runs: -args -fault-time=5m -fault-seed=7.
 func TestLinearizable(t *testing.T) {
 	c := newCluster(t, 3, func(o *Options) { o.SnapshotEntries = 100 })
 	c.found(3)
@@ -165,7 +166,7 @@
 	t.Logf("%d operations", len(r.history))
 	assert.Assert(t, len(r.history) > 50)
 	verdict := porcupine.CheckOperationsTimeout(registerModel(), r.history, time.Minute)
-	assert.Assert(t, verdict != porcupine.Illegal, "the answers are not linearizable")
+	assert.Assert(t, verdict != porcupine.Illegal, "the results are not linearizable")
 	t.Logf("verdict %s", verdict)
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Story: an operator founds a cluster on one of three empty VMs. The other two
-// join by themselves, and a write answered by the leader is on all three.
+// Checks founding, joining and writing. An operator founds a cluster on one of three empty VMs.
+// The other two must join without a command, and a write acknowledged by the leader must reach
+// all three.
 func TestFoundJoinPropose(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	_, err := c.hosts[0].node.Propose(testContext(t), command("k", "v"))
@@ -21,14 +22,14 @@
 	leader := c.leader().node
 	assert.Assert(t, leader.LeaseRemaining() < leader.MaxLease())
 	for _, h := range c.hosts {
-		eventually(t, "the write is everywhere", func() bool { return h.machine.get("k") == "v" })
+		eventually(t, "the write is on all replicas", func() bool { return h.machine.get("k") == "v" })
 	}
 	assert.NilError(t, c.hosts[0].node.Found(testContext(t)))
 	assert.NilError(t, c.hosts[1].node.Found(testContext(t)))
 }
 
-// Story: all three VMs lose power at once. After the restart every answered
-// write is still there, without a command of an operator.
+// Guards against the loss of acknowledged writes when all three VMs lose power at once. The
+// writes must be there after the restart, without a command of an operator.
 func TestRestartOfAll(t *testing.T) {
 	c := newCluster(t, 3, func(o *Options) { o.SnapshotEntries = 64 })
 	c.found(3)
@@ -47,8 +48,9 @@
 	}
 }
 
-// Story: a control VM is absent for hundreds of changes, so that the log it
-// needs is compacted. When it returns it gets the snapshot and what followed.
+// Guards against a replica that can't catch up. A control VM is absent for hundreds of changes,
+// so the log entries that it needs are compacted. It must get the snapshot and the entries
+// after it.
 func TestReturningReplicaRestoresASnapshot(t *testing.T) {
 	c := newCluster(t, 3, func(o *Options) { o.SnapshotEntries = 64 })
 	c.found(3)
@@ -59,14 +61,14 @@
 		c.put(strconv.Itoa(i), "v")
 	}
 	absent.open()
-	eventually(t, "it has caught up", func() bool { return absent.machine.get("399") == "v" })
+	eventually(t, "the absent replica has caught up", func() bool { return absent.machine.get("399") == "v" })
 	assert.Equal(t, absent.machine.get("first"), "1")
 	assert.Assert(t, absent.node.Status().SnapshotIndex > 0)
 }
 
-// Story: a VM comes back at night with an empty disk, and soon after a second
-// one does. Each gets a new identity, the old one is removed, and all writes
-// are still there. Nobody types a command.
+// Guards against lost disks that need an operator. A VM returns with an empty disk, and soon
+// after a second VM does. Each must get a new identity, the old identities must be removed, and
+// all writes must remain.
 func TestTwoReplicasLoseTheirDisks(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.found(3)
--- a/internal/replica/traffic_test.go
+++ b/internal/replica/traffic_test.go
@@ -42,9 +42,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkIdle measures what three idle nodes with the default timing spend:
-// bytes a second between all of them, and processor time of all three. Each
-// operation is one second.
+// BenchmarkIdle measures the cost of three idle nodes with the default timing: the bytes a
+// second between all of them and the processor time of all three. Each operation is one second.
 func BenchmarkIdle(b *testing.B) {
 	c := newCluster(b, 3, func(o *Options) { o.TickInterval = 0; o.ElectionTicks = 0 })
 	c.found(3)
