--- a/internal/control/slots.go
+++ b/internal/control/slots.go
@@ -7,7 +7,8 @@
 
 const (
 	// answersPerSecond is how many watches with a change a control process answers each second.
-	// It keeps the answers to a part of a small VM's processor while everything changes.
+	// The replies then take only a part of the processor of a small VM while everything
+	// changes.
 	answersPerSecond = 800
 	// maxSlotPeriod bounds the time between two slots of an entry. Added to the time that a
 	// watch is held, it stays below the timeout of the call.
--- a/internal/control/slots_test.go
+++ b/internal/control/slots_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Guards against slots that delay replies in a small deployment. The few entries there must get
-// the news of a broken group almost at once.
+// Guards against slots that delay replies in a small deployment. The few entries there must
+// learn of a broken group almost at once.
 func TestFewWatchersAreAnsweredAlmostAtOnce(t *testing.T) {
 	for at := range 100 {
 		now := time.Unix(1_700_000_000, int64(at)*1_234_567)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -94,8 +94,8 @@
 	wait := min(time.Duration(r.WaitMs)*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	isBehind, changed := s.o.Machine.News(r.HaveRevision)
-	if isBehind {
+	needsUpdate, changed := s.o.Machine.News(r.HaveRevision)
+	if needsUpdate {
 		return true
 	}
 	select {
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -180,20 +180,20 @@
 	s, _ := leadingServer(t, 0, 1)
 	m := s.o.Machine
 	have := m.Board().Revision
-	isBehind, changed := m.News(have)
-	assert.Assert(t, !isBehind)
+	needsUpdate, changed := m.News(have)
+	assert.Assert(t, !needsUpdate)
 	var verdict blackboard.Verdict
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.PutVM{VM: blackboard.VM{ID: "v", Incarnation: "a"}}, &verdict))
 	assert.Assert(t, m.Board().Revision > have)
-	isBehind, _ = m.News(have)
-	assert.Assert(t, !isBehind)
+	needsUpdate, _ = m.News(have)
+	assert.Assert(t, !needsUpdate)
 	select {
 	case <-changed:
 		t.Fatal("the watch ended for the row of a VM")
 	default:
 	}
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.NoteCallers{NowMillis: 7}, &verdict))
-	isBehind, _ = m.News(have)
-	assert.Assert(t, isBehind)
+	needsUpdate, _ = m.News(have)
+	assert.Assert(t, needsUpdate)
 	<-changed
 }
