--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -28,9 +28,9 @@
 	adminTimeout = 5 * time.Second
 )
 
-// AdminHandler returns the operators' API, guarded by the token. forward
-// sends a request on to the leader; it is nil on the peers' listener, where
-// forwarded requests arrive, so that none travels twice.
+// AdminHandler returns the operators' API, which requires the bearer token. A non-nil forward
+// relays requests to the leader. Pass nil for the peer listener, which receives the forwarded
+// requests, so that no request is forwarded twice.
 func (s *Server) AdminHandler(token string, forward *Forwarder) http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -68,7 +68,7 @@
 	return c.JSON(http.StatusOK, s.Status())
 }
 
-// Status returns the state of the system as this process knows it.
+// Status returns the state of the system as this process has applied it.
 func (s *Server) Status() adminapi.Status {
 	board := s.o.Machine.Board()
 	st := adminapi.Status{
@@ -127,8 +127,8 @@
 	return list
 }
 
-// postInit founds the cluster and writes its first configuration. A resend
-// after a lost answer finds both done and answers alike.
+// postInit founds (bootstraps) the cluster and writes its first configuration. A request that
+// is sent again after a lost response succeeds with the same reply.
 func (s *Server) postInit(c echo.Context) error {
 	var r adminapi.InitRequest
 	if err := decode(c, &r); err != nil {
@@ -146,13 +146,14 @@
 	return c.JSON(http.StatusOK, adminapi.InitReply{ClusterID: board.ClusterID})
 }
 
-// Found founds the cluster with an initial configuration, which may be empty.
-// A process that belongs to a cluster only makes sure that its board is begun.
+// Found founds (bootstraps) the cluster with an initial configuration, which may be empty. In a
+// process that already belongs to a cluster, it only makes sure that the board has been
+// initialised.
 func (s *Server) Found(ctx context.Context, initial blackboard.ConfigChange) error {
 	if err := s.o.Consensus.Found(ctx); err != nil {
-		return foundingRefused(err)
+		return foundError(err)
 	}
-	if err := s.waitToLead(ctx); err != nil {
+	if err := s.waitForLeadership(ctx); err != nil {
 		return errors.Trace(err)
 	}
 	id := strconv.FormatUint(s.o.Consensus.Status().Cluster, 16)
@@ -161,9 +162,9 @@
 		&blackboard.Found{ClusterID: id, Initial: initial, NowMillis: time.Now().UnixMilli()}, &verdict))
 }
 
-// foundingRefused tells a cluster that exists from a peer that did not answer,
-// after which init may be run again.
-func foundingRefused(err error) *failure.Error {
+// foundError distinguishes an existing cluster (conflict) from a peer that did not respond
+// (unavailable). In the second case init may be run again.
+func foundError(err error) *failure.Error {
 	t := failure.TypeConflict
 	if errors.Is(err, replica.ErrPeerUnreachable) {
 		t = failure.TypeUnavailable
@@ -171,7 +172,7 @@
 	return failure.New(t, err.Error())
 }
 
-func (s *Server) waitToLead(ctx context.Context) error {
+func (s *Server) waitForLeadership(ctx context.Context) error {
 	const poll = 10 * time.Millisecond
 	for {
 		if _, err := s.leading(); err == nil {
@@ -179,7 +180,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return failure.New(failure.TypeUnavailable, "founded, but no leader yet; run init again")
+			return failure.New(failure.TypeUnavailable, "the cluster is founded but has no leader yet; run init again")
 		case <-time.After(poll):
 		}
 	}
@@ -187,7 +188,7 @@
 
 func (s *Server) getConfiguration(c echo.Context) error {
 	if err := s.o.Consensus.ReadBarrier(c.Request().Context()); err != nil {
-		return typed(err)
+		return toFailure(err)
 	}
 	board := s.o.Machine.Board()
 	return c.JSON(http.StatusOK, board.Config)
@@ -211,8 +212,9 @@
 	return c.JSON(http.StatusOK, adminapi.ChangeReply{Revision: outcome.Revision})
 }
 
-// getInForce answers only while leading, checked after the lease table was
-// read: a leader that was cut off would count leases that it alone knows.
+// getInForce replies only while this process leads, and checks that again after reading the
+// lease table. A leader that was cut off would otherwise count only the leases that it granted
+// itself.
 func (s *Server) getInForce(c echo.Context) error {
 	revision, err := strconv.ParseUint(c.QueryParam("revision"), 10, 64)
 	if err != nil {
@@ -223,15 +225,15 @@
 	}
 	board := s.o.Machine.Board()
 	s.mu.Lock()
-	late := s.leases.pending(s.leases.known(board.Entries), revision, clock.Now())
+	pending := s.leases.pending(s.leases.registeredOrLeased(board.Entries), revision, clock.Now())
 	s.mu.Unlock()
 	if _, err := s.leading(); err != nil {
 		return err
 	}
 	return c.JSON(http.StatusOK, adminapi.InForce{
 		Revision: revision,
-		InForce:  len(late) == 0 && board.Config.Revision >= revision,
-		Pending:  late,
+		InForce:  len(pending) == 0 && board.Config.Revision >= revision,
+		Pending:  pending,
 	})
 }
 
--- a/internal/control/evacuation.go
+++ b/internal/control/evacuation.go
@@ -18,17 +18,17 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Evacuate orders the evacuation of a data centre, or ends it, through the leader, which may
-// be another process. An error says by its type whether the outcome is known; the order may
-// be sent again.
+// Evacuate orders the evacuation of a data centre, or ends it if end is set. The command goes
+// through the leader, which may be another process. The type of the error tells whether the
+// outcome is known. The order may be sent again.
 func (s *Server) Evacuate(ctx context.Context, through Committer, dataCentre string, end bool) (blackboard.EvacuationOutcome, error) {
-	return s.evacuateBy(dataCentre, end, func(encoded []byte) ([]byte, error) { return s.commitThrough(ctx, through, encoded) })
+	return s.evacuateVia(dataCentre, end, func(encoded []byte) ([]byte, error) { return s.commitThrough(ctx, through, encoded) })
 }
 
-// evacuateBy checks an order, has it written by commit and reads the outcome.
-func (s *Server) evacuateBy(dataCentre string, end bool, commit func(encoded []byte) ([]byte, error)) (blackboard.EvacuationOutcome, error) {
+// evacuateVia checks an order, writes it with commit and decodes the outcome.
+func (s *Server) evacuateVia(dataCentre string, end bool, commit func(encoded []byte) ([]byte, error)) (blackboard.EvacuationOutcome, error) {
 	var outcome blackboard.EvacuationOutcome
-	if e := s.knows(dataCentre); e != nil {
+	if e := s.checkDataCentre(dataCentre); e != nil {
 		return outcome, e
 	}
 	encoded, err := blackboard.Encode(&blackboard.SetEvacuation{DataCentre: dataCentre, End: end, NowMillis: time.Now().UnixMilli()})
@@ -45,12 +45,12 @@
 	if outcome.Failure != nil {
 		return outcome, outcome.Failure
 	}
-	s.noteEvacuation(dataCentre, end, outcome)
+	s.addEvacuationEvent(dataCentre, end, outcome)
 	return outcome, nil
 }
 
-// knows refuses a data centre that neither the board nor the settings name.
-func (s *Server) knows(dataCentre string) *failure.Error {
+// checkDataCentre returns an error if neither the board nor the settings name the data centre.
+func (s *Server) checkDataCentre(dataCentre string) *failure.Error {
 	known := s.o.Machine.Board().DataCentres()
 	for _, named := range s.o.DataCentres {
 		if !slices.Contains(known, named) {
@@ -61,29 +61,29 @@
 		return nil
 	}
 	slices.Sort(known)
-	return failure.New(failure.TypeNotFound, "no such data centre; known are "+strings.Join(known, ", ")).WithDetail(dataCentre)
+	return failure.New(failure.TypeNotFound, "unknown data centre; known data centres: "+strings.Join(known, ", ")).WithDetail(dataCentre)
 }
 
-func (s *Server) noteEvacuation(dataCentre string, end bool, outcome blackboard.EvacuationOutcome) {
+func (s *Server) addEvacuationEvent(dataCentre string, end bool, outcome blackboard.EvacuationOutcome) {
 	text := "evacuation ordered"
 	if end {
 		text = "evacuation ended"
 	}
 	if !outcome.Changed {
-		text += ", as before"
+		text += "; nothing changed"
 	}
 	s.event("evacuation", dataCentre, text)
 }
 
-// postEvacuation and deleteEvacuation take an operator's order.
-func (s *Server) postEvacuation(c echo.Context) error { return s.takeEvacuation(c, false) }
+// postEvacuation and deleteEvacuation handle an operator's order to begin or end an evacuation.
+func (s *Server) postEvacuation(c echo.Context) error { return s.changeEvacuation(c, false) }
 
-func (s *Server) deleteEvacuation(c echo.Context) error { return s.takeEvacuation(c, true) }
+func (s *Server) deleteEvacuation(c echo.Context) error { return s.changeEvacuation(c, true) }
 
-func (s *Server) takeEvacuation(c echo.Context, end bool) error {
+func (s *Server) changeEvacuation(c echo.Context, end bool) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), adminTimeout)
 	defer cancel()
-	outcome, err := s.evacuateBy(c.Param("data_centre"), end, func(encoded []byte) ([]byte, error) {
+	outcome, err := s.evacuateVia(c.Param("data_centre"), end, func(encoded []byte) ([]byte, error) {
 		return s.proposeDurably(ctx, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
 	})
 	if err != nil {
@@ -92,8 +92,8 @@
 	return c.JSON(http.StatusOK, adminapi.EvacuationReply{Revision: outcome.Revision, Changed: outcome.Changed})
 }
 
-// getEvacuations lists the data centres that are evacuated. Like getInForce it answers only
-// while leading, checked after the leases were read.
+// getEvacuations lists the data centres under evacuation. Like getInForce, it replies only
+// while this process leads, and checks that again after reading the leases.
 func (s *Server) getEvacuations(c echo.Context) error {
 	if _, err := s.leading(); err != nil {
 		return err
@@ -109,14 +109,14 @@
 	return c.JSON(http.StatusOK, list)
 }
 
-// evacuationOf describes one evacuation.
+// evacuationOf describes the evacuation of one data centre.
 func (s *Server) evacuationOf(board *blackboard.Board, dataCentre string) adminapi.Evacuation {
 	row := board.Evacuations[dataCentre]
 	s.mu.Lock()
-	late := s.leases.pendingBoard(s.leases.known(board.Entries), row.Revision, clock.Now())
+	pending := s.leases.pendingBoard(s.leases.registeredOrLeased(board.Entries), row.Revision, clock.Now())
 	s.mu.Unlock()
 	e := adminapi.Evacuation{
-		DataCentre: dataCentre, SinceMillis: row.SinceMillis, Revision: row.Revision, InForce: len(late) == 0, Pending: late,
+		DataCentre: dataCentre, SinceMillis: row.SinceMillis, Revision: row.Revision, InForce: len(pending) == 0, Pending: pending,
 	}
 	for _, id := range sortedKeys(board.Groups) {
 		if g := board.Groups[id]; g.State == blackboard.Serving && g.DataCentre == dataCentre {
--- a/internal/control/encoded_test.go
+++ b/internal/control/machine_test.go
@@ -10,8 +10,8 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Guards against a leader that makes a snapshot for each of many entries that start while the
-// board changes, and against one that lacks what has changed since it was made.
+// Guards against a leader that encodes a snapshot for each of many entries that start while the
+// board changes, and against a cached snapshot that lacks the changes since it was made.
 func TestEntriesThatStartTogetherShareASnapshot(t *testing.T) {
 	m := NewMachine()
 	apply := func(c blackboard.Command) {
@@ -34,5 +34,5 @@
 		assert.Equal(t, entry.Revision, board.Revision)
 		assert.DeepEqual(t, entry.Entries, board.Entries)
 	}
-	assert.Assert(t, m.encodings < 12, "%d snapshots", m.encodings)
+	assert.Assert(t, m.snapshotCount < 12, "%d snapshots", m.snapshotCount)
 }
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,4 +1,4 @@
-// Package controlclient calls the control process that leads.
+// Package controlclient calls the control processes, mainly the leader.
 package controlclient
 
 import (
@@ -15,42 +15,42 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// The keys of a Twirp error's meta.
+// Keys of the metadata of a Twirp error.
 const (
-	// MetaLeader carries the leader's peer address.
+	// MetaLeader holds the leader's peer address.
 	MetaLeader = "leader"
-	// MetaType carries the failure's type.
+	// MetaType holds the type of the failure.
 	MetaType = "type"
 )
 
-// Client finds the leader among the control processes and remembers it.
-// It is safe for concurrent use.
+// Client finds the leader among the control processes and remembers it. It is safe for
+// concurrent use.
 type Client struct {
-	// seeds are the addresses of the settings.
-	seeds  []string
-	boards map[string]noderpc.Board
-	http   *http.Client
+	// seeds are the addresses from the settings.
+	seeds   []string
+	clients map[string]noderpc.Board
+	http    *http.Client
 
 	mu     sync.Mutex
 	leader string
 	next   int
-	// addresses are those that the cluster names, then the seeds.
+	// addresses are the addresses that the cluster reports, followed by the seeds.
 	addresses []string
-	// avoided holds until when a process gets no spread watches.
-	avoided map[string]time.Time
+	// avoidedUntil holds, by address, until when a process gets no spread watches.
+	avoidedUntil map[string]time.Time
 }
 
-// New returns a client of the control processes at the addresses. The HTTP
-// client adds the secret between our processes to each call.
+// New returns a client of the control processes at the addresses. The HTTP client must add the
+// bearer token that the system's own processes share.
 func New(addresses []string, client *http.Client) *Client {
-	return &Client{seeds: addresses, addresses: addresses, boards: make(map[string]noderpc.Board), http: client, avoided: make(map[string]time.Time)}
+	return &Client{seeds: addresses, addresses: addresses, clients: make(map[string]noderpc.Board), http: client, avoidedUntil: make(map[string]time.Time)}
 }
 
-// Learn takes in where the cluster's control processes are. The addresses of
-// the settings stay the last resort.
+// Learn sets the addresses of the cluster's control processes. The addresses from the settings
+// stay as the last resort.
 //
-// Failure: control VMs are replaced one after the other, and a process that
-// knows only those of its settings finds none of them any more.
+// Failure: control VMs are replaced one after the other, until a process that knows only the
+// addresses from its settings finds no control process any more.
 func (c *Client) Learn(addresses []string) {
 	if len(addresses) == 0 {
 		return
@@ -63,15 +63,15 @@
 			all = append(all, seed)
 		}
 	}
-	for address := range c.boards {
+	for address := range c.clients {
 		if !slices.Contains(all, address) {
-			delete(c.boards, address)
+			delete(c.clients, address)
 		}
 	}
 	c.addresses = all
 }
 
-// Reseed replaces the addresses of the settings.
+// Reseed replaces the addresses from the settings.
 func (c *Client) Reseed(seeds []string) {
 	c.mu.Lock()
 	c.seeds = slices.Clone(seeds)
@@ -87,25 +87,25 @@
 	return c.leader
 }
 
-// known returns how many control processes there are to ask.
-func (c *Client) known() int {
+// processCount returns the number of known control processes.
+func (c *Client) processCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.addresses)
 }
 
-func (c *Client) board() (string, noderpc.Board) {
+func (c *Client) leaderClient() (string, noderpc.Board) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	address := c.leader
 	if address == "" {
 		address = c.addresses[c.next%len(c.addresses)]
 	}
-	return address, c.at(address)
+	return address, c.clientLocked(address)
 }
 
-// learn takes from an answer where the leader is.
-func (c *Client) learn(address string, err error) {
+// recordResult updates the leader from the result of a call to the process at address.
+func (c *Client) recordResult(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
@@ -113,9 +113,9 @@
 		return
 	}
 	c.leader = ""
-	if !refused(err) {
-		// No answer, or a broken one: what sits idle beside that connection
-		// may have gone silent with it, and each call would find one more.
+	if !isRefusal(err) {
+		// The connection broke or timed out. Idle connections on the same path may be dead as
+		// well, and each further call would run into one of them.
 		c.http.CloseIdleConnections()
 	}
 	if leader := leaderIn(err); leader != "" && leader != address {
@@ -134,103 +134,102 @@
 	return te.Meta(MetaLeader)
 }
 
-// Watch calls the process last known to lead, once. After a failure the next
-// call goes to another process. A watch that may be spread goes to one of all
-// control processes, chosen for the entry, and to the leader if that one can't answer
-// and names it.
+// Watch calls the last known leader once. After a failure the next call goes to another
+// process. A watch that may be spread goes to the control process that is chosen for the entry.
+// If that process can't serve the watch and names the leader, Watch calls the leader.
 func (c *Client) Watch(ctx context.Context, r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
 	if r.Spread {
-		if address, ok := c.spreadTo(time.Now(), r.EntryId); ok {
+		if address, ok := c.watchTarget(time.Now(), r.EntryId); ok {
 			reply, err := c.watchAt(ctx, address, r)
-			if !c.followTo(address, err) {
-				return reply, errors.Trace(typed(err))
+			if !c.followRedirect(address, err) {
+				return reply, errors.Trace(toFailure(err))
 			}
 		}
 	}
-	address, b := c.board()
+	address, b := c.leaderClient()
 	reply, err := b.Watch(ctx, r)
-	c.learn(address, err)
-	return reply, errors.Trace(typed(err))
+	c.recordResult(address, err)
+	return reply, errors.Trace(toFailure(err))
 }
 
-// follow makes the next call go to the leader that a control process names.
-func (c *Client) follow(leader string) {
+// setLeader directs the next call to a leader that a control process has named.
+func (c *Client) setLeader(leader string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = leader
 }
 
-// followTo makes the next call go to the leader that a process has named in its refusal,
-// and tells whether it has named another one than itself.
-func (c *Client) followTo(address string, err error) bool {
+// followRedirect directs the next call to the leader that the process at address has named in
+// its refusal. It reports whether the refusal names another process.
+func (c *Client) followRedirect(address string, err error) bool {
 	leader := leaderIn(err)
 	if leader == "" || leader == address {
 		return false
 	}
-	c.follow(leader)
+	c.setLeader(leader)
 	return true
 }
 
-// all returns the addresses of all known control processes.
-func (c *Client) all() []string {
+// allAddresses returns the addresses of all known control processes.
+func (c *Client) allAddresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.addresses)
 }
 
-// boardOf returns the client of one control process.
-func (c *Client) boardOf(address string) noderpc.Board {
+// clientFor returns the client of one control process.
+func (c *Client) clientFor(address string) noderpc.Board {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.at(address)
+	return c.clientLocked(address)
 }
 
-// at returns the client of one control process. The lock is held.
-func (c *Client) at(address string) noderpc.Board {
-	b, ok := c.boards[address]
+// clientLocked returns the client of one control process. The lock is held.
+func (c *Client) clientLocked(address string) noderpc.Board {
+	b, ok := c.clients[address]
 	if !ok {
 		b = noderpc.NewBoardProtobufClient("http://"+address, c.http)
-		c.boards[address] = b
+		c.clients[address] = b
 	}
 	return b
 }
 
-// Suspect tells the leader of groups without progress.
+// Suspect reports groups without progress to the leader.
 func (c *Client) Suspect(ctx context.Context, r *noderpc.SuspectRequest) error {
 	var err error
-	for range 2 * c.known() {
-		address, b := c.board()
+	for range 2 * c.processCount() {
+		address, b := c.leaderClient()
 		_, err = b.Suspect(ctx, r)
-		c.learn(address, err)
-		if err == nil || !refused(err) || ctx.Err() != nil {
+		c.recordResult(address, err)
+		if err == nil || !isRefusal(err) || ctx.Err() != nil {
 			break
 		}
 	}
-	return errors.Trace(typed(err))
+	return errors.Trace(toFailure(err))
 }
 
-// Commit writes a command through the leader. It follows refusals that prove
-// that nothing was written; any other failure leaves the outcome unknown, and
-// only a command that is safe to write twice may be sent again.
+// Commit commits a command through the leader. It retries after a refusal, which proves that
+// nothing was written. Any other failure leaves the outcome unknown, and then only a command
+// that is safe to commit twice may be sent again.
 func (c *Client) Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error) {
 	var err error
-	for range 2 * c.known() {
-		address, b := c.board()
+	for range 2 * c.processCount() {
+		address, b := c.leaderClient()
 		var reply *noderpc.CommitReply
 		reply, err = b.Commit(ctx, r)
-		c.learn(address, err)
+		c.recordResult(address, err)
 		if err == nil {
 			return reply.Result, nil
 		}
-		if !refused(err) || ctx.Err() != nil {
+		if !isRefusal(err) || ctx.Err() != nil {
 			break
 		}
 	}
-	return nil, errors.Trace(typed(err))
+	return nil, errors.Trace(toFailure(err))
 }
 
-// refused tells whether the process said that it did not write the command.
-func refused(err error) bool {
+// isRefusal reports whether err states that the process did not execute the call.
+func isRefusal(err error) bool {
 	var te twirp.Error
 	if !errors.As(err, &te) {
 		return false
@@ -242,7 +241,7 @@
 	return false
 }
 
-func typed(err error) error {
+func toFailure(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -8,16 +8,16 @@
 	"github.com/citronstep/citronstep/internal/raft"
 )
 
-// Propose replicates a command and returns what the state machine answered,
-// after a majority has synced it and this node has applied it.
+// Propose replicates a command. It returns the result of the state machine once a majority has
+// synced the command and this node has applied it.
 //
-// A NotLeaderError, ErrNotProposed, ErrNotFounded, ErrRemoved or ErrClosed
-// means that the command never takes effect; ErrOutcomeUnknown that it may.
+// NotLeaderError, ErrNotProposed, ErrNotFounded, ErrRemoved and ErrClosed mean that the command
+// never takes effect. ErrOutcomeUnknown means that it may.
 func (n *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	if len(command) == 0 || len(command) > maxCommandBytes {
 		return nil, errors.Trace(ErrInvalidCommand)
 	}
-	if err := n.usable(); err != nil {
+	if err := n.checkUsable(); err != nil {
 		return nil, errors.Trace(err)
 	}
 	p := newProposal(command)
@@ -45,14 +45,15 @@
 	case <-n.failed:
 		cause = ErrClosed
 	}
-	if p.taken.CompareAndSwap(false, true) {
+	if p.claimed.CompareAndSwap(false, true) {
 		return nil, errors.Trace(cause)
 	}
-	return n.lastLook(p)
+	return n.lateOutcome(p)
 }
 
-// lastLook takes an outcome that came together with the end of the wait.
-func (n *Node) lastLook(p *proposal) ([]byte, error) {
+// lateOutcome returns an outcome that arrived at the same time as the end of the wait, or
+// ErrOutcomeUnknown.
+func (n *Node) lateOutcome(p *proposal) ([]byte, error) {
 	select {
 	case o := <-p.done:
 		return o.result, o.err
@@ -61,8 +62,8 @@
 	}
 }
 
-// usable refuses early what can't succeed on this node.
-func (n *Node) usable() error {
+// checkUsable returns an error early for calls that can't succeed on this node.
+func (n *Node) checkUsable() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
@@ -78,15 +79,16 @@
 
 // propose runs on the node's goroutine.
 func (n *Node) propose(p *proposal) {
-	if !p.taken.CompareAndSwap(false, true) {
+	if !p.claimed.CompareAndSwap(false, true) {
 		return // its caller has stopped waiting
 	}
 	at, err := n.core.Propose(p.data)
-	n.wait(p, at, err)
+	n.trackProposal(p, at, err)
 }
 
-// wait notes a proposal under its position, or answers that it has none.
-func (n *Node) wait(p *proposal, at raft.Position, err error) {
+// trackProposal registers a proposal under its log index, or returns the error of a proposal
+// that was not appended.
+func (n *Node) trackProposal(p *proposal, at raft.Position, err error) {
 	switch {
 	case errors.Is(err, raft.ErrBusy):
 		p.done <- outcome{err: errors.Annotate(ErrNotProposed, err.Error())}
@@ -100,24 +102,24 @@
 	}
 	p.term = at.Term
 	if old := n.waiters[at.Index]; old != nil {
-		// This node led before, lost its log's end and leads again: the old
-		// command's place now holds another entry of this node's.
+		// This node led before, lost the end of its log and leads again. Another entry of this
+		// node now has the old command's index.
 		old.done <- outcome{err: errors.Trace(ErrOutcomeUnknown)}
 	}
 	n.waiters[at.Index] = p
 }
 
-// ReadBarrier returns once this node's state machine holds every command that
-// any Propose had answered before the call. It succeeds on the leader only.
+// ReadBarrier returns once this node's state machine has applied every command for which a
+// Propose returned before the call. It succeeds only on the leader.
 func (n *Node) ReadBarrier(ctx context.Context) error {
-	if err := n.usable(); err != nil {
+	if err := n.checkUsable(); err != nil {
 		return errors.Trace(err)
 	}
 	if n.readByLease() {
 		return nil
 	}
 	p := newProposal(nil)
-	err := n.do(ctx, func() { n.takeRead(p) })
+	err := n.do(ctx, func() { n.queueRead(p) })
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -132,11 +134,10 @@
 	return errors.Trace(ErrClosed)
 }
 
-// readByLease tells whether the state machine is up to date as of now. The
-// lease is compared with the clock last, after all that may wait: a leader
-// that was frozen at any point before then sees that its lease is over, and a
-// freeze after it only makes the caller later, not the state older than the
-// moment of the comparison.
+// readByLease reports whether the lease proves that the state machine is up to date. The lease
+// is compared with the clock last, after every step that may block. A leader that was frozen
+// before the comparison sees that its lease has expired. A freeze after the comparison only
+// delays the caller; the state is still as new as the moment of the comparison.
 func (n *Node) readByLease() bool {
 	n.mu.Lock()
 	v := n.view
@@ -145,25 +146,25 @@
 	return applied && n.opts.Now() < v.leaseExpiry
 }
 
-func (n *Node) takeRead(p *proposal) {
+func (n *Node) queueRead(p *proposal) {
 	if n.core.Status().Role != raft.RoleLeader {
 		p.done <- outcome{err: n.notLeader()}
 		return
 	}
-	n.unaskedReads = append(n.unaskedReads, p)
+	n.waitingReads = append(n.waitingReads, p)
 }
 
-// askReads asks for the reads that wait, once the leader has committed an
+// requestReads requests a read index for each waiting read, once the leader has committed an
 // entry of its own term.
-func (n *Node) askReads() {
-	for len(n.unaskedReads) > 0 {
-		p := n.unaskedReads[0]
+func (n *Node) requestReads() {
+	for len(n.waitingReads) > 0 {
+		p := n.waitingReads[0]
 		id := n.nextRead + 1
 		err := n.core.ReadIndex(n.opts.Now(), id)
 		if errors.Is(err, raft.ErrNotReady) {
 			return
 		}
-		n.unaskedReads = n.unaskedReads[1:]
+		n.waitingReads = n.waitingReads[1:]
 		if err != nil {
 			p.done <- outcome{err: n.notLeader()}
 			continue
@@ -173,9 +174,8 @@
 	}
 }
 
-// TransferLeadership hands the leadership to another voter, for a graceful
-// stop, and returns once this node no longer leads. It returns at once on a
-// node that does not lead.
+// TransferLeadership transfers the leadership to another voter, for a graceful stop. It returns
+// once this node no longer leads, and at once if this node does not lead.
 func (n *Node) TransferLeadership(ctx context.Context) error {
 	for {
 		changed := n.Changed()
