--- a/internal/hearing/connection.go
+++ b/internal/hearing/connection.go
@@ -26,9 +26,9 @@
 	// closes it; the other side then sees the end, or, when that is lost too,
 	// hears nothing itself.
 	silenceLimit = 800 * time.Millisecond
-	// peerBuffer is the read buffer of a connection in bytes, several ordinary
+	// peerBufferBytes is the read buffer of a connection in bytes, several ordinary
 	// frames; an entry has one for each other entry.
-	peerBuffer = 1 << 10
+	peerBufferBytes = 1 << 10
 )
 
 // connection is one end of a connection to another entry.
@@ -39,9 +39,9 @@
 	reader  *bufio.Reader
 	// dated is signalled when the first frame has arrived, as lines can be sent
 	// from then on.
-	dated chan struct{}
+	firstFrame chan struct{}
 	// news is signalled when there is something to send before its time.
-	news chan struct{}
+	flush chan struct{}
 
 	mu      sync.Mutex
 	session *wire.Session
@@ -51,7 +51,7 @@
 func (h *Hearing) newConnection(peer string, conn net.Conn, reader *bufio.Reader) *connection {
 	return &connection{
 		hearing: h, peer: peer, conn: conn, reader: reader,
-		dated: make(chan struct{}, 1), news: make(chan struct{}, 1), session: wire.NewSession(),
+		firstFrame: make(chan struct{}, 1), flush: make(chan struct{}, 1), session: wire.NewSession(),
 	}
 }
 
@@ -88,8 +88,8 @@
 		}
 		select {
 		case <-ticker.C:
-		case <-c.dated:
-		case <-c.news:
+		case <-c.firstFrame:
+		case <-c.flush:
 			// What else is heard meanwhile goes in the same frame.
 			sleep(ctx, pushGap)
 		case <-ctx.Done():
@@ -101,13 +101,13 @@
 // push asks for a frame before its time.
 func (c *connection) push() {
 	select {
-	case c.news <- struct{}{}:
+	case c.flush <- struct{}{}:
 	default:
 	}
 }
 
 func (c *connection) send() error {
-	data, err := c.next()
+	data, err := c.nextFrames()
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -120,7 +120,7 @@
 
 // next makes the next frame. What was heard since the last one goes into it
 // once: it arrives, or the connection ends and the next one begins afresh.
-func (c *connection) next() ([]byte, error) {
+func (c *connection) nextFrames() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var lines []evidence.Heard
@@ -160,7 +160,7 @@
 		return errors.Trace(err)
 	}
 	if first {
-		c.dated <- struct{}{}
+		c.firstFrame <- struct{}{}
 	}
 	if got.Made.IsZero() {
 		return nil
--- a/internal/hearing/exchange.go
+++ b/internal/hearing/exchange.go
@@ -53,9 +53,9 @@
 
 	mu sync.Mutex
 	// ctx is that of Run; nil before it and after it.
-	ctx     context.Context
-	dialled map[string]*dialler
-	taken   map[string]*connection
+	ctx      context.Context
+	dialled  map[string]*dialler
+	accepted map[string]*connection
 	// open are the connections that run now, dialled or taken.
 	open map[*connection]bool
 }
@@ -66,7 +66,7 @@
 }
 
 func newExchange(h *Hearing) *exchange {
-	return &exchange{hearing: h, dialled: make(map[string]*dialler), taken: make(map[string]*connection), open: make(map[*connection]bool)}
+	return &exchange{hearing: h, dialled: make(map[string]*dialler), accepted: make(map[string]*connection), open: make(map[*connection]bool)}
 }
 
 // push sends what was heard to all peers before its time.
@@ -114,8 +114,8 @@
 
 // follow dials entries that are new on the board, and leaves those that are
 // gone or have moved.
-func (x *exchange) follow() {
-	entries := listeners(x.hearing.o.Board().Entries)
+func (x *exchange) reconcile() {
+	entries := receivingEntries(x.hearing.o.Board().Entries)
 	self := x.hearing.o.Self
 	if _, registered := entries[self]; !registered {
 		return
@@ -128,7 +128,7 @@
 			delete(x.dialled, id)
 		}
 	}
-	for id, c := range x.taken {
+	for id, c := range x.accepted {
 		if _, ok := entries[id]; !ok {
 			_ = c.conn.Close()
 		}
@@ -141,7 +141,7 @@
 }
 
 // listeners returns the entries that take announcements.
-func listeners(entries map[string]blackboard.Entry) map[string]blackboard.Entry {
+func receivingEntries(entries map[string]blackboard.Entry) map[string]blackboard.Entry {
 	out := make(map[string]blackboard.Entry, len(entries))
 	for id, e := range entries {
 		if !e.Deaf {
@@ -155,10 +155,10 @@
 func (x *exchange) dial(id, address string) {
 	ctx, cancel := context.WithCancel(x.ctx)
 	x.dialled[id] = &dialler{address: address, cancel: cancel}
-	x.wg.Go(func() { x.keep(ctx, id, address) })
+	x.wg.Go(func() { x.keepConnected(ctx, id, address) })
 }
 
-func (x *exchange) keep(ctx context.Context, id, address string) {
+func (x *exchange) keepConnected(ctx context.Context, id, address string) {
 	bound := firstRetry
 	for ctx.Err() == nil {
 		conn, reader, err := x.connect(ctx, id, address)
@@ -214,7 +214,7 @@
 	if err := r.Write(conn); err != nil {
 		return nil, errors.Trace(err)
 	}
-	reader := bufio.NewReaderSize(conn, peerBuffer)
+	reader := bufio.NewReaderSize(conn, peerBufferBytes)
 	reply, err := http.ReadResponse(reader, r)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -241,15 +241,15 @@
 		return
 	}
 	c := h.newConnection(source, conn, buffered.Reader)
-	if err := accept(conn); err != nil {
+	if err := writeSwitchingProtocols(conn); err != nil {
 		_ = conn.Close()
 		return
 	}
-	err = h.exchange.take(c)
+	err = h.exchange.runAccepted(c)
 	_ = level.Debug(h.o.Logger).Log("event", "evidence_connection_ended", "peer", source, "err", err)
 }
 
-func accept(conn net.Conn) error {
+func writeSwitchingProtocols(conn net.Conn) error {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return errors.Trace(err)
 	}
@@ -275,16 +275,16 @@
 
 // take runs a connection that another entry dialled. A newer one replaces an
 // older one, which the other entry has found silent.
-func (x *exchange) take(c *connection) error {
+func (x *exchange) runAccepted(c *connection) error {
 	x.mu.Lock()
 	if x.ctx == nil || x.ctx.Err() != nil {
 		x.mu.Unlock()
 		return errors.Trace(c.conn.Close())
 	}
-	if old := x.taken[c.peer]; old != nil {
+	if old := x.accepted[c.peer]; old != nil {
 		_ = old.conn.Close()
 	}
-	x.taken[c.peer] = c
+	x.accepted[c.peer] = c
 	ctx := x.ctx
 	x.wg.Add(1)
 	x.mu.Unlock()
@@ -293,8 +293,8 @@
 	err := x.run(ctx, c)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.taken[c.peer] == c {
-		delete(x.taken, c.peer)
+	if x.accepted[c.peer] == c {
+		delete(x.accepted, c.peer)
 	}
 	return errors.Trace(err)
 }
--- a/internal/hearing/exchange_test.go
+++ b/internal/hearing/exchange_test.go
@@ -84,14 +84,14 @@
 }
 
 // dialled returns the connections dialled so far.
-func (p *process) dialled() []*lossy {
+func (p *process) dialledConns() []*lossy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conns
 }
 
 // begin starts n processes that know each other.
-func begin(t *testing.T, n int) []*process {
+func startProcesses(t *testing.T, n int) []*process {
 	t.Helper()
 	board := blackboard.New()
 	list := make([]*process, n)
@@ -114,12 +114,12 @@
 			defer close(p.done)
 			p.Run(ctx)
 		}()
-		t.Cleanup(p.end)
+		t.Cleanup(p.stop)
 	}
 	return list
 }
 
-func (p *process) end() {
+func (p *process) stop() {
 	p.cancel()
 	<-p.done
 	p.server.Close()
@@ -128,7 +128,7 @@
 func (p *process) announce(vm string, sequence uint64) { p.announceLoad(vm, sequence, nil) }
 
 func (p *process) announceLoad(vm string, sequence uint64, load *backend.Load) {
-	p.hear(backend.Announcement{
+	p.record(backend.Announcement{
 		ID: vm, Kind: backend.KindEngine, Incarnation: "x", Sequence: sequence, Group: "demo-0", Epoch: 7,
 		Phase: backend.PhaseReady, Address: "10.0.0.1:1", Load: load,
 	})
@@ -147,14 +147,14 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-func knows(vm string, sequence uint64) func(*evidence.Table) bool {
+func hasSequence(vm string, sequence uint64) func(*evidence.Table) bool {
 	return func(table *evidence.Table) bool {
 		r, ok := table.Get(vm)
 		return ok && r.Sequence == sequence
 	}
 }
 
-func witnesses(id string) func(*evidence.Table) bool {
+func hasRecentDigest(id string) func(*evidence.Table) bool {
 	return func(table *evidence.Table) bool { return table.Witness(time.Now(), id, evidence.WitnessAge) }
 }
 
@@ -165,19 +165,19 @@
 // Entries that hear of no backend server still witness each other, and what one
 // hears reaches the others over the one connection of each pair.
 func TestBothSidesOfAConnectionAreUsed(t *testing.T) {
-	list := begin(t, 3)
+	list := startProcesses(t, 3)
 	for _, p := range list {
 		for _, q := range list {
-			p.await(t, "witnesses "+q.id, witnesses(q.id))
+			p.await(t, "witnesses "+q.id, hasRecentDigest(q.id))
 		}
 	}
 	list[0].announce("vm-0", 1)
 	list[2].announce("vm-2", 1)
 	for _, p := range list {
-		p.await(t, "vm-0", knows("vm-0", 1))
-		p.await(t, "vm-2", knows("vm-2", 1))
+		p.await(t, "vm-0", hasSequence("vm-0", 1))
+		p.await(t, "vm-2", hasSequence("vm-2", 1))
 	}
-	assert.Equal(t, len(list[2].dialled()), 0, "the greatest id dials no one")
+	assert.Equal(t, len(list[2].dialledConns()), 0, "the greatest id dials no one")
 }
 
 // Routes stay closed all afternoon: a middlebox has forgotten the connection
@@ -193,30 +193,30 @@
 		{"from the dialler", func(l *lossy) { l.loseWrites.Store(true) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			list := begin(t, 2)
+			list := startProcesses(t, 2)
 			list[0].announce("vm-0", 1)
 			list[1].announce("vm-1", 1)
-			list[1].await(t, "vm-0", knows("vm-0", 1))
-			list[0].await(t, "vm-1", knows("vm-1", 1))
-			before := list[0].dialled()
+			list[1].await(t, "vm-0", hasSequence("vm-0", 1))
+			list[0].await(t, "vm-1", hasSequence("vm-1", 1))
+			before := list[0].dialledConns()
 			c.lose(before[len(before)-1])
 			list[0].announce("vm-0", 2)
 			list[1].announce("vm-1", 2)
-			list[1].await(t, "vm-0 again", knows("vm-0", 2))
-			list[0].await(t, "vm-1 again", knows("vm-1", 2))
-			assert.Assert(t, len(list[0].dialled()) > len(before))
+			list[1].await(t, "vm-0 again", hasSequence("vm-0", 2))
+			list[0].await(t, "vm-1 again", hasSequence("vm-1", 2))
+			assert.Assert(t, len(list[0].dialledConns()) > len(before))
 		})
 	}
 }
 
 // A leader counts a peer as a witness though it is gone.
 func TestAPeerThatIsGoneIsNoWitness(t *testing.T) {
-	list := begin(t, 2)
-	list[0].await(t, "witnesses", witnesses("n1"))
-	list[1].await(t, "witnesses", witnesses("n0"))
+	list := startProcesses(t, 2)
+	list[0].await(t, "witnesses", hasRecentDigest("n1"))
+	list[1].await(t, "witnesses", hasRecentDigest("n0"))
 	list[0].cancel()
 	<-list[0].done
-	list[1].await(t, "no witness", not(witnesses("n0")))
+	list[1].await(t, "no witness", not(hasRecentDigest("n0")))
 }
 
 func upgrade(t *testing.T, p *process, change func(http.Header)) (net.Conn, *http.Response) {
@@ -240,7 +240,7 @@
 // Evidence must not come from, nor go to, whoever reaches the listener, or be
 // taken for that of another entry.
 func TestTheUpgradeIsChecked(t *testing.T) {
-	p := begin(t, 2)[1]
+	p := startProcesses(t, 2)[1]
 	for _, c := range []struct {
 		name   string
 		change func(http.Header)
@@ -263,7 +263,7 @@
 
 // A peer that sends junk loses its connection, and nothing else breaks.
 func TestABadFrameClosesTheConnection(t *testing.T) {
-	p := begin(t, 2)[1]
+	p := startProcesses(t, 2)[1]
 	for _, bytes := range [][]byte{
 		{3, 0xff, 0xff, 0xff},
 		binary.AppendUvarint(nil, wire.MaxFrame+1),
@@ -280,7 +280,7 @@
 		timeout, ok := errors.Cause(err).(net.Error)
 		assert.Assert(t, !ok || !timeout.Timeout(), "%v", err)
 	}
-	p.await(t, "the good peer", witnesses("n0"))
+	p.await(t, "the good peer", hasRecentDigest("n0"))
 }
 
 func TestAFrameOverTheLimitIsNotRead(t *testing.T) {
--- a/internal/hearing/hearing.go
+++ b/internal/hearing/hearing.go
@@ -22,8 +22,8 @@
 // maxColdMillis bounds for how long a backend server may say that it is cold: one hour.
 const maxColdMillis = 60 * 60 * 1000
 
-// maxAnnouncement bounds what a backend server may send at once, in bytes.
-const maxAnnouncement = 64 << 10
+// maxAnnouncementBytes bounds what a backend server may send at once, in bytes.
+const maxAnnouncementBytes = 64 << 10
 
 // Options are what a Hearing is made of.
 type Options struct {
@@ -55,18 +55,18 @@
 type Hearing struct {
 	o Options
 
-	mu    sync.Mutex
-	table *evidence.Table
-	homes homes
+	mu        sync.Mutex
+	table     *evidence.Table
+	receivers receiverList
 
 	exchange *exchange
-	pace     *pace
+	limiter  *announceLimiter
 }
 
 // New returns a Hearing that has heard nothing.
 func New(o Options) *Hearing {
 	run := uint64(time.Now().UnixNano())
-	h := &Hearing{o: o, table: evidence.NewTable(o.Self, run), pace: newPace()}
+	h := &Hearing{o: o, table: evidence.NewTable(o.Self, run), limiter: newAnnounceLimiter()}
 	if o.Interval > 0 {
 		h.table.SetInterval(o.Interval)
 	}
@@ -88,29 +88,29 @@
 		return
 	}
 	if h.o.Lease() <= 0 {
-		failure.Write(w, cutOff())
+		failure.Write(w, cutOffError())
 		return
 	}
 	var a backend.Announcement
-	body := http.MaxBytesReader(w, r.Body, maxAnnouncement)
+	body := http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)
 	if err := json.NewDecoder(body).Decode(&a); err != nil {
 		failure.Write(w, failure.New(failure.TypeBadRequest, "announcement: "+err.Error()))
 		return
 	}
-	if e := check(a); e != nil {
+	if e := validate(a); e != nil {
 		failure.Write(w, e)
 		return
 	}
-	if e := h.pace.allow(time.Now(), a.ID); e != nil {
+	if e := h.limiter.allow(time.Now(), a.ID); e != nil {
 		failure.Write(w, e)
 		return
 	}
-	h.hear(a)
+	h.record(a)
 	w.Header().Set("Content-Type", "application/json")
 	// A backend server that is gone announces again elsewhere.
 	_ = json.NewEncoder(w).Encode(backend.AnnounceReply{
 		IntervalMillis: h.interval().Milliseconds(),
-		Entries:        h.addresses(),
+		Entries:        h.entryAddresses(),
 	})
 }
 
@@ -119,13 +119,13 @@
 // Failure: an entry is cut off from the other processes, and an engine goes on
 // announcing itself to it alone; all others take the engine for dead. Refused,
 // it announces itself to another entry at once.
-func cutOff() *failure.Error {
+func cutOffError() *failure.Error {
 	return failure.New(failure.TypeConfigurationStale, "this entry has lost the control processes; announce to another")
 }
 
 // check refuses what can't be used. What it can't check is whether the sender
 // is who it says: docs/backend-protocol.md tells what that means.
-func check(a backend.Announcement) *failure.Error {
+func validate(a backend.Announcement) *failure.Error {
 	if a.ID == "" || a.Incarnation == "" || a.Address == "" {
 		return failure.New(failure.TypeBadRequest, "an announcement needs id, incarnation and address")
 	}
@@ -144,17 +144,17 @@
 // Announce takes an announcement that an adapter has decoded.
 func (h *Hearing) Announce(a backend.Announcement) *failure.Error {
 	if h.o.Lease() <= 0 {
-		return cutOff()
+		return cutOffError()
 	}
-	if e := check(a); e != nil {
+	if e := validate(a); e != nil {
 		return e
 	}
-	changed := h.news(a)
-	h.hear(a)
+	changed := h.changesGroup(a)
+	h.record(a)
 	if changed && h.o.OnChange != nil {
 		h.o.OnChange()
 	}
-	if changed && h.spreading() {
+	if changed && h.isSpread() {
 		h.exchange.push()
 	}
 	return nil
@@ -162,7 +162,7 @@
 
 // news tells whether an announcement differs from what was known in a way that
 // the controllers wait for.
-func (h *Hearing) news(a backend.Announcement) (changed bool) {
+func (h *Hearing) changesGroup(a backend.Announcement) (changed bool) {
 	h.With(func(t *evidence.Table) {
 		r, known := t.Get(a.ID)
 		if a.Kind == backend.KindService {
@@ -178,7 +178,7 @@
 // which incarnations it speaks for.
 func (h *Hearing) Left(is func(incarnation string) bool) *failure.Error {
 	if h.o.Lease() <= 0 {
-		return cutOff()
+		return cutOffError()
 	}
 	known := false
 	h.With(func(t *evidence.Table) { known = t.Left(time.Now(), h.o.Self, is) })
@@ -188,7 +188,7 @@
 	return nil
 }
 
-func (h *Hearing) hear(a backend.Announcement) {
+func (h *Hearing) record(a backend.Announcement) {
 	h.mu.Lock()
 	h.table.Hear(time.Now(), h.o.Self, a)
 	h.mu.Unlock()
@@ -202,7 +202,7 @@
 	return d
 }
 
-func (h *Hearing) addresses() []string {
+func (h *Hearing) entryAddresses() []string {
 	var list []string
 	for _, e := range h.o.Board().Entries {
 		list = append(list, e.Address)
@@ -220,15 +220,15 @@
 	for {
 		select {
 		case <-ticker.C:
-			h.witnessSelf()
-			h.exchange.follow()
+			h.tickTable()
+			h.exchange.reconcile()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// witnessSelf keeps the table's clock going on a process without peers.
-func (h *Hearing) witnessSelf() {
+// tickTable keeps the table's clock going on a process without peers.
+func (h *Hearing) tickTable() {
 	h.With(func(t *evidence.Table) { t.Digest(time.Now(), evidence.Cursor{}) })
 }
--- a/internal/hearing/pace_test.go
+++ b/internal/hearing/limiter_test.go
@@ -11,7 +11,7 @@
 // One engine's agent announces in a loop without a pause. It must be slowed,
 // and an ordinary one beside it must be heard each time.
 func TestOneLoudBackendServerDoesNotDrownTheOthers(t *testing.T) {
-	p := newPace()
+	p := newAnnounceLimiter()
 	loud, ordinary := 0, 0
 	at := time.Unix(0, 0)
 	for i := range 10_000 {
@@ -29,13 +29,13 @@
 }
 
 func TestNamesThatAreMadeUpAreBounded(t *testing.T) {
-	p := newPace()
+	p := newAnnounceLimiter()
 	allowed := 0
-	for i := range 5 * mostPaced {
-		if p.allow(time.Unix(int64(i/mostPaced), 0), "made up "+strconv.Itoa(i)) == nil {
+	for i := range 5 * maxTracked {
+		if p.allow(time.Unix(int64(i/maxTracked), 0), "made up "+strconv.Itoa(i)) == nil {
 			allowed++
 		}
 	}
-	assert.Assert(t, allowed <= 5*mostAnnouncements)
-	assert.Assert(t, len(p.last) <= mostPaced)
+	assert.Assert(t, allowed <= 5*maxPerSecond)
+	assert.Assert(t, len(p.last) <= maxTracked)
 }
--- a/internal/hearing/measure_test.go
+++ b/internal/hearing/measure_test.go
@@ -26,7 +26,7 @@
 	if *measureFlag {
 		entries, vms, span = *entriesFlag, *vmsFlag, 10*time.Second
 	}
-	list := begin(t, entries)
+	list := startProcesses(t, entries)
 	announceAll := func(sequence uint64) {
 		for vm := range vms {
 			list[vm%entries].announceLoad(fmt.Sprintf("vm-%03d", vm), sequence, loadOf(vm, sequence))
@@ -35,7 +35,7 @@
 	announceAll(1)
 	for _, p := range list {
 		for vm := range vms {
-			p.await(t, "every VM", knows(fmt.Sprintf("vm-%03d", vm), 1))
+			p.await(t, "every VM", hasSequence(fmt.Sprintf("vm-%03d", vm), 1))
 		}
 	}
 	before, cpu, began := total(list), processor(), time.Now()
--- a/internal/hearing/home.go
+++ b/internal/hearing/receivers.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// leaderTakes is how many backend servers announce themselves to the leader alone,
+	// maxAtLeader is how many backend servers announce themselves to the leader alone,
 	// which acts on their word: 1,250 announcements a second at 1,500, about a third of
 	// a small control VM's processor and of its descriptors.
-	leaderTakes = 1500
-	// leaderAgain is when they go back to the leader, so that one VM more or less moves
+	maxAtLeader = 1500
+	// returnToLeader is when they go back to the leader, so that one VM more or less moves
 	// nobody.
-	leaderAgain = 1200
-	// homesAge is how long the list of processes that take announcements is kept.
-	homesAge = 200 * time.Millisecond
+	returnToLeader = 1200
+	// receiversAge is how long the list of processes that take announcements is kept.
+	receiversAge = 200 * time.Millisecond
 	// pushGap is the least time between two frames to a peer: news of hundreds of
 	// backend servers within a second goes in some frames.
 	pushGap = 25 * time.Millisecond
 )
 
 // homes are the processes that backend servers announce themselves to.
-type homes struct {
-	at time.Time
+type receiverList struct {
+	refreshedAt time.Time
 	// spread says that there are too many for the leader alone.
-	spread bool
-	takers []blackboard.Entry
+	isSpread bool
+	entries  []blackboard.Entry
 }
 
 // Home returns the peer address of the process that a backend server should announce
@@ -36,7 +36,7 @@
 //
 // Load: thousands of backend servers announce themselves each second. Harm where all go
 // to the leader: it has neither the processor nor the descriptors for them beside its
-// orders and watches. Past leaderTakes they are divided among all processes that take announcements
+// orders and watches. Past maxAtLeader they are divided among all processes that take announcements
 // and were heard within the last second, but for the leader, which has the orders and the
 // watches; each by the rendezvous hash of its id, so that one that is lost moves its own part
 // alone. What they hear goes to the others at once, see push.
@@ -44,27 +44,27 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	if now.Sub(h.homes.at) > homesAge {
-		h.lookForHomes(now)
+	if now.Sub(h.receivers.refreshedAt) > receiversAge {
+		h.refreshReceivers(now)
 	}
-	if !h.homes.spread || len(h.homes.takers) == 0 {
+	if !h.receivers.isSpread || len(h.receivers.entries) == 0 {
 		return leader
 	}
-	if taker, ok := rendezvous(h.homes.takers, id, leader); ok {
-		return taker.PeerAddress
+	if receiver, ok := rendezvous(h.receivers.entries, id, leader); ok {
+		return receiver.PeerAddress
 	}
 	return leader
 }
 
-// lookForHomes renews the list. The lock is held.
-func (h *Hearing) lookForHomes(now time.Time) {
-	h.homes.at = now
+// refreshReceivers renews the list. The lock is held.
+func (h *Hearing) refreshReceivers(now time.Time) {
+	h.receivers.refreshedAt = now
 	known := h.table.Known()
-	h.homes.spread = known > leaderTakes || (h.homes.spread && known > leaderAgain)
-	h.homes.takers = h.homes.takers[:0]
-	for id, e := range listeners(h.o.Board().Entries) {
+	h.receivers.isSpread = known > maxAtLeader || (h.receivers.isSpread && known > returnToLeader)
+	h.receivers.entries = h.receivers.entries[:0]
+	for id, e := range receivingEntries(h.o.Board().Entries) {
 		if id == h.o.Self || h.table.Witness(now, id, evidence.WitnessAge) {
-			h.homes.takers = append(h.homes.takers, e)
+			h.receivers.entries = append(h.receivers.entries, e)
 		}
 	}
 }
@@ -98,8 +98,8 @@
 }
 
 // spreading tells whether announcements are divided among several processes.
-func (h *Hearing) spreading() bool {
+func (h *Hearing) isSpread() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.homes.spread
+	return h.receivers.isSpread
 }
--- a/internal/hearing/home_test.go
+++ b/internal/hearing/receivers_test.go
@@ -41,8 +41,8 @@
 	return h
 }
 
-// homesOf counts where so many backend servers are sent.
-func homesOf(h *Hearing, servers int) map[string]int {
+// countReceivers counts where so many backend servers are sent.
+func countReceivers(h *Hearing, servers int) map[string]int {
 	count := make(map[string]int)
 	for n := range servers {
 		count[h.Home(fmt.Sprint("vm-", n), "core-3")]++
@@ -52,7 +52,7 @@
 
 // On a pool of some hundreds the leader acts on each word at once, so all must go to it.
 func TestFewBackendServersAnnounceThemselvesToTheLeader(t *testing.T) {
-	assert.DeepEqual(t, homesOf(controlVM(leaderTakes), leaderTakes), map[string]int{"core-3": leaderTakes})
+	assert.DeepEqual(t, countReceivers(controlVM(maxAtLeader), maxAtLeader), map[string]int{"core-3": maxAtLeader})
 }
 
 // 3,000 backend servers announce themselves 2,500 times a second, each on a connection of its
@@ -64,14 +64,14 @@
 	h := controlVM(servers)
 	assert.Assert(t, h.Home("vm-0", "core-3") != "core-3")
 	h.mu.Lock()
-	h.homes.at = time.Now().Add(time.Minute)
+	h.receivers.refreshedAt = time.Now().Add(time.Minute)
 	h.mu.Unlock()
 	before := make(map[string]string)
 	for n := range servers {
 		id := fmt.Sprint("vm-", n)
 		before[id] = h.Home(id, "core-3")
 	}
-	homes := homesOf(h, servers)
+	homes := countReceivers(h, servers)
 	assert.Equal(t, len(homes), 4)
 	for home, n := range homes {
 		assert.Assert(t, home != "core-3", "the leader takes %d", n)
@@ -84,8 +84,8 @@
 		}
 	})
 	h.mu.Lock()
-	h.lookForHomes(time.Now().Add(2 * evidence.WitnessAge))
-	h.homes.at = time.Now().Add(time.Minute)
+	h.refreshReceivers(time.Now().Add(2 * evidence.WitnessAge))
+	h.receivers.refreshedAt = time.Now().Add(time.Minute)
 	h.mu.Unlock()
 	for id, home := range before {
 		now := h.Home(id, "core-3")
