--- a/internal/hearing/connection.go
+++ b/internal/hearing/connection.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// silenceLimit is how long a connection may bring no whole frame, and how
-	// long a write may take: over two intervals, so that one late frame does not
-	// end it, and under evidence.WitnessAge.
+	// silenceLimit bounds the wait for a complete frame and the duration of a
+	// write. It exceeds two digest intervals, so one late frame does not end the
+	// connection, and is shorter than evidence.WitnessAge.
 	//
-	// Failure: a middlebox forgets a connection, or a link loses one direction;
-	// the connection stays open and brings nothing. The side that hears nothing
-	// closes it; the other side then sees the end, or, when that is lost too,
-	// hears nothing itself.
+	// Failure: a middlebox drops its state for a connection, or a link loses one
+	// direction, and the connection stays open without delivering data. The side
+	// that receives nothing closes the connection. The other side then reads the
+	// end of the stream or, if the close is lost too, reaches its own limit.
 	silenceLimit = 800 * time.Millisecond
-	// peerBufferBytes is the read buffer of a connection in bytes, several ordinary
-	// frames; an entry has one for each other entry.
+	// peerBufferBytes is the size of a connection's read buffer. It holds several
+	// ordinary frames; an entry has one buffer for each other entry.
 	peerBufferBytes = 1 << 10
 )
 
@@ -37,10 +37,10 @@
 	peer    string
 	conn    net.Conn
 	reader  *bufio.Reader
-	// dated is signalled when the first frame has arrived, as lines can be sent
+	// firstFrame is signalled when the first frame has arrived. Lines can be sent
 	// from then on.
 	firstFrame chan struct{}
-	// news is signalled when there is something to send before its time.
+	// flush is signalled when a frame is to be sent before the next interval.
 	flush chan struct{}
 
 	mu      sync.Mutex
@@ -90,7 +90,7 @@
 		case <-ticker.C:
 		case <-c.firstFrame:
 		case <-c.flush:
-			// What else is heard meanwhile goes in the same frame.
+			// Announcements received during the gap go into the same frame.
 			sleep(ctx, pushGap)
 		case <-ctx.Done():
 			return nil
@@ -98,7 +98,7 @@
 	}
 }
 
-// push asks for a frame before its time.
+// push requests a frame before the next interval.
 func (c *connection) push() {
 	select {
 	case c.flush <- struct{}{}:
@@ -118,8 +118,9 @@
 	return errors.Trace(err)
 }
 
-// next makes the next frame. What was heard since the last one goes into it
-// once: it arrives, or the connection ends and the next one begins afresh.
+// nextFrames returns the bytes of the next frames. They carry each announcement
+// received since the last call exactly once. Either they arrive, or the connection
+// ends and the next connection sends the complete table.
 func (c *connection) nextFrames() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/hearing/exchange.go
+++ b/internal/hearing/exchange.go
@@ -16,47 +16,48 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// PathExchange is where an entry takes the connection of another one.
+// PathExchange is the path at which an entry accepts evidence connections from
+// other entries.
 const PathExchange = "/evidence/v1/exchange"
 
-// The names of the upgrade request.
+// Protocol and header names of the upgrade request.
 const (
 	protocol = "citronstep-evidence"
-	// headerSource is the id of the entry that dials, headerPeer that of the
-	// entry that it means to reach: a process that got the address of another
-	// one must not be taken for it.
+	// headerSource carries the id of the dialling entry and headerPeer the id of
+	// the entry that it expects to reach. A process that has been given the former
+	// address of another entry must not be mistaken for that entry.
 	headerSource = "Citronstep-Entry"
 	headerPeer   = "Citronstep-Peer"
 )
 
 const (
-	// handshakeTimeout ends a dial or an upgrade that is not answered.
+	// handshakeTimeout bounds a dial together with its upgrade.
 	handshakeTimeout = 500 * time.Millisecond
-	// The wait before a connection is dialled again is random up to a bound that
-	// doubles from firstRetry to lastRetry.
+	// The wait before a redial is random, below a bound that doubles from
+	// firstRetry to lastRetry.
 	//
-	// Load: 370 entries lose a VM or a link between data centres at once and dial
-	// again. Spread over a second, an entry that comes back gets one connection
-	// in 3 ms; waits over lastRetry would only delay its becoming a witness.
+	// Load: 370 entries lose a VM or a link between data centres at once and
+	// redial. Spread over one second, an entry that returns accepts one connection
+	// every 3 ms. Waits longer than lastRetry would only delay its first digest.
 	firstRetry = 200 * time.Millisecond
 	lastRetry  = time.Second
 )
 
-// ErrRefused is returned when the other process did not take the connection.
-const ErrRefused = errors.ConstError("the exchange of evidence was refused")
+// ErrRefused is returned when the other process did not accept the upgrade.
+const ErrRefused = errors.ConstError("peer refused the evidence connection")
 
-// exchange holds the connections to other entries. Of two entries the one with
-// the smaller id dials, so that a pair has one connection.
+// exchange holds the connections to other entries. Of two entries, the one with
+// the smaller id dials, so each pair has one connection.
 type exchange struct {
 	hearing *Hearing
 	wg      sync.WaitGroup
 
 	mu sync.Mutex
-	// ctx is that of Run; nil before it and after it.
+	// ctx is the context of Hearing.Run; nil while Run is not running.
 	ctx      context.Context
 	dialled  map[string]*dialler
 	accepted map[string]*connection
-	// open are the connections that run now, dialled or taken.
+	// open holds all running connections, dialled and accepted.
 	open map[*connection]bool
 }
 
@@ -69,11 +70,12 @@
 	return &exchange{hearing: h, dialled: make(map[string]*dialler), accepted: make(map[string]*connection), open: make(map[*connection]bool)}
 }
 
-// push sends what was heard to all peers before its time.
+// push sends the newest announcements to all peers without waiting for the next
+// interval.
 //
-// Load: a backend server tells a process that does not lead that it has joined its group.
-// Told with the next digest, up to 0.3 s later, each step of a repair would take that
-// much longer.
+// Load: a backend server reports to a process other than the leader that it has
+// joined its group. The next digest would bring the report to the leader up to 0.3 s
+// later and delay each step of a repair by that time.
 func (x *exchange) push() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -82,7 +84,7 @@
 	}
 }
 
-// run runs a connection and counts it as open meanwhile.
+// run runs a connection until it ends and lists it in open meanwhile.
 func (x *exchange) run(ctx context.Context, c *connection) error {
 	x.mu.Lock()
 	x.open[c] = true
@@ -100,8 +102,8 @@
 	x.ctx = ctx
 }
 
-// stop ends all connections, whose context must have ended, and waits for their
-// goroutines.
+// stop cancels all dialled connections and waits for the goroutines of all
+// connections. The context passed to start must have ended.
 func (x *exchange) stop() {
 	x.mu.Lock()
 	x.ctx = nil
@@ -112,8 +114,8 @@
 	x.wg.Wait()
 }
 
-// follow dials entries that are new on the board, and leaves those that are
-// gone or have moved.
+// reconcile adjusts the connections to the board: it dials new entries and closes
+// connections to entries that were removed or have a new address.
 func (x *exchange) reconcile() {
 	entries := receivingEntries(x.hearing.o.Board().Entries)
 	self := x.hearing.o.Self
@@ -140,7 +142,7 @@
 	}
 }
 
-// listeners returns the entries that take announcements.
+// receivingEntries returns the entries that receive announcements.
 func receivingEntries(entries map[string]blackboard.Entry) map[string]blackboard.Entry {
 	out := make(map[string]blackboard.Entry, len(entries))
 	for id, e := range entries {
@@ -151,7 +153,8 @@
 	return out
 }
 
-// dial keeps a connection to one entry; x.mu must be held.
+// dial starts a goroutine that keeps a connection to one entry. The caller must
+// hold x.mu.
 func (x *exchange) dial(id, address string) {
 	ctx, cancel := context.WithCancel(x.ctx)
 	x.dialled[id] = &dialler{address: address, cancel: cancel}
@@ -181,7 +184,7 @@
 	}
 }
 
-// connect dials an entry and has it upgrade the connection.
+// connect dials an entry and upgrades the connection.
 func (x *exchange) connect(ctx context.Context, id, address string) (net.Conn, *bufio.Reader, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -219,7 +222,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	// A 101 has no body; any other answer ends with its connection.
+	// A 101 has no body; after any other answer the caller closes the connection.
 	_ = reply.Body.Close()
 	if reply.StatusCode != http.StatusSwitchingProtocols {
 		return nil, errors.Annotate(ErrRefused, reply.Status)
@@ -227,8 +230,8 @@
 	return reader, nil
 }
 
-// ServeExchange takes the connection of another entry and keeps it until it
-// ends. The caller has checked the bearer token.
+// ServeExchange accepts a connection from another entry and returns when it ends.
+// The caller must have checked the bearer token.
 func (h *Hearing) ServeExchange(w http.ResponseWriter, r *http.Request) {
 	source := r.Header.Get(headerSource)
 	if e := h.checkExchange(r, source); e != nil {
@@ -237,7 +240,7 @@
 	}
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		failure.Write(w, failure.New(failure.TypeInternal, "the connection can't be taken over"))
+		failure.Write(w, failure.New(failure.TypeInternal, "the server does not support connection upgrades"))
 		return
 	}
 	c := h.newConnection(source, conn, buffered.Reader)
@@ -265,7 +268,7 @@
 	case r.Header.Get(headerPeer) != h.o.Self:
 		return failure.New(failure.TypeConflict, "this entry is "+h.o.Self)
 	case !known:
-		// The board may be behind; the other entry dials again.
+		// The board of this entry may be outdated; the other entry redials.
 		return failure.New(failure.TypeConflict, "entry "+source+" is not registered here")
 	case source >= h.o.Self:
 		return failure.New(failure.TypeConflict, "the entry with the smaller id dials")
@@ -273,8 +276,8 @@
 	return nil
 }
 
-// take runs a connection that another entry dialled. A newer one replaces an
-// older one, which the other entry has found silent.
+// runAccepted runs a connection that another entry dialled. It replaces an older
+// connection from the same entry, which that entry has given up as silent.
 func (x *exchange) runAccepted(c *connection) error {
 	x.mu.Lock()
 	if x.ctx == nil || x.ctx.Err() != nil {
--- a/internal/hearing/exchange_test.go
+++ b/internal/hearing/exchange_test.go
@@ -30,8 +30,8 @@
 
 const token = "secret"
 
-// lossy is a connection that can lose what it writes or reads, without an end
-// on either side.
+// lossy is a connection that can drop the data it writes or reads while both sides
+// stay open.
 type lossy struct {
 	net.Conn
 	loseWrites, loseReads atomic.Bool
@@ -83,14 +83,14 @@
 	return l, nil
 }
 
-// dialled returns the connections dialled so far.
+// dialledConns returns the connections dialled so far.
 func (p *process) dialledConns() []*lossy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conns
 }
 
-// begin starts n processes that know each other.
+// startProcesses starts n processes that are registered on the same board.
 func startProcesses(t *testing.T, n int) []*process {
 	t.Helper()
 	board := blackboard.New()
@@ -134,7 +134,7 @@
 	})
 }
 
-// await waits until p satisfies ok.
+// await waits until the table of p satisfies ok.
 func (p *process) await(t *testing.T, what string, ok func(*evidence.Table) bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -162,13 +162,13 @@
 	return func(table *evidence.Table) bool { return !ok(table) }
 }
 
-// Entries that hear of no backend server still witness each other, and what one
-// hears reaches the others over the one connection of each pair.
-func TestBothSidesOfAConnectionAreUsed(t *testing.T) {
+// Entries without backend servers still receive each other's digests. An announcement
+// to one entry reaches the others over the single connection of each pair.
+func TestConnectionCarriesEvidenceBothWays(t *testing.T) {
 	list := startProcesses(t, 3)
 	for _, p := range list {
 		for _, q := range list {
-			p.await(t, "witnesses "+q.id, hasRecentDigest(q.id))
+			p.await(t, "a recent digest of "+q.id, hasRecentDigest(q.id))
 		}
 	}
 	list[0].announce("vm-0", 1)
@@ -180,10 +180,10 @@
 	assert.Equal(t, len(list[2].dialledConns()), 0, "the greatest id dials no one")
 }
 
-// Routes stay closed all afternoon: a middlebox has forgotten the connection
-// between two entries, which stays open and brings nothing. Each of three
-// losses must be noticed and a new connection must bring what was missed.
-func TestASilentConnectionIsReplaced(t *testing.T) {
+// Failure: a middlebox drops the state of a connection between two entries. The
+// connection stays open, delivers nothing, and routes stay closed. Each of three kinds
+// of loss must be detected, and a new connection must deliver the missed announcements.
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		lose func(*lossy)
@@ -209,14 +209,14 @@
 	}
 }
 
-// A leader counts a peer as a witness though it is gone.
-func TestAPeerThatIsGoneIsNoWitness(t *testing.T) {
+// Failure: a leader counts a stopped peer among the peers with a recent digest.
+func TestStoppedPeerHasNoRecentDigest(t *testing.T) {
 	list := startProcesses(t, 2)
-	list[0].await(t, "witnesses", hasRecentDigest("n1"))
-	list[1].await(t, "witnesses", hasRecentDigest("n0"))
+	list[0].await(t, "a recent digest of n1", hasRecentDigest("n1"))
+	list[1].await(t, "a recent digest of n0", hasRecentDigest("n0"))
 	list[0].cancel()
 	<-list[0].done
-	list[1].await(t, "no witness", not(hasRecentDigest("n0")))
+	list[1].await(t, "no recent digest of n0", not(hasRecentDigest("n0")))
 }
 
 func upgrade(t *testing.T, p *process, change func(http.Header)) (net.Conn, *http.Response) {
@@ -237,9 +237,9 @@
 	return conn, reply
 }
 
-// Evidence must not come from, nor go to, whoever reaches the listener, or be
-// taken for that of another entry.
-func TestTheUpgradeIsChecked(t *testing.T) {
+// The upgrade must refuse unauthenticated clients, unknown entries and requests meant
+// for another entry, so that no evidence is attributed to the wrong entry.
+func TestUpgradeIsValidated(t *testing.T) {
 	p := startProcesses(t, 2)[1]
 	for _, c := range []struct {
 		name   string
@@ -261,8 +261,8 @@
 	}
 }
 
-// A peer that sends junk loses its connection, and nothing else breaks.
-func TestABadFrameClosesTheConnection(t *testing.T) {
+// An invalid frame must close its connection and leave all others open.
+func TestInvalidFrameClosesTheConnection(t *testing.T) {
 	p := startProcesses(t, 2)[1]
 	for _, bytes := range [][]byte{
 		{3, 0xff, 0xff, 0xff},
@@ -280,10 +280,10 @@
 		timeout, ok := errors.Cause(err).(net.Error)
 		assert.Assert(t, !ok || !timeout.Timeout(), "%v", err)
 	}
-	p.await(t, "the good peer", hasRecentDigest("n0"))
+	p.await(t, "a recent digest of the valid peer", hasRecentDigest("n0"))
 }
 
-func TestAFrameOverTheLimitIsNotRead(t *testing.T) {
+func TestFrameOverTheLimitIsNotRead(t *testing.T) {
 	client, server := net.Pipe()
 	defer func() { _, _ = client.Close(), server.Close() }()
 	go func() { _, _ = client.Write(binary.AppendUvarint(nil, wire.MaxFrame+1)) }()
--- a/internal/hearing/hearing.go
+++ b/internal/hearing/hearing.go
@@ -1,5 +1,5 @@
-// Package hearing takes the announcements of backend servers and exchanges
-// what was heard with the other entries.
+// Package hearing receives the announcements of backend servers and exchanges them
+// with the other entries.
 package hearing
 
 import (
@@ -19,35 +19,37 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// maxColdMillis bounds for how long a backend server may say that it is cold: one hour.
+// maxColdMillis bounds the slow-start period that a backend server may announce: one hour.
 const maxColdMillis = 60 * 60 * 1000
 
-// maxAnnouncementBytes bounds what a backend server may send at once, in bytes.
+// maxAnnouncementBytes bounds the body of one announcement.
 const maxAnnouncementBytes = 64 << 10
 
-// Options are what a Hearing is made of.
+// Options configures a Hearing.
 type Options struct {
 	// Self is the entry's id.
 	Self string
 	// Board returns the newest board.
 	Board func() *blackboard.Board
-	// Lease returns how long this process may go on serving.
+	// Lease returns the remaining time of this process's configuration lease; 0 or
+	// less if the lease has expired.
 	Lease func() time.Duration
 	// Dial connects to another entry.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// PeerToken is the bearer token between our processes.
+	// PeerToken is the bearer token for calls between the system's processes.
 	PeerToken string
-	// AnnounceToken is the token that backend servers announce with; empty
-	// accepts any.
+	// AnnounceToken is the bearer token that announcements must carry; empty
+	// accepts any request.
 	AnnounceToken string
 	Logger        log.Logger
-	// Interval is the time between two announcements of a backend server; 0 is
+	// Interval is the time between two announcements of a backend server; 0 means
 	// evidence.AnnounceInterval.
 	Interval time.Duration
-	// OnChange is called when an announcement taken by Announce says something
-	// new of a group; nil if nobody needs to know.
+	// OnChange, if not nil, is called when an announcement passed to Announce
+	// changes what is known of a group.
 	OnChange func()
-	// OnAnnouncement is called with each announcement heard here.
+	// OnAnnouncement, if not nil, is called with each announcement that reaches
+	// this process directly.
 	OnAnnouncement func(backend.Announcement)
 }
 
@@ -63,7 +65,7 @@
 	limiter  *announceLimiter
 }
 
-// New returns a Hearing that has heard nothing.
+// New returns a Hearing with an empty table.
 func New(o Options) *Hearing {
 	run := uint64(time.Now().UnixNano())
 	h := &Hearing{o: o, table: evidence.NewTable(o.Self, run), limiter: newAnnounceLimiter()}
@@ -74,14 +76,14 @@
 	return h
 }
 
-// With calls f with the table; no one else changes it meanwhile.
+// With calls f with the table while holding its lock. f must not keep the table.
 func (h *Hearing) With(f func(*evidence.Table)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(h.table)
 }
 
-// ServeHTTP takes one announcement.
+// ServeHTTP receives one announcement of a backend server.
 func (h *Hearing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !auth.Allowed(r.Header, h.o.AnnounceToken) {
 		failure.Write(w, failure.New(failure.TypeUnauthenticated, "the announce token is needed"))
@@ -107,24 +109,25 @@
 	}
 	h.record(a)
 	w.Header().Set("Content-Type", "application/json")
-	// A backend server that is gone announces again elsewhere.
+	// A backend server that does not get this answer announces to another entry.
 	_ = json.NewEncoder(w).Encode(backend.AnnounceReply{
 		IntervalMillis: h.interval().Milliseconds(),
 		Entries:        h.entryAddresses(),
 	})
 }
 
-// cutOff sends a backend server to another entry.
+// cutOffError returns the refusal that makes a backend server announce to another
+// entry.
 //
-// Failure: an entry is cut off from the other processes, and an engine goes on
-// announcing itself to it alone; all others take the engine for dead. Refused,
-// it announces itself to another entry at once.
+// Failure: an entry is partitioned from the other processes while an engine
+// announces itself to that entry only; all other processes consider the engine
+// dead. A refused engine announces itself to another entry at once.
 func cutOffError() *failure.Error {
 	return failure.New(failure.TypeConfigurationStale, "this entry has lost the control processes; announce to another")
 }
 
-// check refuses what can't be used. What it can't check is whether the sender
-// is who it says: docs/backend-protocol.md tells what that means.
+// validate refuses malformed announcements. It can't check the identity of the
+// sender; docs/backend-protocol.md describes the consequences.
 func validate(a backend.Announcement) *failure.Error {
 	if a.ID == "" || a.Incarnation == "" || a.Address == "" {
 		return failure.New(failure.TypeBadRequest, "an announcement needs id, incarnation and address")
@@ -141,7 +144,8 @@
 	return nil
 }
 
-// Announce takes an announcement that an adapter has decoded.
+// Announce receives an announcement that an adapter has decoded. While announcements
+// are spread over several processes, it pushes a change of a group to the peers at once.
 func (h *Hearing) Announce(a backend.Announcement) *failure.Error {
 	if h.o.Lease() <= 0 {
 		return cutOffError()
@@ -160,8 +164,8 @@
 	return nil
 }
 
-// news tells whether an announcement differs from what was known in a way that
-// the controllers wait for.
+// changesGroup reports whether an announcement changes a state that the controllers
+// wait for, such as its group, epoch or phase.
 func (h *Hearing) changesGroup(a backend.Announcement) (changed bool) {
 	h.With(func(t *evidence.Table) {
 		r, known := t.Get(a.ID)
@@ -174,8 +178,8 @@
 	return changed
 }
 
-// Left takes the goodbye of a backend server that an adapter has decoded; is tells
-// which incarnations it speaks for.
+// Left records that a backend server has announced its departure, as decoded by an
+// adapter. is reports whether the departure applies to an incarnation.
 func (h *Hearing) Left(is func(incarnation string) bool) *failure.Error {
 	if h.o.Lease() <= 0 {
 		return cutOffError()
@@ -183,7 +187,7 @@
 	known := false
 	h.With(func(t *evidence.Table) { known = t.Left(time.Now(), h.o.Self, is) })
 	if !known {
-		return failure.New(failure.TypeUnavailable, "the backend server has not been heard here; tell another process")
+		return failure.New(failure.TypeUnavailable, "no announcement of this backend server has arrived here; notify another process")
 	}
 	return nil
 }
@@ -210,8 +214,8 @@
 	return list
 }
 
-// Run exchanges what was heard with the other entries until the context ends.
-// All its connections have ended when it returns.
+// Run exchanges evidence with the other entries until the context ends. All
+// connections have ended when it returns.
 func (h *Hearing) Run(ctx context.Context) {
 	h.exchange.start(ctx)
 	defer h.exchange.stop()
@@ -228,7 +232,8 @@
 	}
 }
 
-// tickTable keeps the table's clock going on a process without peers.
+// tickTable makes the table observe the current time. Without it, a process without
+// peers would not call the table and would appear to have been paused.
 func (h *Hearing) tickTable() {
 	h.With(func(t *evidence.Table) { t.Digest(time.Now(), evidence.Cursor{}) })
 }
--- a/internal/hearing/limiter.go
+++ b/internal/hearing/limiter.go
@@ -9,24 +9,24 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// Limits of how often backend servers may announce themselves.
+// Rate limits of announcements.
 const (
-	// minGap is the least time between two announcements of one backend
-	// server: an eighth of the interval that entries ask for.
+	// minGap is the minimum time between two announcements of one backend
+	// server: an eighth of the interval that entries request.
 	minGap = 50 * time.Millisecond
-	// maxPerSecond is what one entry takes a second of all backend
-	// servers. Seven hundred runners that all found this one entry would send
-	// 1,800.
+	// maxPerSecond is the number of announcements that one entry accepts per second
+	// from all backend servers. If all of 700 runners announced to one entry, they
+	// would send 1,800.
 	maxPerSecond = 4000
-	// maxTracked bounds the backend servers whose last announcement is kept.
+	// maxTracked bounds the backend servers whose last announcement time is kept.
 	maxTracked = 8192
 )
 
-// pace bounds the work that announcements make.
+// announceLimiter bounds the work that announcements cause.
 //
-// Failure: a backend server announces in a loop without a pause, after a bad
-// change to its agent, and the entry that it found spends its processor on it.
-// Each one is slowed by itself, so the others are still heard.
+// Failure: after a faulty change to its agent, a backend server announces in a loop
+// without a pause and takes all of an entry's processor time. Each backend server is
+// limited separately, so the entry still receives the announcements of the others.
 type announceLimiter struct {
 	mu   sync.Mutex
 	all  *rate.Limiter
@@ -37,12 +37,12 @@
 	return &announceLimiter{all: rate.NewLimiter(maxPerSecond, maxPerSecond), last: make(map[string]time.Time)}
 }
 
-// allow tells whether a backend server may announce now.
+// allow returns nil if a backend server may announce now, otherwise the refusal.
 func (p *announceLimiter) allow(now time.Time, id string) *failure.Error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.last[id]) < minGap || !p.all.AllowN(now, 1) {
-		return failure.New(failure.TypeOverloaded, "announcements come too fast").WithRetryAfter(time.Second)
+		return failure.New(failure.TypeOverloaded, "too many announcements").WithRetryAfter(time.Second)
 	}
 	if len(p.last) >= maxTracked {
 		p.pruneExpired(now)
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// pruneExpired forgets those that may announce again anyway. While that leaves too
-// many, names are being made up, and the limit on all holds.
+// pruneExpired drops backend servers whose minGap has passed. If too many remain,
+// somebody is inventing ids, and the limit on the total rate still applies.
 func (p *announceLimiter) pruneExpired(now time.Time) {
 	for id, at := range p.last {
 		if now.Sub(at) >= minGap {
--- a/internal/hearing/measure_test.go
+++ b/internal/hearing/measure_test.go
@@ -14,13 +14,13 @@
 var (
 	measureFlag = flag.Bool("measure", false, "measure the exchange for longer and print the figures")
 	entriesFlag = flag.Int("entries", 9, "number of entries that TestTraffic measures")
-	loadFlag    = flag.Bool("load", false, "let every announcement bring another load")
+	loadFlag    = flag.Bool("load", false, "change the load in every announcement")
 	vmsFlag     = flag.Int("vms", 50, "number of VMs that TestTraffic measures")
 )
 
-// TestTraffic measures what an entry reads and writes for the exchange, and the
-// processor time of all of it in this one process, while every VM announces
-// itself each evidence.AnnounceInterval to one of the entries.
+// TestTraffic measures the bytes that an entry reads and writes for the exchange, and
+// the processor time. All entries run in this process. Every VM announces itself to one
+// of the entries each evidence.AnnounceInterval.
 func TestTraffic(t *testing.T) {
 	entries, vms, span := 3, 4, 2*evidence.AnnounceInterval
 	if *measureFlag {
@@ -48,10 +48,11 @@
 	seconds := time.Since(began).Seconds()
 	bytes := float64(total(list)-before) / seconds / float64(entries)
 	spent := (processor() - cpu).Seconds() / seconds / float64(entries)
-	t.Logf("%d entries, %d VMs: an entry reads %.2f KB/s and writes as much; %.2f%% of a core an entry", entries, vms, bytes/1000, spent*100)
+	t.Logf("%d entries, %d VMs: each entry reads and writes %.2f KB/s and uses %.2f%% of a core", entries, vms, bytes/1000, spent*100)
 }
 
-// loadOf returns no load, or one that differs from that of the sequence before.
+// loadOf returns nil without -load, otherwise a load that differs from the load at the
+// previous sequence.
 func loadOf(vm int, sequence uint64) *backend.Load {
 	if !*loadFlag {
 		return nil
@@ -63,8 +64,8 @@
 	}
 }
 
-// total returns the bytes read by all processes; each one passed a dialler's
-// connection once.
+// total returns the bytes that all processes have read. Each byte passes the connection
+// of one dialler, which counts its reads and writes.
 func total(list []*process) int64 {
 	sum := int64(0)
 	for _, p := range list {
--- a/internal/hearing/receivers.go
+++ b/internal/hearing/receivers.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// maxAtLeader is how many backend servers announce themselves to the leader alone,
-	// which acts on their word: 1,250 announcements a second at 1,500, about a third of
-	// a small control VM's processor and of its descriptors.
+	// maxAtLeader is the largest number of backend servers that all announce themselves
+	// to the leader, which acts on announcements. 1,500 servers send 1,250 announcements
+	// a second, which take about a third of a small control VM's processor and of its
+	// file descriptors.
 	maxAtLeader = 1500
-	// returnToLeader is when they go back to the leader, so that one VM more or less moves
-	// nobody.
+	// returnToLeader is the number of backend servers at or below which all announce to the
+	// leader again. The distance from maxAtLeader keeps a change of one VM from moving them.
 	returnToLeader = 1200
-	// receiversAge is how long the list of processes that take announcements is kept.
+	// receiversAge is the maximum age of the list of announcement receivers.
 	receiversAge = 200 * time.Millisecond
-	// pushGap is the least time between two frames to a peer: news of hundreds of
-	// backend servers within a second goes in some frames.
+	// pushGap is the delay before a pushed frame. It combines the changes of hundreds of
+	// backend servers within a second into a few frames.
 	pushGap = 25 * time.Millisecond
 )
 
-// homes are the processes that backend servers announce themselves to.
+// receiverList holds the processes that backend servers announce themselves to.
 type receiverList struct {
 	refreshedAt time.Time
-	// spread says that there are too many for the leader alone.
+	// isSpread is set when the leader alone can't receive all announcements.
 	isSpread bool
 	entries  []blackboard.Entry
 }
 
 // Home returns the peer address of the process that a backend server should announce
-// itself to; leader is that of the one that leads, "" if none is known.
+// itself to. leader is the peer address of the current leader, "" if none is known.
 //
-// Load: thousands of backend servers announce themselves each second. Harm where all go
-// to the leader: it has neither the processor nor the descriptors for them beside its
-// orders and watches. Past maxAtLeader they are divided among all processes that take announcements
-// and were heard within the last second, but for the leader, which has the orders and the
-// watches; each by the rendezvous hash of its id, so that one that is lost moves its own part
-// alone. What they hear goes to the others at once, see push.
+// Load: thousands of backend servers announce themselves each second. The leader lacks the
+// processor time and the file descriptors to receive them all beside its orders and watches.
+// Above maxAtLeader they are divided among the receiving processes other than the leader
+// whose last digest is at most evidence.WitnessAge old. Rendezvous hashing of the server id
+// assigns them, so the loss of a process moves only the servers assigned to it. The
+// receiving process pushes their announcements to its peers at once, see exchange.push.
 func (h *Hearing) Home(id, leader string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,7 +57,7 @@
 	return leader
 }
 
-// refreshReceivers renews the list. The lock is held.
+// refreshReceivers rebuilds the receiver list. The caller must hold h.mu.
 func (h *Hearing) refreshReceivers(now time.Time) {
 	h.receivers.refreshedAt = now
 	known := h.table.Known()
@@ -69,8 +70,8 @@
 	}
 }
 
-// rendezvous returns the entry of the greatest weight for an id, leaving out that of an
-// address; false if there is no other.
+// rendezvous returns the entry with the greatest rendezvous weight for an id. It leaves
+// out the entry whose peer address is except, and returns false if no other is left.
 func rendezvous(entries []blackboard.Entry, id, except string) (best blackboard.Entry, found bool) {
 	var most uint64
 	for _, e := range entries {
@@ -88,7 +89,8 @@
 	return best, found
 }
 
-// mix spreads the bits of a hash, whose last bytes otherwise decide little.
+// mix is a 64-bit finaliser. Without it, the last bytes that FNV hashes would hardly
+// affect the order of the weights.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -97,7 +99,7 @@
 	return h ^ h>>33
 }
 
-// spreading tells whether announcements are divided among several processes.
+// isSpread reports whether announcements are divided among several processes.
 func (h *Hearing) isSpread() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/hearing/receivers_test.go
+++ b/internal/hearing/receivers_test.go
@@ -13,8 +13,8 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// controlVM returns a process that takes announcements beside four others and a hundred that
-// do not, and has heard so many backend servers.
+// controlVM returns a process that receives announcements, as do four others of the 105
+// entries on its board. Its table holds the given number of backend servers.
 func controlVM(servers int) *Hearing {
 	board := blackboard.New()
 	for n := range 5 {
@@ -41,7 +41,7 @@
 	return h
 }
 
-// countReceivers counts where so many backend servers are sent.
+// countReceivers returns how many of the backend servers Home assigns to each address.
 func countReceivers(h *Hearing, servers int) map[string]int {
 	count := make(map[string]int)
 	for n := range servers {
@@ -50,16 +50,17 @@
 	return count
 }
 
-// On a pool of some hundreds the leader acts on each word at once, so all must go to it.
-func TestFewBackendServersAnnounceThemselvesToTheLeader(t *testing.T) {
+// In a pool of some hundred backend servers the leader acts on each announcement at once,
+// so all must be assigned to the leader.
+func TestFewBackendServersAnnounceToTheLeader(t *testing.T) {
 	assert.DeepEqual(t, countReceivers(controlVM(maxAtLeader), maxAtLeader), map[string]int{"core-3": maxAtLeader})
 }
 
-// 3,000 backend servers announce themselves 2,500 times a second, each on a connection of its
-// own. One control VM had neither the processor nor the descriptors for all of them, and the
-// leader's is needed for orders. They must be divided evenly among the others that take
-// announcements; one that falls silent loses its part, and nobody else is moved.
-func TestManyBackendServersAreDivided(t *testing.T) {
+// 3,000 backend servers send 2,500 announcements a second, each server on its own
+// connection. One control VM lacks the processor time and file descriptors for all of them,
+// and the leader needs its own for orders. The servers must be divided evenly among the
+// other receivers. When a receiver falls silent, only the servers assigned to it move.
+func TestManyBackendServersAreSpreadOverReceivers(t *testing.T) {
 	const servers = 3000
 	h := controlVM(servers)
 	assert.Assert(t, h.Home("vm-0", "core-3") != "core-3")
@@ -74,8 +75,8 @@
 	homes := countReceivers(h, servers)
 	assert.Equal(t, len(homes), 4)
 	for home, n := range homes {
-		assert.Assert(t, home != "core-3", "the leader takes %d", n)
-		assert.Assert(t, n > servers/4*8/10 && n < servers/4*12/10, "%s takes %d", home, n)
+		assert.Assert(t, home != "core-3", "the leader receives %d", n)
+		assert.Assert(t, n > servers/4*8/10 && n < servers/4*12/10, "%s receives %d", home, n)
 	}
 
 	h.With(func(t *evidence.Table) {
