--- a/internal/evidence/query.go
+++ b/internal/evidence/query.go
@@ -41,7 +41,7 @@
 			all = append(all, r.report)
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return before(all[i].Heard, all[j].Heard) })
+	sort.Slice(all, func(i, j int) bool { return sortsBefore(all[i].Heard, all[j].Heard) })
 	return all
 }
 
@@ -70,7 +70,7 @@
 // included.
 func (t *Table) Witnesses(now time.Time, maxAge time.Duration) int {
 	n := 0
-	for _, at := range t.sources {
+	for _, at := range t.digestTimes {
 		if now.Sub(at) <= maxAge {
 			n++
 		}
@@ -80,7 +80,7 @@
 
 // Witness tells whether one process gave a digest within maxAge.
 func (t *Table) Witness(now time.Time, source string, maxAge time.Duration) bool {
-	at, ok := t.sources[source]
+	at, ok := t.digestTimes[source]
 	return ok && now.Sub(at) <= maxAge
 }
 
@@ -123,14 +123,14 @@
 		return false, "group is " + string(g.State)
 	}
 	for _, m := range g.Members {
-		if reason := t.memberFault(now, board, g, m); reason != "" {
+		if reason := t.unroutableReason(now, board, g, m); reason != "" {
 			return false, "member " + m.VM + " " + reason
 		}
 	}
 	return true, ""
 }
 
-func (t *Table) memberFault(now time.Time, board *blackboard.Board, g blackboard.Group, m blackboard.GroupMember) string {
+func (t *Table) unroutableReason(now time.Time, board *blackboard.Board, g blackboard.Group, m blackboard.GroupMember) string {
 	if !t.Fresh(now, m.VM, m.Incarnation, g.ID, g.Epoch, t.RoutableAge()) {
 		return "has no fresh evidence in this epoch"
 	}
@@ -155,7 +155,7 @@
 		slices.Equal(d.Weights, o.Weights)
 }
 
-func before(a, b Heard) bool {
+func sortsBefore(a, b Heard) bool {
 	if a.Kind != b.Kind {
 		return a.Kind < b.Kind
 	}
@@ -163,5 +163,5 @@
 }
 
 func sortDigest(digest []Heard) {
-	sort.Slice(digest, func(i, j int) bool { return before(digest[i], digest[j]) })
+	sort.Slice(digest, func(i, j int) bool { return sortsBefore(digest[i], digest[j]) })
 }
--- a/internal/evidence/table.go
+++ b/internal/evidence/table.go
@@ -42,22 +42,22 @@
 	// pauseGap is the gap between two calls that shows that this process was
 	// stopped, as no running process lets ObserveInterval pass five times.
 	pauseGap = 1 * time.Second
-	// wakeSettle is how long after such a gap direct announcements are not
+	// resumeSettle is how long after such a gap direct announcements are not
 	// taken as fresh.
-	wakeSettle = 1 * time.Second
-	// comeBack is how long the present incarnation must be silent before a
+	resumeSettle = 1 * time.Second
+	// retiredSilence is how long the present incarnation must be silent before a
 	// retired one is believed again.
-	comeBack = 3 * time.Second
+	retiredSilence = 3 * time.Second
 	// maxRetired bounds the incarnations remembered for one backend server.
 	maxRetired = 4
 	// maxRecords bounds the backend servers known at once, over ten times the
 	// 710 runners of the target size, so that names made up by whoever may
 	// announce don't fill the memory.
 	maxRecords = 8192
-	// recordLife is how long a silent backend server is kept, and pruneEvery how
+	// recordTTL is how long a silent backend server is kept, and pruneInterval how
 	// often this is looked after.
-	recordLife = time.Hour
-	pruneEvery = time.Minute
+	recordTTL     = time.Hour
+	pruneInterval = time.Minute
 	// gapWeight is the weight of the newest interval in Report.Gap.
 	gapWeight = 0.2
 )
@@ -128,13 +128,13 @@
 type record struct {
 	report Report
 	// retired maps each earlier incarnation to its last sequence.
-	retired map[string]uint64
-	order   []string
-	// heardNumber and detailNumber are the numbers of the last direct
+	retired      map[string]uint64
+	retiredOrder []string
+	// receivedNumber and detailNumber are the numbers of the last direct
 	// announcement and of the last change of detail.
-	heardNumber   uint64
-	detailNumber  uint64
-	detailChanged bool
+	receivedNumber uint64
+	detailNumber   uint64
+	detailChanged  bool
 }
 
 // Cursor says up to where a peer has a table's digests. The zero Cursor has
@@ -151,20 +151,20 @@
 	// interval is the time between two announcements of a backend server.
 	interval time.Duration
 	// at numbers the direct announcements of this run.
-	at       Cursor
-	records  map[key]*record
-	sources  map[string]time.Time
-	lastCall time.Time
-	pruned   time.Time
+	cursor      Cursor
+	records     map[key]*record
+	digestTimes map[string]time.Time
+	lastCall    time.Time
+	prunedAt    time.Time
 	// distrustUntil is set when the process wakes from a stop.
-	distrustUntil time.Time
-	beforePause   time.Time
+	distrustUntil       time.Time
+	lastCallBeforePause time.Time
 }
 
 // NewTable returns an empty table of the process whose entry id is self. run
 // differs for each start of that process.
 func NewTable(self string, run uint64) *Table {
-	return &Table{self: self, interval: AnnounceInterval, at: Cursor{Run: run}, records: make(map[key]*record), sources: make(map[string]time.Time)}
+	return &Table{self: self, interval: AnnounceInterval, cursor: Cursor{Run: run}, records: make(map[key]*record), digestTimes: make(map[string]time.Time)}
 }
 
 // SetInterval states the time between two announcements of a backend server
@@ -189,22 +189,22 @@
 		}
 		h := r.report.Heard
 		h.Leaving = true
-		h.Sequence += goodbyeStep
+		h.Sequence += departureStep
 		h.Detail = r.report.Known
-		if r.report.Leaving && r.report.Sequence >= goodbyeStep {
+		if r.report.Leaving && r.report.Sequence >= departureStep {
 			return true
 		}
 		r.advance(now, source, h)
-		t.at.Number++
-		r.heardNumber = t.at.Number
+		t.cursor.Number++
+		r.receivedNumber = t.cursor.Number
 		return true
 	}
 	return false
 }
 
-// goodbyeStep is the distance of a goodbye's sequence from the last one: more
+// departureStep is the distance of a goodbye's sequence from the last one: more
 // announcements than a process makes in a year.
-const goodbyeStep = 1 << 32
+const departureStep = 1 << 32
 
 // observe notices that the process was stopped between two calls.
 //
@@ -212,11 +212,11 @@
 // member's last announcements wait in the entry's socket; read on waking, they
 // would make the dead member look alive for RoutableAge. The guard dates
 // direct announcements to before the stop until the sockets have been read
-// empty, which takes far less than wakeSettle.
+// empty, which takes far less than resumeSettle.
 func (t *Table) observe(now time.Time) {
 	if !t.lastCall.IsZero() && now.Sub(t.lastCall) > pauseGap {
-		t.distrustUntil = now.Add(wakeSettle)
-		t.beforePause = t.lastCall
+		t.distrustUntil = now.Add(resumeSettle)
+		t.lastCallBeforePause = t.lastCall
 	}
 	if now.After(t.lastCall) {
 		t.lastCall = now
@@ -228,7 +228,7 @@
 	t.observe(now)
 	heardAt := now
 	if now.Before(t.distrustUntil) {
-		heardAt = t.beforePause
+		heardAt = t.lastCallBeforePause
 	}
 	h := Heard{
 		Kind: a.Kind, ID: a.ID, Incarnation: a.Incarnation, StartedMillis: a.StartedMillis, Sequence: a.Sequence,
@@ -239,15 +239,15 @@
 			Service: a.Service, Accelerators: a.Accelerators, Model: a.Model, Weights: a.Weights,
 		},
 	}
-	r := t.take(heardAt, source, h)
+	r := t.apply(heardAt, source, h)
 	if r == nil {
 		return
 	}
-	t.at.Number++
-	r.heardNumber = t.at.Number
+	t.cursor.Number++
+	r.receivedNumber = t.cursor.Number
 	if r.detailChanged {
 		r.detailChanged = false
-		r.detailNumber = t.at.Number
+		r.detailNumber = t.cursor.Number
 	}
 }
 
@@ -260,14 +260,14 @@
 // however long the answer took, so dating it from asked never makes it fresher
 // than it is.
 func (t *Table) Merge(asked time.Time, source string, digest []Heard) {
-	if asked.After(t.sources[source]) {
-		t.sources[source] = asked
+	if asked.After(t.digestTimes[source]) {
+		t.digestTimes[source] = asked
 	}
 	for _, h := range digest {
 		if h.AgeMillis < 0 {
 			continue
 		}
-		t.take(asked.Add(-time.Duration(h.AgeMillis)*time.Millisecond), source, h)
+		t.apply(asked.Add(-time.Duration(h.AgeMillis)*time.Millisecond), source, h)
 	}
 }
 
@@ -276,40 +276,40 @@
 // cursor and misses nothing. Digest also counts this process as a witness.
 func (t *Table) Digest(now time.Time, after Cursor) ([]Heard, Cursor) {
 	t.observe(now)
-	t.sources[t.self] = now
+	t.digestTimes[t.self] = now
 	t.prune(now)
-	if after.Run != t.at.Run {
+	if after.Run != t.cursor.Run {
 		after = Cursor{}
 	}
 	var digest []Heard
 	for _, r := range t.records {
-		if r.heardNumber > after.Number {
-			digest = append(digest, r.line(now, after))
+		if r.receivedNumber > after.Number {
+			digest = append(digest, r.digestLine(now, after))
 		}
 	}
 	sortDigest(digest)
-	return digest, t.at
+	return digest, t.cursor
 }
 
-// prune drops what has been silent for recordLife.
+// prune drops what has been silent for recordTTL.
 func (t *Table) prune(now time.Time) {
-	if now.Sub(t.pruned) < pruneEvery {
+	if now.Sub(t.prunedAt) < pruneInterval {
 		return
 	}
-	t.pruned = now
+	t.prunedAt = now
 	for k, r := range t.records {
-		if now.Sub(r.report.HeardAt) > recordLife {
+		if now.Sub(r.report.HeardAt) > recordTTL {
 			delete(t.records, k)
 		}
 	}
-	for id, at := range t.sources {
-		if now.Sub(at) > recordLife {
-			delete(t.sources, id)
+	for id, at := range t.digestTimes {
+		if now.Sub(at) > recordTTL {
+			delete(t.digestTimes, id)
 		}
 	}
 }
 
-func (r *record) line(now time.Time, after Cursor) Heard {
+func (r *record) digestLine(now time.Time, after Cursor) Heard {
 	h := r.report.Heard
 	h.AgeMillis = now.Sub(r.report.HeardAt).Milliseconds()
 	h.Detail = nil
@@ -321,7 +321,7 @@
 
 // take records one line and returns its record, or nil when it is older than
 // what is known.
-func (t *Table) take(heardAt time.Time, source string, h Heard) *record {
+func (t *Table) apply(heardAt time.Time, source string, h Heard) *record {
 	k := key{h.Kind, h.ID}
 	r, known := t.records[k]
 	if !known && len(t.records) >= maxRecords {
@@ -330,7 +330,7 @@
 	if !known {
 		r = &record{retired: make(map[string]uint64)}
 		t.records[k] = r
-		r.start(heardAt, source, h, t.interval)
+		r.reset(heardAt, source, h, t.interval)
 		return r
 	}
 	if r.report.Incarnation == h.Incarnation {
@@ -340,11 +340,11 @@
 		r.advance(heardAt, source, h)
 		return r
 	}
-	if !r.succeeds(heardAt, h) {
+	if !r.isReplacedBy(heardAt, h) {
 		return nil
 	}
 	r.retire()
-	r.start(heardAt, source, h, t.interval)
+	r.reset(heardAt, source, h, t.interval)
 	return r
 }
 
@@ -357,13 +357,13 @@
 // one, however late the other's announcement arrives. Elsewhere a retired
 // incarnation is believed only when it goes on announcing while the present one is
 // silent, and an unknown one only when it was heard after the present one.
-func (r *record) succeeds(heardAt time.Time, h Heard) bool {
+func (r *record) isReplacedBy(heardAt time.Time, h Heard) bool {
 	if h.StartedMillis != r.report.StartedMillis {
 		return h.StartedMillis > r.report.StartedMillis
 	}
 	last, retired := r.retired[h.Incarnation]
 	if retired {
-		return h.Sequence > last && heardAt.Sub(r.report.HeardAt) > comeBack
+		return h.Sequence > last && heardAt.Sub(r.report.HeardAt) > retiredSilence
 	}
 	return heardAt.After(r.report.HeardAt)
 }
@@ -371,21 +371,21 @@
 func (r *record) retire() {
 	id := r.report.Incarnation
 	if _, ok := r.retired[id]; !ok {
-		r.order = append(r.order, id)
+		r.retiredOrder = append(r.retiredOrder, id)
 	}
 	r.retired[id] = r.report.Sequence
-	for len(r.order) > maxRetired {
-		delete(r.retired, r.order[0])
-		r.order = r.order[1:]
+	for len(r.retiredOrder) > maxRetired {
+		delete(r.retired, r.retiredOrder[0])
+		r.retiredOrder = r.retiredOrder[1:]
 	}
 }
 
-func (r *record) start(heardAt time.Time, source string, h Heard, interval time.Duration) {
+func (r *record) reset(heardAt time.Time, source string, h Heard, interval time.Duration) {
 	r.report = Report{
 		Heard: h, HeardAt: heardAt, Source: source,
 		FirstHeard: heardAt, FirstSequence: h.Sequence, Gap: interval,
 	}
-	r.learn(h.Detail)
+	r.updateDetail(h.Detail)
 }
 
 func (r *record) advance(heardAt time.Time, source string, h Heard) {
@@ -399,10 +399,10 @@
 	if heardAt.After(r.report.HeardAt) {
 		r.report.HeardAt = heardAt
 	}
-	r.learn(h.Detail)
+	r.updateDetail(h.Detail)
 }
 
-func (r *record) learn(d *Detail) {
+func (r *record) updateDetail(d *Detail) {
 	if d == nil {
 		return
 	}
--- a/internal/evidence/table_test.go
+++ b/internal/evidence/table_test.go
@@ -15,7 +15,7 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func said(incarnation string, sequence uint64) backend.Announcement {
+func announcement(incarnation string, sequence uint64) backend.Announcement {
 	return backend.Announcement{
 		ID: "vm", Kind: backend.KindEngine, Incarnation: incarnation, Sequence: sequence,
 		Group: "demo-0", Epoch: 7, Phase: backend.PhaseReady, Address: "10.0.0.1:1",
@@ -25,13 +25,13 @@
 // tick calls the table as a running process does, so that it sees no stop.
 func tick(t *Table, from, to int) {
 	for ms := from; ms <= to; ms += 200 {
-		t.Digest(at(ms), t.at)
+		t.Digest(at(ms), t.cursor)
 	}
 }
 
 func TestFreshAsksForIncarnationGroupEpochAndAge(t *testing.T) {
 	table := NewTable("a", 1)
-	table.Hear(at(0), "a", said("x", 1))
+	table.Hear(at(0), "a", announcement("x", 1))
 	now := at(1200)
 	assert.Assert(t, table.Fresh(now, "vm", "x", "demo-0", 7, RoutableAge))
 	assert.Assert(t, !table.Fresh(at(1201), "vm", "x", "demo-0", 7, RoutableAge), "too old")
@@ -45,7 +45,7 @@
 // and looked fresh on arrival; dated from when it was asked for, it is old.
 func TestAHeldUpDigestIsOld(t *testing.T) {
 	sender, receiver := NewTable("a", 1), NewTable("b", 1)
-	sender.Hear(at(0), "a", said("x", 1))
+	sender.Hear(at(0), "a", announcement("x", 1))
 	digest, _ := sender.Digest(at(100), Cursor{})
 	asked, arrived := at(90), at(10_000)
 	receiver.Merge(asked, "a", digest)
@@ -61,11 +61,11 @@
 func TestAnnouncementsReadOnWakingAreNotFresh(t *testing.T) {
 	table := NewTable("a", 1)
 	tick(table, 0, 1000)
-	table.Hear(at(1000), "a", said("x", 1))
-	table.Hear(at(11_000), "a", said("x", 2))
+	table.Hear(at(1000), "a", announcement("x", 1))
+	table.Hear(at(11_000), "a", announcement("x", 2))
 	assert.Assert(t, !table.Fresh(at(11_000), "vm", "x", "demo-0", 7, RoutableAge))
 	tick(table, 11_000, 12_000)
-	table.Hear(at(12_100), "a", said("x", 3))
+	table.Hear(at(12_100), "a", announcement("x", 3))
 	assert.Assert(t, table.Fresh(at(12_100), "vm", "x", "demo-0", 7, RoutableAge))
 }
 
@@ -73,24 +73,24 @@
 // arrives late, and flips back and forth.
 func TestALateCopyDoesNotBringAnIncarnationBack(t *testing.T) {
 	table := NewTable("a", 1)
-	table.Hear(at(0), "a", said("old", 5))
-	table.Hear(at(400), "a", said("new", 1))
-	table.Hear(at(800), "a", said("old", 6))
+	table.Hear(at(0), "a", announcement("old", 5))
+	table.Hear(at(400), "a", announcement("new", 1))
+	table.Hear(at(800), "a", announcement("old", 6))
 	r, _ := table.Get("vm")
 	assert.Equal(t, r.Incarnation, "new")
 	table.Merge(at(900), "b", []Heard{{Kind: backend.KindEngine, ID: "vm", Incarnation: "older", Sequence: 9, AgeMillis: 600}})
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "new", "heard before the present one")
 	tick(table, 800, 4000)
-	table.Hear(at(4000), "a", said("old", 7))
+	table.Hear(at(4000), "a", announcement("old", 7))
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "old", "it goes on while the other is silent")
 }
 
 func TestAnOlderSequenceChangesNothing(t *testing.T) {
 	table := NewTable("a", 1)
-	table.Hear(at(0), "a", said("x", 5))
-	late := said("x", 4)
+	table.Hear(at(0), "a", announcement("x", 5))
+	late := announcement("x", 4)
 	late.Phase = backend.PhaseIdle
 	table.Hear(at(400), "a", late)
 	r, _ := table.Get("vm")
@@ -102,7 +102,7 @@
 // lost. The cursor makes the peer send it again.
 func TestALostDigestIsSentAgain(t *testing.T) {
 	table := NewTable("a", 1)
-	table.Hear(at(0), "a", said("x", 1))
+	table.Hear(at(0), "a", announcement("x", 1))
 	first, next := table.Digest(at(100), Cursor{})
 	assert.Assert(t, first[0].Detail != nil)
 	again, _ := table.Digest(at(200), Cursor{})
@@ -110,7 +110,7 @@
 	assert.Assert(t, again[0].Detail != nil)
 	none, _ := table.Digest(at(300), next)
 	assert.Equal(t, len(none), 0)
-	table.Hear(at(400), "a", said("x", 2))
+	table.Hear(at(400), "a", announcement("x", 2))
 	short, _ := table.Digest(at(500), next)
 	assert.Assert(t, short[0].Detail == nil, "it has not changed")
 	assert.Equal(t, short[0].AgeMillis, int64(100))
@@ -122,12 +122,12 @@
 func TestTheTableIsBounded(t *testing.T) {
 	table := NewTable("a", 1)
 	for n := range maxRecords + 100 {
-		a := said("x", 1)
+		a := announcement("x", 1)
 		a.ID = fmt.Sprint(n)
 		table.Hear(at(0), "a", a)
 	}
 	assert.Equal(t, len(table.Reports()), maxRecords)
-	table.Digest(start.Add(recordLife+time.Second), Cursor{})
+	table.Digest(start.Add(recordTTL+time.Second), Cursor{})
 	assert.Equal(t, len(table.Reports()), 0)
 }
 
@@ -170,7 +170,7 @@
 				ID: "demo-0", Epoch: 7, State: blackboard.Serving,
 				Members: []blackboard.GroupMember{{VM: "vm", Incarnation: "x"}},
 			}
-			a := said("x", 1)
+			a := announcement("x", 1)
 			c.change(&g, &a)
 			board := blackboard.New()
 			board.Groups[g.ID] = g
@@ -189,7 +189,7 @@
 // silent, and the present one counts from its first word, whatever its sequence.
 func TestTheLaterStartIsThePresentLife(t *testing.T) {
 	life := func(started int64, sequence uint64) backend.Announcement {
-		a := said(fmt.Sprint("x@", started), sequence)
+		a := announcement(fmt.Sprint("x@", started), sequence)
 		a.StartedMillis = started
 		return a
 	}
@@ -202,7 +202,7 @@
 	for i := range uint64(4) {
 		table.Hear(at(9000+int(i)), "a", life(10, 51+i))
 	}
-	table.Hear(at(9005), "a", said("x@0", 99))
+	table.Hear(at(9005), "a", announcement("x@0", 99))
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "x@20")
 	assert.Equal(t, r.HeardAt, at(400))
--- a/internal/evidence/wire/fields.go
+++ b/internal/evidence/wire/fields.go
@@ -76,7 +76,7 @@
 
 func (v field) asUint(into *uint64) error {
 	if v.kind != protowire.VarintType {
-		return v.wrong()
+		return v.malformed()
 	}
 	*into = v.uint
 	return nil
@@ -84,7 +84,7 @@
 
 func (v field) asInt(into *int) error {
 	if v.kind != protowire.VarintType {
-		return v.wrong()
+		return v.malformed()
 	}
 	*into = int(protowire.DecodeZigZag(v.uint))
 	return nil
@@ -92,7 +92,7 @@
 
 func (v field) asFloat(into *float64) error {
 	if v.kind != protowire.Fixed64Type {
-		return v.wrong()
+		return v.malformed()
 	}
 	*into = math.Float64frombits(v.uint)
 	return nil
@@ -100,7 +100,7 @@
 
 func (v field) asString(into *string) error {
 	if v.kind != protowire.BytesType || !utf8.Valid(v.bytes) {
-		return v.wrong()
+		return v.malformed()
 	}
 	*into = string(v.bytes)
 	return nil
@@ -108,13 +108,13 @@
 
 func (v field) asMessage(into *[]byte) error {
 	if v.kind != protowire.BytesType {
-		return v.wrong()
+		return v.malformed()
 	}
 	*into = v.bytes
 	return nil
 }
 
-func (v field) wrong() error { return errors.Annotatef(ErrMalformed, "field %d", v.number) }
+func (v field) malformed() error { return errors.Annotatef(ErrMalformed, "field %d", v.number) }
 
 func putUint(b []byte, number protowire.Number, v uint64) []byte {
 	return protowire.AppendVarint(protowire.AppendTag(b, number, protowire.VarintType), v)
--- a/internal/evidence/wire/line.go
+++ b/internal/evidence/wire/line.go
@@ -36,49 +36,49 @@
 	lineCold
 )
 
-// ordinaryStep is the step of the sequence that is left out.
-const ordinaryStep = 1
+// defaultStep is the step of the sequence that is left out.
+const defaultStep = 1
 
-// kinds are the backend servers' kinds by their number on the wire.
-var kinds = []backend.Kind{backend.KindEngine, backend.KindService}
+// kindsByNumber are the backend servers' kindsByNumber by their number on the wire.
+var kindsByNumber = []backend.Kind{backend.KindEngine, backend.KindService}
 
-type name struct {
+type serverKey struct {
 	kind backend.Kind
 	id   string
 }
 
 // lineEncoder writes the lines of one connection.
 type lineEncoder struct {
-	refs map[name]uint64
+	refs map[serverKey]uint64
 	last []evidence.Heard
 }
 
-func newLineEncoder() *lineEncoder { return &lineEncoder{refs: make(map[name]uint64)} }
+func newLineEncoder() *lineEncoder { return &lineEncoder{refs: make(map[serverKey]uint64)} }
 
 // line returns the bytes of one line.
-func (e *lineEncoder) line(h evidence.Heard) ([]byte, error) {
-	ref, known := e.refs[name{h.Kind, h.ID}]
+func (e *lineEncoder) encode(h evidence.Heard) ([]byte, error) {
+	ref, known := e.refs[serverKey{h.Kind, h.ID}]
 	if !known {
 		if len(e.last) >= MaxRefs {
 			return nil, errors.Trace(ErrDictionaryFull)
 		}
 		e.last = append(e.last, evidence.Heard{})
 		ref = uint64(len(e.last))
-		e.refs[name{h.Kind, h.ID}] = ref
+		e.refs[serverKey{h.Kind, h.ID}] = ref
 	}
 	last := &e.last[ref-1]
 	if last.Incarnation != h.Incarnation {
 		last.Sequence = 0
 	}
 	b := putUint(nil, lineRef, ref)
-	if step := h.Sequence - last.Sequence; step != ordinaryStep {
+	if step := h.Sequence - last.Sequence; step != defaultStep {
 		b = putUint(b, lineSequence, step)
 	}
 	if h.AgeMillis > 0 {
 		b = putUint(b, lineAge, uint64(h.AgeMillis))
 	}
 	if !known {
-		b = putUint(b, lineKind, uint64(slices.Index(kinds, h.Kind)))
+		b = putUint(b, lineKind, uint64(slices.Index(kindsByNumber, h.Kind)))
 		b = putString(b, lineID, h.ID)
 	}
 	b = putChanges(b, last, h)
@@ -130,14 +130,14 @@
 type lineHead struct {
 	ref, kind, sequence, age uint64
 	id                       string
-	named                    bool
+	hasID                    bool
 }
 
 // line reads one line. What it leaves out is that of the last line of the same
 // backend server.
-func (d *lineDecoder) line(b []byte) (evidence.Heard, error) {
-	head := lineHead{sequence: ordinaryStep}
-	h, err := d.begin(b, &head)
+func (d *lineDecoder) decode(b []byte) (evidence.Heard, error) {
+	head := lineHead{sequence: defaultStep}
+	h, err := d.resolve(b, &head)
 	if err != nil {
 		return h, errors.Trace(err)
 	}
@@ -158,27 +158,27 @@
 	return h, nil
 }
 
-// maxAge bounds the age of a line in milliseconds, far over the hour that a
+// maxAgeMillis bounds the age of a line in milliseconds, far over the hour that a
 // table keeps one, so that no sum of times overflows.
-const maxAge = 1 << 40
+const maxAgeMillis = 1 << 40
 
 // begin finds the last line of the backend server, or adds it when it is new.
-func (d *lineDecoder) begin(b []byte, head *lineHead) (evidence.Heard, error) {
+func (d *lineDecoder) resolve(b []byte, head *lineHead) (evidence.Heard, error) {
 	if err := eachField(b, 0, func(v field) error { return readHead(v, head) }); err != nil {
 		return evidence.Heard{}, errors.Trace(err)
 	}
 	known := uint64(len(d.last))
 	switch {
-	case head.age > maxAge:
+	case head.age > maxAgeMillis:
 		return evidence.Heard{}, errors.Annotate(ErrMalformed, "age")
-	case head.ref >= 1 && head.ref <= known && !head.named:
+	case head.ref >= 1 && head.ref <= known && !head.hasID:
 		return d.last[head.ref-1], nil
-	case head.ref != known+1 || !head.named || head.id == "" || head.kind >= uint64(len(kinds)):
+	case head.ref != known+1 || !head.hasID || head.id == "" || head.kind >= uint64(len(kindsByNumber)):
 		return evidence.Heard{}, errors.Annotatef(ErrMalformed, "number %d", head.ref)
 	case known >= MaxRefs:
 		return evidence.Heard{}, errors.Trace(ErrDictionaryFull)
 	}
-	h := evidence.Heard{Kind: kinds[head.kind], ID: head.id}
+	h := evidence.Heard{Kind: kindsByNumber[head.kind], ID: head.id}
 	d.last = append(d.last, h)
 	return h, nil
 }
@@ -194,7 +194,7 @@
 	case lineKind:
 		return v.asUint(&head.kind)
 	case lineID:
-		head.named = true
+		head.hasID = true
 		return v.asString(&head.id)
 	}
 	return nil
@@ -214,7 +214,7 @@
 	case lineCold:
 		cold := uint64(0)
 		err := v.asUint(&cold)
-		h.ColdMillis = int64(min(cold, maxAge))
+		h.ColdMillis = int64(min(cold, maxAgeMillis))
 		return err
 	case lineGroup:
 		return v.asString(&h.Group)
@@ -251,7 +251,7 @@
 	case lineDetail:
 		h.Detail, err = readDetail(body)
 	default:
-		return v.wrong()
+		return v.malformed()
 	}
 	return errors.Trace(err)
 }
--- a/internal/evidence/wire/session.go
+++ b/internal/evidence/wire/session.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// MaxFrame bounds a frame in bytes: splitAt and one line more. A line is at
+	// MaxFrame bounds a frame in bytes: splitBytes and one line more. A line is at
 	// most three times the 64 KiB of an announcement, as decoding may replace a
 	// byte that is no UTF-8 by three.
 	MaxFrame = 320 << 10
-	// splitAt is the size from which on further lines go to another frame.
-	splitAt = 64 << 10
+	// splitBytes is the size from which on further lines go to another frame.
+	splitBytes = 64 << 10
 	// maxOutstanding bounds the frames sent and not yet echoed whose times are
 	// kept. A whole table is 38 frames at the most usual 300 bytes a line; a peer
 	// that echoes nothing for longer has a silent connection.
@@ -45,8 +45,8 @@
 	// sent is the number of the last frame sent, and times when those after
 	// base were made.
 	sent, base uint64
-	times      []time.Time
-	echoed     uint64
+	sentTimes  []time.Time
+	lastEcho   uint64
 	// received is the number of the last frame received, at receivedAt.
 	received   uint64
 	receivedAt time.Time
@@ -63,12 +63,12 @@
 func (s *Session) Frames(now time.Time, lines []evidence.Heard) ([]byte, error) {
 	var out []byte
 	for {
-		body, err := s.head(now)
+		body, err := s.beginFrame(now)
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
-		for len(lines) > 0 && len(body) < splitAt {
-			line, err := s.encoder.line(lines[0])
+		for len(lines) > 0 && len(body) < splitBytes {
+			line, err := s.encoder.encode(lines[0])
 			if err != nil {
 				return nil, errors.Trace(err)
 			}
@@ -85,12 +85,12 @@
 }
 
 // head numbers the next frame, remembers when it was made, and begins it.
-func (s *Session) head(now time.Time) ([]byte, error) {
-	if len(s.times) >= maxOutstanding {
+func (s *Session) beginFrame(now time.Time) ([]byte, error) {
+	if len(s.sentTimes) >= maxOutstanding {
 		return nil, errors.Annotate(ErrEcho, "no echo")
 	}
 	s.sent++
-	s.times = append(s.times, now)
+	s.sentTimes = append(s.sentTimes, now)
 	b := putUint(nil, frameNumber, s.sent)
 	if s.received == 0 {
 		return b, nil
@@ -129,7 +129,7 @@
 	if f.number != s.received+1 {
 		return Received{}, errors.Annotatef(ErrMalformed, "frame %d after %d", f.number, s.received)
 	}
-	made, err := s.date(now, f.echo, f.held)
+	made, err := s.earliestMade(now, f.echo, f.held)
 	if err != nil {
 		return Received{}, errors.Trace(err)
 	}
@@ -138,7 +138,7 @@
 	}
 	out := Received{Made: made}
 	for _, b := range f.lines {
-		h, err := s.decoder.line(b)
+		h, err := s.decoder.decode(b)
 		if err != nil {
 			return Received{}, errors.Trace(err)
 		}
@@ -162,21 +162,21 @@
 		f.lines = append(f.lines, body)
 		return err
 	}
-	return v.wrong()
+	return v.malformed()
 }
 
 // date returns the earliest time at which the peer can have made a frame with
 // this echo, held for so many milliseconds.
-func (s *Session) date(now time.Time, echo, held uint64) (time.Time, error) {
-	if echo == 0 && s.echoed == 0 {
+func (s *Session) earliestMade(now time.Time, echo, held uint64) (time.Time, error) {
+	if echo == 0 && s.lastEcho == 0 {
 		return time.Time{}, nil
 	}
-	if echo < s.echoed || echo > s.sent || held > maxAge {
+	if echo < s.lastEcho || echo > s.sent || held > maxAgeMillis {
 		return time.Time{}, errors.Annotatef(ErrEcho, "%d of %d", echo, s.sent)
 	}
-	s.times = s.times[echo-1-s.base:]
-	s.base, s.echoed = echo-1, echo
-	made := s.times[0].Add(time.Duration(held) * time.Millisecond)
+	s.sentTimes = s.sentTimes[echo-1-s.base:]
+	s.base, s.lastEcho = echo-1, echo
+	made := s.sentTimes[0].Add(time.Duration(held) * time.Millisecond)
 	if made.After(now) {
 		// The peer's clock runs faster than this one.
 		made = now
--- a/internal/evidence/wire/session_test.go
+++ b/internal/evidence/wire/session_test.go
@@ -83,10 +83,10 @@
 func TestAnOrdinaryLineIsShort(t *testing.T) {
 	e := newLineEncoder()
 	for n := range 200 {
-		_, err := e.line(line(fmt.Sprint("vm-", n), 1))
+		_, err := e.encode(line(fmt.Sprint("vm-", n), 1))
 		assert.NilError(t, err)
 	}
-	short, err := e.line(line("vm-199", 2))
+	short, err := e.encode(line("vm-199", 2))
 	assert.NilError(t, err)
 	inFrame := len(putBytes(nil, frameLine, short))
 	assert.Assert(t, inFrame >= 6 && inFrame <= 12, "%d bytes", inFrame)
@@ -185,15 +185,15 @@
 // pair is two tables that exchange over sessions, beside a third one that
 // merges the same digests directly, dated by when they were made.
 type pair struct {
-	t              *testing.T
-	r              *rand.Rand
-	now            int
-	sender         *evidence.Table
-	viaWire        *evidence.Table
-	direct         *evidence.Table
-	a, b           *Session
-	cursor, beside evidence.Cursor
-	sequences      map[string]uint64
+	t                    *testing.T
+	r                    *rand.Rand
+	now                  int
+	sender               *evidence.Table
+	viaWire              *evidence.Table
+	direct               *evidence.Table
+	a, b                 *Session
+	cursor, directCursor evidence.Cursor
+	sequences            map[string]uint64
 }
 
 func (p *pair) connect() {
@@ -206,7 +206,7 @@
 	id, incarnation := fmt.Sprint("vm-", p.r.IntN(5)), fmt.Sprint(p.now/4000)
 	p.sequences[id+incarnation] += uint64(1 + p.r.IntN(3))
 	a := backend.Announcement{
-		ID: id, Kind: kinds[p.r.IntN(2)], Incarnation: incarnation, Sequence: p.sequences[id+incarnation],
+		ID: id, Kind: kindsByNumber[p.r.IntN(2)], Incarnation: incarnation, Sequence: p.sequences[id+incarnation],
 		Group: fmt.Sprint("g-", p.r.IntN(2)), Epoch: uint64(p.r.IntN(3)), Phase: backend.PhaseReady,
 		Leaving: p.r.IntN(4) == 0, Address: fmt.Sprint("10.0.0.", p.r.IntN(3)), Weights: []string{"w"},
 	}
@@ -223,7 +223,7 @@
 func (p *pair) exchange() {
 	made := at(p.now)
 	lines, next := p.sender.Digest(made, p.cursor)
-	besides, beside := p.sender.Digest(made, p.beside)
+	directLines, nextDirect := p.sender.Digest(made, p.directCursor)
 	p.cursor = next
 	if p.r.IntN(6) == 0 {
 		_, err := p.a.Frames(made, lines)
@@ -235,8 +235,8 @@
 	got := send(p.t, p.a, p.b, made, at(p.now), lines...)
 	assert.Assert(p.t, !got.Made.After(made), "dated after it was made")
 	p.viaWire.Merge(got.Made, "a", got.Lines)
-	p.beside = beside
-	p.direct.Merge(made, "a", besides)
+	p.directCursor = nextDirect
+	p.direct.Merge(made, "a", directLines)
 	send(p.t, p.b, p.a, at(p.now), at(p.now+p.r.IntN(100)))
 	p.now += 100
 }
--- a/internal/evidence/wire/values.go
+++ b/internal/evidence/wire/values.go
@@ -67,7 +67,7 @@
 			l.AtMillis = int64(age)
 			return err
 		}
-		return v.wrong()
+		return v.malformed()
 	})
 	return l, errors.Trace(err)
 }
@@ -116,7 +116,7 @@
 			d.Weights = append(d.Weights, "")
 			return v.asString(&d.Weights[len(d.Weights)-1])
 		}
-		return v.wrong()
+		return v.malformed()
 	})
 	return d, errors.Trace(err)
 }
@@ -134,7 +134,7 @@
 	var list []string
 	err := eachField(b, listItem, func(v field) error {
 		if v.number != listItem {
-			return v.wrong()
+			return v.malformed()
 		}
 		list = append(list, "")
 		return v.asString(&list[len(list)-1])
