--- a/internal/evidence/query.go
+++ b/internal/evidence/query.go
@@ -9,12 +9,12 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// Get returns what is known of the engine on a VM.
+// Get returns the report on the engine of a VM.
 func (t *Table) Get(vm string) (Report, bool) {
 	return t.lookup(key{backend.KindEngine, vm})
 }
 
-// GetService returns what is known of a plain service's instance.
+// GetService returns the report on an instance of a plain service.
 func (t *Table) GetService(id string) (Report, bool) {
 	return t.lookup(key{backend.KindService, id})
 }
@@ -27,13 +27,13 @@
 	return r.report, true
 }
 
-// Reports returns all reports, engines first, ordered by id.
+// Reports returns all reports, engines first, then ordered by id.
 func (t *Table) Reports() []Report {
 	return t.Select(func(*Report) bool { return true })
 }
 
-// Select returns the reports that fit, engines first, ordered by id. fits must not
-// keep or change its argument.
+// Select returns the reports for which fits returns true, engines first, then ordered
+// by id. fits must not keep or change its argument.
 func (t *Table) Select(fits func(*Report) bool) []Report {
 	var all []Report
 	for _, r := range t.records {
@@ -45,16 +45,16 @@
 	return all
 }
 
-// Known returns how many backend servers are known.
+// Known returns the number of backend servers in the table.
 func (t *Table) Known() int { return len(t.records) }
 
-// Forget drops what is known of a backend server that has long been gone.
+// Forget drops the record of a backend server, such as one that has been removed.
 func (t *Table) Forget(kind backend.Kind, id string) {
 	delete(t.records, key{kind, id})
 }
 
-// Fresh tells whether a VM was heard within maxAge under this incarnation and
-// as part of this epoch of this group.
+// Fresh reports whether the newest announcement of a VM is at most maxAge old and
+// names this incarnation, group and epoch.
 func (t *Table) Fresh(now time.Time, vm, incarnation, group string, epoch uint64, maxAge time.Duration) bool {
 	r, ok := t.Get(vm)
 	if !ok || r.Incarnation != incarnation {
@@ -66,8 +66,8 @@
 	return now.Sub(r.HeardAt) <= maxAge
 }
 
-// Witnesses returns how many processes gave a digest within maxAge, this one
-// included.
+// Witnesses returns the number of processes whose last digest is at most maxAge old,
+// this process included.
 func (t *Table) Witnesses(now time.Time, maxAge time.Duration) int {
 	n := 0
 	for _, at := range t.digestTimes {
@@ -78,20 +78,21 @@
 	return n
 }
 
-// Witness tells whether one process gave a digest within maxAge.
+// Witness reports whether the last digest of a process is at most maxAge old.
 func (t *Table) Witness(now time.Time, source string, maxAge time.Duration) bool {
 	at, ok := t.digestTimes[source]
 	return ok && now.Sub(at) <= maxAge
 }
 
-// Covered tells whether a majority of the registered entries gave a digest
-// within WitnessAge. Only then does silence of a backend server say anything.
+// Covered reports whether the last digests of a majority of the registered entries
+// are at most WitnessAge old. Only then is the silence of a backend server
+// significant. Entries that receive no announcements don't count.
 //
-// Failure: a process that is cut off itself hears of no backend server and
-// would report all of them dead. A process on the small side of a cut has no
-// majority of entries on its side, so it concludes nothing; and a backend
-// server that nobody on a majority hears can't be routed to by most entries, so
-// giving it up costs little even when it lives.
+// Failure: a partitioned process receives no announcements and would report all
+// backend servers dead. On the minority side of a partition Covered returns false,
+// so the process draws no conclusion. A backend server that no entry of a majority
+// receives is not routable for most entries, so giving it up costs little even if it
+// is alive.
 func (t *Table) Covered(now time.Time, board *blackboard.Board) bool {
 	heard, all := 0, 0
 	for id, e := range board.Entries {
@@ -106,14 +107,14 @@
 	return heard*2 > all
 }
 
-// Routable tells whether an entry may send new work to a group, and if not,
-// why.
+// Routable reports whether an entry may send new work to a group, and the reason if
+// it may not.
 //
-// Failure: a member dies and the group goes on getting work that nobody will
-// answer. The blackboard learns of it only after the leader; so each entry asks
-// for evidence of its own, at most RoutableAge old, that each member is alive
-// under the incarnation that joined, in this very epoch, ready, and has lost
-// none of the others.
+// Failure: a member dies and the group goes on receiving requests that nobody will
+// answer. The blackboard changes only after the leader has noticed. Each entry
+// therefore requires evidence of its own, at most RoutableAge old, that each member
+// is alive under the incarnation that joined, in the current epoch, is ready, and has
+// lost none of the other members.
 func (t *Table) Routable(now time.Time, board *blackboard.Board, group string) (bool, string) {
 	g, ok := board.Groups[group]
 	if !ok {
--- a/internal/evidence/table.go
+++ b/internal/evidence/table.go
@@ -1,10 +1,11 @@
-// Package evidence keeps who heard what of which backend server, and when.
+// Package evidence records the newest announcement of each backend server: its
+// content, the process that received it, and the time of receipt.
 //
-// Each entry and each control process holds one Table. Backend servers announce
-// themselves to any entry; entries exchange digests of what they heard, so each
-// process knows how fresh the newest announcement of each backend server is.
-// The package has no I/O and no clock: now is passed in and must be monotonic.
-// A Table is not safe for concurrent use.
+// Each entry and each control process holds one Table. A backend server announces
+// itself to any entry. Entries exchange digests of the announcements that they
+// received, so each process knows the age of the newest announcement of each backend
+// server. The package has no I/O and no clock: callers pass the current time, which
+// must be monotonic. A Table is not safe for concurrent use.
 package evidence
 
 import (
@@ -13,52 +14,56 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// The periods of the exchange. They belong together: a VM's newest state waits
+// The intervals of the exchange depend on each other. The newest state of a VM waits
 // at most AnnounceInterval at the engine and DigestInterval at the entry that
-// heard it. With one announcement lost its age at another entry is at most twice
-// AnnounceInterval and DigestInterval, 1.1 s; with one frame lost on the way at
-// most both and a retransmission of some 200 ms, 0.9 s. Both are under
-// RoutableAge with 100 ms for the way. A longer DigestInterval would save frames
-// and close routes when one announcement is lost.
+// receives its announcement. If one announcement is lost, its age at another entry is
+// at most twice AnnounceInterval plus DigestInterval: 1.1 s. If one frame is lost on
+// the network, its age is at most AnnounceInterval plus DigestInterval plus a
+// retransmission of about 200 ms: 0.9 s. Both are below RoutableAge and leave 100 ms
+// for transmission. A longer DigestInterval would save frames, but the loss of one
+// announcement would close routes.
 const (
-	// AnnounceInterval is what entries answer as AnnounceReply.IntervalMillis.
+	// AnnounceInterval is the default that entries return as
+	// AnnounceReply.IntervalMillis.
 	AnnounceInterval = 400 * time.Millisecond
-	// DigestInterval is how often a process sends each peer its digest.
+	// DigestInterval is the time between two digests that a process sends to a peer.
 	DigestInterval = 300 * time.Millisecond
-	// ObserveInterval is how often a running process calls its table at least.
+	// ObserveInterval is the longest time between two calls that a running process
+	// makes to its table.
 	ObserveInterval = 200 * time.Millisecond
-	// routableIntervals is RoutableAge in announcements.
+	// routableIntervals is RoutableAge as a number of announcement intervals.
 	routableIntervals = 3
 	// RoutableAge bounds the age of the evidence that a member of a group is
-	// alive. A member that died less than this ago may still be routed to; a
+	// alive. Entries may still route to a member for this long after its death. A
 	// shorter bound would stop routing at each lost announcement.
 	RoutableAge = routableIntervals * AnnounceInterval
-	// WitnessAge is how old the last digest of a peer may be for the peer to
-	// count as a witness: three digests in a row lost.
+	// WitnessAge is the maximum age of a peer's last digest for the peer to count as
+	// connected. It tolerates the loss of three consecutive digests.
 	WitnessAge = 1 * time.Second
 )
 
 const (
-	// pauseGap is the gap between two calls that shows that this process was
-	// stopped, as no running process lets ObserveInterval pass five times.
+	// pauseGap is the time between two calls from which on this process is assumed
+	// to have been paused: a running process does not miss ObserveInterval five times.
 	pauseGap = 1 * time.Second
-	// resumeSettle is how long after such a gap direct announcements are not
-	// taken as fresh.
+	// resumeSettle is the time after a pause during which direct announcements are
+	// not considered fresh.
 	resumeSettle = 1 * time.Second
-	// retiredSilence is how long the present incarnation must be silent before a
-	// retired one is believed again.
+	// retiredSilence is how long the current incarnation must be silent before a
+	// retired incarnation is accepted as current again.
 	retiredSilence = 3 * time.Second
-	// maxRetired bounds the incarnations remembered for one backend server.
+	// maxRetired bounds the retired incarnations remembered for one backend server.
 	maxRetired = 4
-	// maxRecords bounds the backend servers known at once, over ten times the
-	// 710 runners of the target size, so that names made up by whoever may
-	// announce don't fill the memory.
+	// maxRecords bounds the backend servers in a table: more than ten times the 710
+	// runners of the target size. Without it, a client that invents ids could exhaust
+	// the memory.
 	maxRecords = 8192
-	// recordTTL is how long a silent backend server is kept, and pruneInterval how
-	// often this is looked after.
+	// recordTTL is how long a silent backend server is kept, and pruneInterval the
+	// time between two checks for expired records.
 	recordTTL     = time.Hour
 	pruneInterval = time.Minute
-	// gapWeight is the weight of the newest interval in Report.Gap.
+	// gapWeight is the weight of the newest interval in Report.Gap, an
+	// exponentially weighted average.
 	gapWeight = 0.2
 )
 
@@ -73,49 +78,51 @@
 	Weights      []string `json:"weights,omitempty"`
 }
 
-// Heard is one line of a digest: the newest announcement of one backend server
-// that the sender heard itself.
+// Heard is one line of a digest: the newest announcement of one backend server that
+// reached the sender directly.
 type Heard struct {
 	Kind        backend.Kind `json:"kind"`
 	ID          string       `json:"id"`
 	Incarnation string       `json:"incarnation"`
-	// StartedMillis is that of the announcement; 0 is unknown.
+	// StartedMillis is the start time of the incarnation, in Unix milliseconds by
+	// the clock of its host; 0 if unknown.
 	StartedMillis int64         `json:"started_ms,omitempty"`
 	Sequence      uint64        `json:"sequence"`
 	Group         string        `json:"group,omitempty"`
 	Epoch         uint64        `json:"epoch,omitempty"`
 	Phase         backend.Phase `json:"phase,omitempty"`
-	// AgeMillis is how long before the digest the sender heard it.
+	// AgeMillis is the age of the announcement when the sender made the digest.
 	AgeMillis int64 `json:"age_ms"`
 	Leaving   bool  `json:"leaving,omitempty"`
-	// ColdMillis is how much longer it was cold when it was heard.
+	// ColdMillis is the rest of the backend server's slow-start period when the
+	// announcement was received.
 	ColdMillis  int64         `json:"cold_ms,omitempty"`
 	Unreachable []string      `json:"unreachable,omitempty"`
 	Load        *backend.Load `json:"load,omitempty"`
-	// Detail is sent when it has changed since the receiver's cursor.
+	// Detail is nil if it has not changed since the receiver's cursor.
 	Detail *Detail `json:"detail,omitempty"`
 }
 
-// Report is what a Table knows of one backend server.
+// Report is the state of one backend server in a Table.
 type Report struct {
 	Heard
-	// Known is the newest Detail; nil when none has arrived yet.
+	// Known is the newest Detail; nil if none has arrived yet.
 	Known *Detail
-	// HeardAt is the latest time, by this process's clock, at which some
-	// process surely had heard the announcement.
+	// HeardAt is a lower bound, by this process's clock, for the time at which Source
+	// received the announcement.
 	HeardAt time.Time
-	// Source is the process that heard it.
+	// Source is the process that received the announcement directly.
 	Source string
-	// FirstHeard and FirstSequence are those of the first announcement of this
+	// FirstHeard and FirstSequence belong to the first announcement of this
 	// incarnation that arrived here.
 	FirstHeard    time.Time
 	FirstSequence uint64
-	// Gap is the smoothed interval between announcements.
+	// Gap is the smoothed interval between two announcements.
 	Gap time.Duration
 }
 
-// ColdUntil is until when the backend server is cold by what it announced; its past if it
-// is not.
+// ColdUntil returns the end of the slow-start period that the backend server announced.
+// The time is in the past if the period is over or none was announced.
 func (r *Report) ColdUntil() time.Time {
 	return r.HeardAt.Add(time.Duration(r.ColdMillis) * time.Millisecond)
 }
@@ -127,61 +134,65 @@
 
 type record struct {
 	report Report
-	// retired maps each earlier incarnation to its last sequence.
+	// retired maps each earlier incarnation to its last sequence. retiredOrder lists
+	// them in the order in which they were retired.
 	retired      map[string]uint64
 	retiredOrder []string
-	// receivedNumber and detailNumber are the numbers of the last direct
-	// announcement and of the last change of detail.
+	// receivedNumber and detailNumber are the values of Table.cursor.Number at the
+	// last direct announcement and at the last change of the detail.
 	receivedNumber uint64
 	detailNumber   uint64
 	detailChanged  bool
 }
 
-// Cursor says up to where a peer has a table's digests. The zero Cursor has
-// nothing.
+// Cursor is a position in the digests of a table, up to which a peer has received
+// them. The zero Cursor stands before the first.
 type Cursor struct {
-	// Run tells one start of the sender from another.
-	Run    uint64 `json:"run"`
+	// Run identifies one start of the sending process.
+	Run uint64 `json:"run"`
+	// Number counts the direct announcements of the run.
 	Number uint64 `json:"number"`
 }
 
-// Table is the evidence that one process holds.
+// Table holds the evidence of one process. Create it with NewTable.
 type Table struct {
 	self string
 	// interval is the time between two announcements of a backend server.
 	interval time.Duration
-	// at numbers the direct announcements of this run.
+	// cursor counts the direct announcements of this run.
 	cursor      Cursor
 	records     map[key]*record
 	digestTimes map[string]time.Time
 	lastCall    time.Time
 	prunedAt    time.Time
-	// distrustUntil is set when the process wakes from a stop.
+	// distrustUntil and lastCallBeforePause are set when the process resumes after a
+	// pause, see observe.
 	distrustUntil       time.Time
 	lastCallBeforePause time.Time
 }
 
-// NewTable returns an empty table of the process whose entry id is self. run
-// differs for each start of that process.
+// NewTable returns an empty table of the process whose entry id is self. run must
+// differ for each start of that process.
 func NewTable(self string, run uint64) *Table {
 	return &Table{self: self, interval: AnnounceInterval, cursor: Cursor{Run: run}, records: make(map[key]*record), digestTimes: make(map[string]time.Time)}
 }
 
-// SetInterval states the time between two announcements of a backend server
-// where it is not AnnounceInterval: whoever makes the announcements sets it.
+// SetInterval sets the time between two announcements of a backend server. The
+// default is AnnounceInterval.
 func (t *Table) SetInterval(d time.Duration) { t.interval = d }
 
 // Interval returns the time between two announcements of a backend server.
 func (t *Table) Interval() time.Duration { return t.interval }
 
-// RoutableAge bounds the age of evidence at which a member counts as heard.
+// RoutableAge returns the maximum age of the evidence that a member is alive. It is
+// the constant RoutableAge scaled to the interval of this table.
 func (t *Table) RoutableAge() time.Duration { return routableIntervals * t.interval }
 
-// Left records that a backend server has said that it is gone: no new work may
-// go there. It returns false when nothing is known that is matches.
+// Left records that a backend server has announced its departure, so that it gets no
+// new work. It returns false if is matches no known incarnation.
 //
-// A goodbye carries no sequence. It takes one far above those in use, so that
-// an announcement that was on its way does not bring the server back.
+// A departure carries no sequence. Left assigns one far above those in use, so that
+// a delayed announcement does not make the server available again.
 func (t *Table) Left(now time.Time, source string, is func(incarnation string) bool) bool {
 	for _, r := range t.records {
 		if !is(r.report.Incarnation) {
@@ -202,17 +213,17 @@
 	return false
 }
 
-// departureStep is the distance of a goodbye's sequence from the last one: more
-// announcements than a process makes in a year.
+// departureStep is added to the last sequence to form that of a departure. It exceeds
+// the number of announcements that a process makes in a year.
 const departureStep = 1 << 32
 
-// observe notices that the process was stopped between two calls.
+// observe detects that the process was paused between two calls.
 //
-// Failure: an entry is frozen for ten seconds and a member dies meanwhile. The
-// member's last announcements wait in the entry's socket; read on waking, they
-// would make the dead member look alive for RoutableAge. The guard dates
-// direct announcements to before the stop until the sockets have been read
-// empty, which takes far less than resumeSettle.
+// Failure: an entry is paused for ten seconds and a member dies meanwhile. The
+// member's last announcements wait in the entry's socket buffers. Read after the
+// pause, they would make the dead member appear alive for RoutableAge. Until the
+// buffers have been drained, which takes far less than resumeSettle, direct
+// announcements are therefore dated to the last call before the pause.
 func (t *Table) observe(now time.Time) {
 	if !t.lastCall.IsZero() && now.Sub(t.lastCall) > pauseGap {
 		t.distrustUntil = now.Add(resumeSettle)
@@ -251,14 +262,14 @@
 	}
 }
 
-// Merge records the digest of a peer. asked is a time of this process's clock
-// at which the peer had surely not made the digest yet, such as when it was
-// asked for; never the time at which it arrived.
+// Merge records the digest of a peer. asked is a time of this process's clock before
+// the peer made the digest, such as the time of the request for it. It must not be the
+// time of arrival.
 //
-// Failure: a digest is held up on its way for seconds, and its lines look
-// fresh on arrival. Each line was heard no earlier than asked minus its age,
-// however long the answer took, so dating it from asked never makes it fresher
-// than it is.
+// Failure: a digest is delayed on the network for seconds, and its lines appear fresh
+// on arrival. The peer received each line no earlier than asked minus the line's age,
+// however long the answer took. A line dated from asked therefore never appears
+// fresher than it is.
 func (t *Table) Merge(asked time.Time, source string, digest []Heard) {
 	if asked.After(t.digestTimes[source]) {
 		t.digestTimes[source] = asked
@@ -271,9 +282,10 @@
 	}
 }
 
-// Digest returns what this process heard directly after a peer's cursor, and
-// the peer's next cursor. A peer whose answer was lost asks again under its old
-// cursor and misses nothing. Digest also counts this process as a witness.
+// Digest returns the newest announcements that reached this process directly after a
+// peer's cursor, and the peer's next cursor. If an answer is lost, the peer asks again
+// with its old cursor and misses nothing. Digest also records now as the time of this
+// process's own digest, see Witnesses.
 func (t *Table) Digest(now time.Time, after Cursor) ([]Heard, Cursor) {
 	t.observe(now)
 	t.digestTimes[t.self] = now
@@ -291,7 +303,7 @@
 	return digest, t.cursor
 }
 
-// prune drops what has been silent for recordTTL.
+// prune drops backend servers and peers that have been silent for recordTTL.
 func (t *Table) prune(now time.Time) {
 	if now.Sub(t.prunedAt) < pruneInterval {
 		return
@@ -319,8 +331,8 @@
 	return h
 }
 
-// take records one line and returns its record, or nil when it is older than
-// what is known.
+// apply records one line and returns its record. It returns nil if the line is older
+// than the record or the table is full.
 func (t *Table) apply(heardAt time.Time, source string, h Heard) *record {
 	k := key{h.Kind, h.ID}
 	r, known := t.records[k]
@@ -348,15 +360,15 @@
 	return r
 }
 
-// succeeds tells whether h comes from an incarnation that replaces the present
+// isReplacedBy reports whether h comes from an incarnation that replaces the current
 // one.
 //
-// Failure: a copy of an announcement of the incarnation before the present one
-// arrives late, and the VM looks restarted. Where the start is told, it decides:
-// one VM runs one backend server, so the one that started last is the present
-// one, however late the other's announcement arrives. Elsewhere a retired
-// incarnation is believed only when it goes on announcing while the present one is
-// silent, and an unknown one only when it was heard after the present one.
+// Failure: a delayed copy of an announcement of the previous incarnation arrives, and
+// the VM appears to have restarted. Start times, if announced, decide: one VM runs one
+// backend server, so the incarnation that started last is the current one, however
+// late announcements of others arrive. Without start times, a retired incarnation is
+// accepted only if it goes on announcing while the current one is silent, and an
+// unknown one only if it was received after the current one.
 func (r *record) isReplacedBy(heardAt time.Time, h Heard) bool {
 	if h.StartedMillis != r.report.StartedMillis {
 		return h.StartedMillis > r.report.StartedMillis
--- a/internal/evidence/table_test.go
+++ b/internal/evidence/table_test.go
@@ -22,14 +22,14 @@
 	}
 }
 
-// tick calls the table as a running process does, so that it sees no stop.
+// tick calls the table at the rate of a running process, so that it detects no pause.
 func tick(t *Table, from, to int) {
 	for ms := from; ms <= to; ms += 200 {
 		t.Digest(at(ms), t.cursor)
 	}
 }
 
-func TestFreshAsksForIncarnationGroupEpochAndAge(t *testing.T) {
+func TestFreshRequiresIncarnationGroupEpochAndAge(t *testing.T) {
 	table := NewTable("a", 1)
 	table.Hear(at(0), "a", announcement("x", 1))
 	now := at(1200)
@@ -38,12 +38,12 @@
 	assert.Assert(t, !table.Fresh(now, "vm", "y", "demo-0", 7, RoutableAge), "another incarnation")
 	assert.Assert(t, !table.Fresh(now, "vm", "x", "demo-1", 7, RoutableAge), "another group")
 	assert.Assert(t, !table.Fresh(now, "vm", "x", "demo-0", 8, RoutableAge), "another epoch")
-	assert.Assert(t, !table.Fresh(now, "other", "x", "demo-0", 7, RoutableAge), "never heard")
+	assert.Assert(t, !table.Fresh(now, "other", "x", "demo-0", 7, RoutableAge), "no announcement")
 }
 
-// A dead member is routed to. Its digest was held up on the way for ten seconds
-// and looked fresh on arrival; dated from when it was asked for, it is old.
-func TestAHeldUpDigestIsOld(t *testing.T) {
+// Failure: requests are routed to a dead member because a digest was delayed for ten
+// seconds and appeared fresh on arrival. Dated from the time of its request, it is old.
+func TestDelayedDigestIsOld(t *testing.T) {
 	sender, receiver := NewTable("a", 1), NewTable("b", 1)
 	sender.Hear(at(0), "a", announcement("x", 1))
 	digest, _ := sender.Digest(at(100), Cursor{})
@@ -56,9 +56,9 @@
 	assert.Equal(t, receiver.Witnesses(arrived, WitnessAge), 0)
 }
 
-// A dead member is routed to for a second after an entry was frozen. The
-// member's last announcements waited in the entry's socket.
-func TestAnnouncementsReadOnWakingAreNotFresh(t *testing.T) {
+// Failure: after a pause of an entry, requests are routed to a dead member for a
+// second. The member's last announcements waited in the entry's socket buffers.
+func TestAnnouncementsReadAfterAPauseAreNotFresh(t *testing.T) {
 	table := NewTable("a", 1)
 	tick(table, 0, 1000)
 	table.Hear(at(1000), "a", announcement("x", 1))
@@ -69,9 +69,9 @@
 	assert.Assert(t, table.Fresh(at(12_100), "vm", "x", "demo-0", 7, RoutableAge))
 }
 
-// A VM looks restarted when a copy of an announcement of the incarnation before
-// arrives late, and flips back and forth.
-func TestALateCopyDoesNotBringAnIncarnationBack(t *testing.T) {
+// Failure: a delayed copy of an announcement of the previous incarnation arrives, and
+// the record alternates between the two incarnations.
+func TestDelayedCopyDoesNotRestoreAnIncarnation(t *testing.T) {
 	table := NewTable("a", 1)
 	table.Hear(at(0), "a", announcement("old", 5))
 	table.Hear(at(400), "a", announcement("new", 1))
@@ -80,14 +80,14 @@
 	assert.Equal(t, r.Incarnation, "new")
 	table.Merge(at(900), "b", []Heard{{Kind: backend.KindEngine, ID: "vm", Incarnation: "older", Sequence: 9, AgeMillis: 600}})
 	r, _ = table.Get("vm")
-	assert.Equal(t, r.Incarnation, "new", "heard before the present one")
+	assert.Equal(t, r.Incarnation, "new", "received before the current one")
 	tick(table, 800, 4000)
 	table.Hear(at(4000), "a", announcement("old", 7))
 	r, _ = table.Get("vm")
-	assert.Equal(t, r.Incarnation, "old", "it goes on while the other is silent")
+	assert.Equal(t, r.Incarnation, "old", "it goes on announcing while the other is silent")
 }
 
-func TestAnOlderSequenceChangesNothing(t *testing.T) {
+func TestOlderSequenceChangesNothing(t *testing.T) {
 	table := NewTable("a", 1)
 	table.Hear(at(0), "a", announcement("x", 5))
 	late := announcement("x", 4)
@@ -98,9 +98,9 @@
 	assert.Equal(t, r.HeardAt, at(0))
 }
 
-// A new leader never learns a VM's address: the one digest that carried it was
-// lost. The cursor makes the peer send it again.
-func TestALostDigestIsSentAgain(t *testing.T) {
+// Failure: a new leader never receives a VM's address, because the only digest that
+// carried the address was lost. The cursor makes the peer send it again.
+func TestLostDigestIsSentAgain(t *testing.T) {
 	table := NewTable("a", 1)
 	table.Hear(at(0), "a", announcement("x", 1))
 	first, next := table.Digest(at(100), Cursor{})
@@ -118,8 +118,8 @@
 	assert.Assert(t, moved[0].Detail != nil, "the cursor is of an earlier run")
 }
 
-// An entry's memory grows with each name that was ever announced to it.
-func TestTheTableIsBounded(t *testing.T) {
+// Failure: an entry's memory grows with each id that was ever announced to it.
+func TestTableIsBounded(t *testing.T) {
 	table := NewTable("a", 1)
 	for n := range maxRecords + 100 {
 		a := announcement("x", 1)
@@ -131,9 +131,9 @@
 	assert.Equal(t, len(table.Reports()), 0)
 }
 
-// Every backend server is reported dead by a process that is cut off itself.
-// Only a majority of the registered entries makes silence count.
-func TestCoverageIsAMajorityOfRegisteredEntries(t *testing.T) {
+// Failure: a partitioned process reports every backend server dead. Silence is
+// significant only with recent digests of a majority of the registered entries.
+func TestCoveredRequiresAMajorityOfRegisteredEntries(t *testing.T) {
 	board := blackboard.New()
 	for _, id := range []string{"a", "b", "c", "d"} {
 		board.Entries[id] = blackboard.Entry{ID: id}
@@ -150,13 +150,13 @@
 	assert.Assert(t, !NewTable("a", 1).Covered(at(0), blackboard.New()), "no entries")
 }
 
-func TestRoutableNamesTheFault(t *testing.T) {
+func TestRoutableReturnsTheReason(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*blackboard.Group, *backend.Announcement)
 		want   string
 	}{
-		{"whole", func(*blackboard.Group, *backend.Announcement) {}, ""},
+		{"complete", func(*blackboard.Group, *backend.Announcement) {}, ""},
 		{"loading", func(g *blackboard.Group, _ *backend.Announcement) { g.State = blackboard.Loading }, "group is loading"},
 		{"draining", func(g *blackboard.Group, _ *backend.Announcement) { g.State = blackboard.Draining }, "group is draining"},
 		{"epoch", func(_ *blackboard.Group, a *backend.Announcement) { a.Epoch = 6 }, "member vm has no fresh evidence in this epoch"},
@@ -183,24 +183,24 @@
 	}
 }
 
-// A backend server starts again, and an announcement of its earlier life arrives
-// seconds later with a higher sequence. Where starts are told, nothing that the
-// earlier life says changes anything any more, however long the present one is
-// silent, and the present one counts from its first word, whatever its sequence.
-func TestTheLaterStartIsThePresentLife(t *testing.T) {
-	life := func(started int64, sequence uint64) backend.Announcement {
+// A backend server restarts, and an announcement of its previous incarnation arrives
+// seconds later with a higher sequence. If start times are announced, the previous
+// incarnation must change nothing, however long the current one is silent. The current
+// one must be accepted from its first announcement, whatever its sequence.
+func TestIncarnationThatStartedLaterIsCurrent(t *testing.T) {
+	startedAt := func(started int64, sequence uint64) backend.Announcement {
 		a := announcement(fmt.Sprint("x@", started), sequence)
 		a.StartedMillis = started
 		return a
 	}
 	table := NewTable("a", 1)
-	table.Hear(at(0), "a", life(10, 50))
-	table.Hear(at(400), "a", life(20, 1))
+	table.Hear(at(0), "a", startedAt(10, 50))
+	table.Hear(at(400), "a", startedAt(20, 1))
 	r, _ := table.Get("vm")
 	assert.Equal(t, r.Incarnation, "x@20")
 	tick(table, 400, 9000)
 	for i := range uint64(4) {
-		table.Hear(at(9000+int(i)), "a", life(10, 51+i))
+		table.Hear(at(9000+int(i)), "a", startedAt(10, 51+i))
 	}
 	table.Hear(at(9005), "a", announcement("x@0", 99))
 	r, _ = table.Get("vm")
@@ -208,5 +208,5 @@
 	assert.Equal(t, r.HeardAt, at(400))
 	table.Merge(at(9100), "b", []Heard{{Kind: backend.KindEngine, ID: "vm", Incarnation: "x@30", StartedMillis: 30, Sequence: 1, AgeMillis: 9000}})
 	r, _ = table.Get("vm")
-	assert.Equal(t, r.Incarnation, "x@30", "heard before the present one, but it started later")
+	assert.Equal(t, r.Incarnation, "x@30", "received before the current one, but it started later")
 }
--- a/internal/evidence/wire/fields.go
+++ b/internal/evidence/wire/fields.go
@@ -8,22 +8,23 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Errors of decoding. Each ends the connection: what a later line leaves out is
-// taken from earlier ones, so nothing can be read after a frame was not.
+// Errors of encoding and decoding. Each ends the connection: a line omits values of
+// earlier lines, so no frame can be decoded after one that was not.
 const (
-	// ErrMalformed is returned for bytes that are no frame of this protocol.
+	// ErrMalformed is returned for bytes that do not form a frame of this protocol.
 	ErrMalformed = errors.ConstError("malformed frame")
-	// ErrTooLarge is returned for a frame over MaxFrame.
+	// ErrTooLarge is returned for a frame of more than MaxFrame bytes.
 	ErrTooLarge = errors.ConstError("frame too large")
-	// ErrDictionaryFull is returned when a connection has named MaxRefs backend
-	// servers. A new connection starts with an empty dictionary.
+	// ErrDictionaryFull is returned for a new backend server on a connection that has
+	// already numbered MaxRefs of them. A new connection starts with an empty
+	// dictionary.
 	ErrDictionaryFull = errors.ConstError("dictionary full")
-	// ErrEcho is returned for an echo of a frame that was not sent, or that is
-	// older than the last one echoed.
-	ErrEcho = errors.ConstError("impossible echo")
+	// ErrEcho is returned for an echo of a frame that was not sent or that is older
+	// than the last one echoed, and when maxOutstanding frames await an echo.
+	ErrEcho = errors.ConstError("invalid frame echo")
 )
 
-// field is the value of one protobuf field.
+// field is one decoded protobuf field: uint for a varint or a fixed64, bytes otherwise.
 type field struct {
 	number protowire.Number
 	kind   protowire.Type
@@ -31,8 +32,8 @@
 	bytes  []byte
 }
 
-// eachField calls f with each field of a message. Fields must come in ascending
-// order, and only the repeated one more than once.
+// eachField calls f with each field of a message. Field numbers must ascend, and only
+// the field repeated may occur more than once; 0 permits no repeated field.
 func eachField(b []byte, repeated protowire.Number, f func(field) error) error {
 	last := protowire.Number(0)
 	for len(b) > 0 {
--- a/internal/evidence/wire/line.go
+++ b/internal/evidence/wire/line.go
@@ -10,13 +10,13 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// MaxRefs bounds the backend servers that one connection names: as many as an
-// evidence.Table holds, so that a table always fits a new connection.
+// MaxRefs bounds the backend servers that one connection numbers. It equals the
+// capacity of an evidence.Table, so a complete table always fits a new connection.
 const MaxRefs = 8192
 
-// Fields of a line. Kind and id come with the first line of a backend server;
-// the sequence is left out when it is the next one, the age when it is zero, all
-// others when they are those of the last line of this backend server.
+// Fields of a line. Kind and id appear only in the first line of a backend server. The
+// sequence is omitted if it is the next one, the age if it is zero, and any other field
+// if it equals that of the last line of the same backend server.
 const (
 	lineRef = protowire.Number(iota + 1)
 	lineSequence
@@ -36,10 +36,10 @@
 	lineCold
 )
 
-// defaultStep is the step of the sequence that is left out.
+// defaultStep is the increment of the sequence that is omitted.
 const defaultStep = 1
 
-// kindsByNumber are the backend servers' kindsByNumber by their number on the wire.
+// kindsByNumber lists the kinds of backend servers by their number on the wire.
 var kindsByNumber = []backend.Kind{backend.KindEngine, backend.KindService}
 
 type serverKey struct {
@@ -47,7 +47,7 @@
 	id   string
 }
 
-// lineEncoder writes the lines of one connection.
+// lineEncoder encodes the lines of one connection.
 type lineEncoder struct {
 	refs map[serverKey]uint64
 	last []evidence.Heard
@@ -55,7 +55,7 @@
 
 func newLineEncoder() *lineEncoder { return &lineEncoder{refs: make(map[serverKey]uint64)} }
 
-// line returns the bytes of one line.
+// encode returns the bytes of one line.
 func (e *lineEncoder) encode(h evidence.Heard) ([]byte, error) {
 	ref, known := e.refs[serverKey{h.Kind, h.ID}]
 	if !known {
@@ -123,17 +123,18 @@
 	return b
 }
 
-// lineDecoder reads the lines of one connection.
+// lineDecoder decodes the lines of one connection.
 type lineDecoder struct{ last []evidence.Heard }
 
-// lineHead is what must be known before the rest of a line.
+// lineHead holds the fields that decode needs before the others: those that identify
+// the backend server, and the values relative to its last line or to the frame.
 type lineHead struct {
 	ref, kind, sequence, age uint64
 	id                       string
 	hasID                    bool
 }
 
-// line reads one line. What it leaves out is that of the last line of the same
+// decode decodes one line. Omitted fields have the values of the last line of the same
 // backend server.
 func (d *lineDecoder) decode(b []byte) (evidence.Heard, error) {
 	head := lineHead{sequence: defaultStep}
@@ -158,11 +159,12 @@
 	return h, nil
 }
 
-// maxAgeMillis bounds the age of a line in milliseconds, far over the hour that a
-// table keeps one, so that no sum of times overflows.
+// maxAgeMillis bounds the age of a line so that no sum of times overflows. It is far
+// above the hour for which a table keeps a record.
 const maxAgeMillis = 1 << 40
 
-// begin finds the last line of the backend server, or adds it when it is new.
+// resolve returns the last line of the backend server that a line refers to. It adds a
+// backend server that is new to the connection.
 func (d *lineDecoder) resolve(b []byte, head *lineHead) (evidence.Heard, error) {
 	if err := eachField(b, 0, func(v field) error { return readHead(v, head) }); err != nil {
 		return evidence.Heard{}, errors.Trace(err)
--- a/internal/evidence/wire/session.go
+++ b/internal/evidence/wire/session.go
@@ -1,11 +1,11 @@
-// Package wire codes the exchange of evidence between two entries.
+// Package wire encodes and decodes the exchange of evidence between two entries.
 //
-// A Session is one side of one connection. It makes the frames to send and
-// reads those received; it has no I/O and no clock. Frames are protobuf messages
-// behind a varint with their length. A connection delivers all frames in order
-// or ends, so a line leaves out what the last line of the same backend server on
-// this connection said, and names the backend server by a number that its first
-// line gave it. A Session is not safe for concurrent use.
+// A Session is one side of one connection. It encodes the frames to send and decodes
+// the frames received; it has no I/O and no clock. A frame is a protobuf message,
+// prefixed with its length as a varint. A connection delivers all frames in order or
+// ends. A line therefore omits values that equal those of the last line of the same
+// backend server on this connection. It refers to the backend server by a number that
+// the first line assigned. A Session is not safe for concurrent use.
 package wire
 
 import (
@@ -18,15 +18,15 @@
 )
 
 const (
-	// MaxFrame bounds a frame in bytes: splitBytes and one line more. A line is at
-	// most three times the 64 KiB of an announcement, as decoding may replace a
-	// byte that is no UTF-8 by three.
+	// MaxFrame bounds a frame in bytes: splitBytes plus one more line. A line is at
+	// most three times the 64 KiB of an announcement, because JSON decoding may
+	// replace each byte that is not valid UTF-8 by three.
 	MaxFrame = 320 << 10
-	// splitBytes is the size from which on further lines go to another frame.
+	// splitBytes is the frame size from which on further lines go into another frame.
 	splitBytes = 64 << 10
-	// maxOutstanding bounds the frames sent and not yet echoed whose times are
-	// kept. A whole table is 38 frames at the most usual 300 bytes a line; a peer
-	// that echoes nothing for longer has a silent connection.
+	// maxOutstanding bounds the sent frames that await an echo and whose send times
+	// are kept. A complete table takes 38 frames at the most usual 300 bytes a line.
+	// A peer that leaves more frames without an echo has a silent connection.
 	maxOutstanding = 4096
 )
 
@@ -42,8 +42,8 @@
 type Session struct {
 	encoder *lineEncoder
 	decoder lineDecoder
-	// sent is the number of the last frame sent, and times when those after
-	// base were made.
+	// sent is the number of the last frame sent. sentTimes holds the times at which
+	// the frames after number base were made.
 	sent, base uint64
 	sentTimes  []time.Time
 	lastEcho   uint64
@@ -55,11 +55,12 @@
 // NewSession returns a session whose dictionaries are empty.
 func NewSession() *Session { return &Session{encoder: newLineEncoder()} }
 
-// CanDate tells whether the peer could date lines sent now: a frame of the peer
-// must have arrived to be echoed.
+// CanDate reports whether the peer could date lines that are sent now. This requires
+// an echo, so at least one frame of the peer must have arrived.
 func (s *Session) CanDate() bool { return s.received > 0 }
 
-// Frames returns the bytes of one frame or more with these lines, made now.
+// Frames returns the bytes of one or more frames that carry these lines and are made
+// at now.
 func (s *Session) Frames(now time.Time, lines []evidence.Heard) ([]byte, error) {
 	var out []byte
 	for {
@@ -84,10 +85,11 @@
 	}
 }
 
-// head numbers the next frame, remembers when it was made, and begins it.
+// beginFrame assigns the next frame number, records when the frame is made, and
+// returns the fields before its lines.
 func (s *Session) beginFrame(now time.Time) ([]byte, error) {
 	if len(s.sentTimes) >= maxOutstanding {
-		return nil, errors.Annotate(ErrEcho, "no echo")
+		return nil, errors.Annotate(ErrEcho, "too many frames without an echo")
 	}
 	s.sent++
 	s.sentTimes = append(s.sentTimes, now)
@@ -102,10 +104,10 @@
 	return b, nil
 }
 
-// Received is what a frame says.
+// Received is the content of a frame.
 type Received struct {
-	// Made is a time, by the receiver's clock, at which the peer had surely not
-	// made the frame yet; zero when the peer had received nothing.
+	// Made is a lower bound, by the receiver's clock, for the time at which the peer
+	// made the frame. It is zero if the peer had received no frame yet.
 	Made  time.Time
 	Lines []evidence.Heard
 }
@@ -115,12 +117,13 @@
 	lines              [][]byte
 }
 
-// Receive reads the body of one frame that arrived now.
+// Receive decodes the body of one frame that arrived at now.
 //
-// Failure: a frame is held up on its way for seconds and its lines look fresh
-// on arrival. The peer made it after it had got the frame that it echoes, and
-// held that one for as long as it says; so the time of sending that frame plus
-// the time held is never after the making, however long either way took.
+// Failure: a frame is delayed on the network for seconds, and its lines appear fresh on
+// arrival. The peer made the frame after it had received the frame that it echoes, and
+// states for how long it had held that one. The send time of the echoed frame plus the
+// time held is therefore never later than the making of the new frame, however long
+// either transmission took.
 func (s *Session) Receive(now time.Time, body []byte) (Received, error) {
 	var f frame
 	if err := eachField(body, frameLine, f.read); err != nil {
@@ -165,8 +168,8 @@
 	return v.malformed()
 }
 
-// date returns the earliest time at which the peer can have made a frame with
-// this echo, held for so many milliseconds.
+// earliestMade returns the earliest time at which the peer can have made a frame that
+// echoes frame number echo, which the peer has held for held milliseconds.
 func (s *Session) earliestMade(now time.Time, echo, held uint64) (time.Time, error) {
 	if echo == 0 && s.lastEcho == 0 {
 		return time.Time{}, nil
@@ -178,7 +181,7 @@
 	s.base, s.lastEcho = echo-1, echo
 	made := s.sentTimes[0].Add(time.Duration(held) * time.Millisecond)
 	if made.After(now) {
-		// The peer's clock runs faster than this one.
+		// The peer's clock runs faster than the local clock.
 		made = now
 	}
 	return made, nil
--- a/internal/evidence/wire/session_test.go
+++ b/internal/evidence/wire/session_test.go
@@ -20,7 +20,7 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// bodies takes the length prefixes off.
+// bodies splits data into frames and removes their length prefixes.
 func bodies(t *testing.T, data []byte) [][]byte {
 	t.Helper()
 	var list [][]byte
@@ -32,7 +32,7 @@
 	return list
 }
 
-// send makes frames at sent and receives them at arrived.
+// send makes frames at the time sent and receives them at the time arrived.
 func send(t *testing.T, from, to *Session, sent, arrived time.Time, lines ...evidence.Heard) Received {
 	t.Helper()
 	data, err := from.Frames(sent, lines)
@@ -54,9 +54,9 @@
 	}
 }
 
-// A dead member is routed to. The frame that says it lives was held up for ten
-// seconds on its way; dated by its echo it is as old as it is.
-func TestAHeldUpFrameIsOld(t *testing.T) {
+// Failure: requests are routed to a dead member because the frame that reports it alive
+// was delayed for ten seconds. Dated by its echo, the frame has its true age.
+func TestDelayedFrameIsOld(t *testing.T) {
 	a, b := NewSession(), NewSession()
 	send(t, b, a, at(0), at(40))
 	got := send(t, a, b, at(140), at(10_000), line("vm", 1))
@@ -64,9 +64,9 @@
 	assert.Equal(t, len(got.Lines), 1)
 }
 
-// One direction is cut: a goes on sending and hears nothing, so it echoes the
-// same frame again and again. Its frames still are as fresh as they are.
-func TestAnOldEchoDatesByTheTimeHeld(t *testing.T) {
+// One direction is lost: a keeps sending and receives nothing, so it echoes the same
+// frame repeatedly. The time held must still give its frames their true age.
+func TestRepeatedEchoIsDatedByTheTimeHeld(t *testing.T) {
 	a, b := NewSession(), NewSession()
 	send(t, b, a, at(0), at(40))
 	for ms := 100; ms < 2000; ms += 300 {
@@ -79,8 +79,8 @@
 	assert.Equal(t, fast.Made, at(5000), "never later than the arrival")
 }
 
-// An ordinary heartbeat says nothing but that the VM lives.
-func TestAnOrdinaryLineIsShort(t *testing.T) {
+// A heartbeat without changes must take only a few bytes.
+func TestUnchangedLineIsShort(t *testing.T) {
 	e := newLineEncoder()
 	for n := range 200 {
 		_, err := e.encode(line(fmt.Sprint("vm-", n), 1))
@@ -92,8 +92,8 @@
 	assert.Assert(t, inFrame >= 6 && inFrame <= 12, "%d bytes", inFrame)
 }
 
-// After a reconnect nothing of the old connection may be needed.
-func TestANewSessionNamesEverythingAfresh(t *testing.T) {
+// A new session must not depend on values sent over an earlier connection.
+func TestNewSessionSendsCompleteLines(t *testing.T) {
 	for range 2 {
 		a, b := NewSession(), NewSession()
 		send(t, b, a, at(0), at(0))
@@ -106,8 +106,8 @@
 	}
 }
 
-// A whole table goes out in frames that the other side takes.
-func TestAWholeTableIsSplitIntoFrames(t *testing.T) {
+// A complete table must be split into frames that the other side accepts.
+func TestCompleteTableIsSplitIntoFrames(t *testing.T) {
 	a, b := NewSession(), NewSession()
 	send(t, b, a, at(0), at(0))
 	var lines []evidence.Heard
@@ -122,8 +122,8 @@
 	assert.Assert(t, errors.Is(err, ErrDictionaryFull))
 }
 
-// Bytes of a broken or foreign process must end the connection, neither the
-// process nor the truth.
+// Invalid bytes of a faulty or unrelated process must end the connection. They must
+// neither crash the process nor alter its evidence.
 func TestMalformedFramesAreRefused(t *testing.T) {
 	echoed := putUint(putUint(nil, frameNumber, 1), frameEcho, 1)
 	withLine := func(b []byte) []byte { return putBytes(bytes.Clone(echoed), frameLine, b) }
@@ -137,15 +137,15 @@
 		{"empty", nil, ErrMalformed},
 		{"cut short", []byte{0x08}, ErrMalformed},
 		{"no tag", []byte{0xff}, ErrMalformed},
-		{"a number left out", putUint(nil, frameNumber, 2), ErrMalformed},
+		{"a frame number skipped", putUint(nil, frameNumber, 2), ErrMalformed},
 		{"a field twice", putUint(putUint(nil, frameNumber, 1), frameNumber, 1), ErrMalformed},
 		{"an unknown field", putUint(bytes.Clone(echoed), 9, 1), ErrMalformed},
 		{"a wrong type", putString(nil, frameNumber, "1"), ErrMalformed},
-		{"an echo of what was not sent", putUint(putUint(nil, frameNumber, 1), frameEcho, 2), ErrEcho},
+		{"an echo of a frame that was not sent", putUint(putUint(nil, frameNumber, 1), frameEcho, 2), ErrEcho},
 		{"a time held that overflows", putUint(bytes.Clone(echoed), frameHeld, 1<<62), ErrEcho},
 		{"lines without an echo", putBytes(putUint(nil, frameNumber, 1), frameLine, full), ErrMalformed},
-		{"a number not named", withLine(putUint(nil, lineRef, 1)), ErrMalformed},
-		{"a number skipped", withLine(putString(putUint(putUint(nil, lineRef, 2), lineKind, 0), lineID, "vm")), ErrMalformed},
+		{"a server number without an id", withLine(putUint(nil, lineRef, 1)), ErrMalformed},
+		{"a server number skipped", withLine(putString(putUint(putUint(nil, lineRef, 2), lineKind, 0), lineID, "vm")), ErrMalformed},
 		{"an unknown kind", withLine(putString(putUint(putUint(nil, lineRef, 1), lineKind, 2), lineID, "vm")), ErrMalformed},
 		{"no incarnation", withLine(named), ErrMalformed},
 		{"an age that overflows", withLine(putUint(putUint(nil, lineRef, 1), lineAge, 1<<62)), ErrMalformed},
@@ -182,8 +182,8 @@
 	}
 }
 
-// pair is two tables that exchange over sessions, beside a third one that
-// merges the same digests directly, dated by when they were made.
+// pair is two tables that exchange digests over sessions, and a third table that
+// merges the same digests directly, dated by the time at which they were made.
 type pair struct {
 	t                    *testing.T
 	r                    *rand.Rand
@@ -219,7 +219,7 @@
 	p.sender.Hear(at(p.now), "a", a)
 }
 
-// exchange sends one frame each way; a lost one ends the connection.
+// exchange sends one frame each way. A lost frame ends the connection.
 func (p *pair) exchange() {
 	made := at(p.now)
 	lines, next := p.sender.Digest(made, p.cursor)
@@ -233,7 +233,7 @@
 	}
 	p.now += p.r.IntN(400)
 	got := send(p.t, p.a, p.b, made, at(p.now), lines...)
-	assert.Assert(p.t, !got.Made.After(made), "dated after it was made")
+	assert.Assert(p.t, !got.Made.After(made), "dated later than made")
 	p.viaWire.Merge(got.Made, "a", got.Lines)
 	p.directCursor = nextDirect
 	p.direct.Merge(made, "a", directLines)
@@ -241,9 +241,9 @@
 	p.now += 100
 }
 
-// What an entry knows by the compact exchange is what it would know from the
-// whole digests, and never fresher, through lost frames and new connections.
-func TestRandomExchangesEqualWholeDigests(t *testing.T) {
+// The compact exchange must give an entry the same evidence as complete digests, and
+// never with a later time, despite lost frames and new connections.
+func TestRandomExchangesEqualCompleteDigests(t *testing.T) {
 	for seed := range uint64(200) {
 		p := &pair{
 			t: t, r: rand.New(rand.NewPCG(seed, 7)), sender: evidence.NewTable("a", 1),
@@ -275,7 +275,7 @@
 	assert.Equal(p.t, p.viaWire.Witnesses(at(p.now), time.Hour), p.direct.Witnesses(at(p.now), time.Hour))
 }
 
-func TestTheLengthIsAVarint(t *testing.T) {
+func TestLengthPrefixIsAVarint(t *testing.T) {
 	data, err := NewSession().Frames(at(0), nil)
 	assert.NilError(t, err)
 	size, n := binary.Uvarint(data)
--- a/internal/evidence/wire/values.go
+++ b/internal/evidence/wire/values.go
@@ -20,7 +20,7 @@
 	loadAge
 )
 
-// putLoad writes what differs from the last load.
+// putLoad appends the fields that differ from the last load.
 func putLoad(b []byte, last, l *backend.Load) []byte {
 	if last == nil {
 		last = &backend.Load{}
@@ -43,7 +43,7 @@
 	return putUint(b, number, protowire.EncodeZigZag(int64(v)))
 }
 
-// readLoad reads what differs from the last load.
+// readLoad decodes a load; omitted fields have the values of the last load.
 func readLoad(b []byte, last *backend.Load) (*backend.Load, error) {
 	l := &backend.Load{}
 	if last != nil {
