--- a/internal/backend/http_client.go
+++ b/internal/backend/http_client.go
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	if x.response.StatusCode != http.StatusOK {
-		return nil, c.refused(address, x)
+		return nil, c.refusalError(address, x)
 	}
 	return newSSEStream(x, c.options.MaxLine), nil
 }
@@ -53,7 +53,7 @@
 		return err
 	}
 	if x.response.StatusCode != http.StatusOK {
-		return c.refused(address, x)
+		return c.refusalError(address, x)
 	}
 	_, _ = c.readReply(x)
 	return nil
@@ -66,7 +66,7 @@
 		return OrderReply{}, err
 	}
 	if x.response.StatusCode != http.StatusOK {
-		return OrderReply{}, c.refused(address, x)
+		return OrderReply{}, c.refusalError(address, x)
 	}
 	body, err := c.readReply(x)
 	if err != nil {
@@ -80,12 +80,12 @@
 	return reply, nil
 }
 
-func (c *HTTPClient) post(ctx context.Context, address, path string, message any) (*exchange, error) {
+func (c *HTTPClient) post(ctx context.Context, address, path string, message any) (*httpExchange, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return nil, &CallError{Address: address, Sent: SentNothing, Cause: errors.Trace(err)}
 	}
-	r := outgoing{
+	r := outgoingRequest{
 		address: address,
 		method:  http.MethodPost,
 		path:    path,
@@ -97,7 +97,7 @@
 
 // refused reads an answer other than 200. Only an explicit "started": false
 // proves that nothing ran: a 5xx may come from a process that failed halfway.
-func (c *HTTPClient) refused(address string, x *exchange) error {
+func (c *HTTPClient) refusalError(address string, x *httpExchange) error {
 	e := &CallError{
 		Address: address, Sent: SentUnknown, Status: x.response.StatusCode, RateLimit: rateLimitOf(x.response.Header),
 	}
@@ -117,22 +117,22 @@
 	e.Busy = r.Busy
 	e.RetryAfter = time.Duration(max(r.RetryAfterMillis, 0)) * time.Millisecond
 	if r.Message != "" {
-		e.Cause = &engineMessage{r.Message}
+		e.Cause = &serverMessage{r.Message}
 	}
 	_ = level.Debug(c.options.Logger).Log("msg", "backend server refused", "address", address,
 		"status", e.Status, "sent", e.Sent, "busy", e.Busy)
 	return e
 }
 
-// engineMessage is what a backend server gave as its reason.
-type engineMessage struct{ text string }
+// serverMessage is what a backend server gave as its reason.
+type serverMessage struct{ text string }
 
 // Error returns the backend server's own words.
-func (m *engineMessage) Error() string { return m.text }
+func (m *serverMessage) Error() string { return m.text }
 
 // readReply reads a short body whole, within MaxReply and HeaderTimeout, and
 // ends the exchange.
-func (c *HTTPClient) readReply(x *exchange) ([]byte, error) {
+func (c *HTTPClient) readReply(x *httpExchange) ([]byte, error) {
 	stop := startTimer(c.options.HeaderTimeout, func() { x.cancel(errHeaderTimeout) })
 	defer stop()
 	defer x.cancel(nil)
--- a/internal/backend/http_client_test.go
+++ b/internal/backend/http_client_test.go
@@ -111,11 +111,11 @@
 // one runs after all. The call had failed before a byte was written, and the
 // writer, still at work, wrote it afterwards. A sealed connection refuses that.
 func TestSealedConnectionWritesNothingMore(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer func() { _ = theirs.Close() }()
-	conn := &sealedConn{Conn: ours}
-	mark := conn.mark()
-	assert.Assert(t, !conn.seal(mark))
+	local, remote := net.Pipe()
+	defer func() { _ = remote.Close() }()
+	conn := &sealedConn{Conn: local}
+	before := conn.writeCount()
+	assert.Assert(t, !conn.seal(before))
 	_, err := conn.Write([]byte("late"))
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
--- a/internal/backend/exchange.go
+++ b/internal/backend/http_exchange.go
@@ -15,25 +15,25 @@
 const errHeaderTimeout = errors.ConstError("no response header in time")
 
 // exchange is one HTTP request and its response. cancel ends it at any time.
-type exchange struct {
+type httpExchange struct {
 	response *http.Response
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
 }
 
-// onceBody is a request body without a way to rewind it.
+// nonRewindableBody is a request body without a way to rewind it.
 //
 // The failure guarded against: net/http resends a request by itself when a
 // reused connection breaks, if the request has no body or a body that it can
 // rewind, and so runs it twice. A body that is present, even when empty, and
 // can't be rewound (http.Request.GetBody is nil) makes that impossible.
-type onceBody struct{ io.Reader }
+type nonRewindableBody struct{ io.Reader }
 
-func (onceBody) Close() error { return nil }
+func (nonRewindableBody) Close() error { return nil }
 
 // send makes one request on one connection. headerTimeout 0 leaves the wait
 // for the header to ctx.
-func (c *HTTPClient) send(ctx context.Context, r outgoing, headerTimeout time.Duration) (*exchange, error) {
+func (c *HTTPClient) send(ctx context.Context, r outgoingRequest, headerTimeout time.Duration) (*httpExchange, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var used usedConn
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: used.got})
@@ -50,21 +50,21 @@
 	if err != nil {
 		sent := used.sent()
 		cause := causeOf(ctx, err)
-		c.suspect(ctx, r.address, used)
+		c.retireIfSilent(ctx, r.address, used)
 		cancel(nil)
 		return nil, &CallError{Address: r.address, Sent: sent, Cause: cause}
 	}
-	return &exchange{response: response, ctx: ctx, cancel: cancel}, nil
+	return &httpExchange{response: response, ctx: ctx, cancel: cancel}, nil
 }
 
-func (c *HTTPClient) transportFor(r outgoing) *http.Transport {
+func (c *HTTPClient) transportFor(r outgoingRequest) *http.Transport {
 	if r.fresh {
 		return c.transports.fresh
 	}
 	return c.transports.get(r.address)
 }
 
-// suspect retires an address's idle connections after a pooled one has
+// retireIfSilent retires an address's idle connections after a pooled one has
 // brought no header until the call was given up.
 //
 // The failure guarded against: a middlebox has lost track of the open
@@ -72,8 +72,8 @@
 // would hang on the next idle connection until its own deadline. When the
 // service was only slow, this costs a few new connections; a call given up
 // within SuspectAfter says nothing.
-func (c *HTTPClient) suspect(ctx context.Context, address string, used usedConn) {
-	if used.reused && ctx.Err() != nil && time.Since(used.since) >= c.options.SuspectAfter {
+func (c *HTTPClient) retireIfSilent(ctx context.Context, address string, used usedConn) {
+	if used.isReused && ctx.Err() != nil && time.Since(used.gotAt) >= c.options.SuspectAfter {
 		c.transports.retire(address)
 	}
 }
@@ -81,40 +81,40 @@
 // usedConn remembers the connection of a request. RoundTrip calls got in its
 // own goroutine and returns later, so no lock is needed.
 type usedConn struct {
-	conn *sealedConn
-	mark uint64
+	conn         *sealedConn
+	writesBefore uint64
 	// foreign is a connection of a kind that can prove nothing.
-	foreign bool
+	isUnsealed bool
 	// reused says that the connection came from the pool.
-	reused bool
-	since  time.Time
+	isReused bool
+	gotAt    time.Time
 }
 
 func (u *usedConn) got(info httptrace.GotConnInfo) {
-	u.reused = info.Reused
-	u.since = time.Now()
+	u.isReused = info.Reused
+	u.gotAt = time.Now()
 	conn, ok := info.Conn.(*sealedConn)
 	if !ok {
-		u.foreign = true
+		u.isUnsealed = true
 		return
 	}
 	u.conn = conn
-	u.mark = conn.mark()
+	u.writesBefore = conn.writeCount()
 }
 
 // sent ends the connection and tells how far the request got on it.
 func (u *usedConn) sent() Sent {
-	if u.foreign {
+	if u.isUnsealed {
 		return SentUnknown
 	}
-	if u.conn == nil || !u.conn.seal(u.mark) {
+	if u.conn == nil || !u.conn.seal(u.writesBefore) {
 		return SentNothing
 	}
 	return SentUnknown
 }
 
-// outgoing is a request to a backend server.
-type outgoing struct {
+// outgoingRequest is a request to a backend server.
+type outgoingRequest struct {
 	address string
 	method  string
 	path    string
@@ -127,8 +127,8 @@
 	opaque, host string
 }
 
-func (r outgoing) build(ctx context.Context) (*http.Request, error) {
-	body := onceBody{bytes.NewReader(r.body)}
+func (r outgoingRequest) build(ctx context.Context) (*http.Request, error) {
+	body := nonRewindableBody{bytes.NewReader(r.body)}
 	request, err := http.NewRequestWithContext(ctx, r.method, "http://"+r.address+r.path, body)
 	if err != nil {
 		return nil, errors.Annotate(err, "building the request")
--- a/internal/backend/http_service.go
+++ b/internal/backend/http_service.go
@@ -18,7 +18,7 @@
 
 // Call makes one attempt at a call of a plain service.
 func (c *HTTPClient) Call(ctx context.Context, address string, s ServiceCall) (*ServiceAnswer, error) {
-	r := outgoing{
+	r := outgoingRequest{
 		address: address,
 		method:  s.Method,
 		path:    s.Path,
@@ -54,7 +54,7 @@
 
 // checkAnswer finds a call that the service says it did not start, and an
 // answer whose end could not be told from a cut.
-func checkAnswer(address string, r *http.Response, unframed bool) error {
+func checkAnswer(address string, r *http.Response, allowUnframed bool) error {
 	if r.Header.Get(HeaderStarted) == StartedNo {
 		return &CallError{
 			Address: address,
@@ -69,7 +69,7 @@
 	// An answer that announces neither its length nor chunks ends with the
 	// connection, so a cut one looks whole.
 	bodyless := r.Request.Method == http.MethodHead
-	if r.ContentLength < 0 && len(r.TransferEncoding) == 0 && !bodyless && !unframed {
+	if r.ContentLength < 0 && len(r.TransferEncoding) == 0 && !bodyless && !allowUnframed {
 		cause := errors.Annotate(ErrMalformed, "answer announces no end")
 		return &CallError{Address: address, Sent: SentUnknown, Status: r.StatusCode, Cause: cause}
 	}
@@ -93,7 +93,7 @@
 }
 
 // answerBody returns ErrCut for a body that ends before its announced end.
-type answerBody struct{ exchange *exchange }
+type answerBody struct{ exchange *httpExchange }
 
 // Read reads the answer; any end but the announced one is ErrCut, or the
 // reason for which the call's context ended.
--- a/internal/backend/sealed_conn.go
+++ b/internal/backend/sealed_conn.go
@@ -40,17 +40,17 @@
 }
 
 // mark returns how many writes there were before a call.
-func (c *sealedConn) mark() uint64 {
+func (c *sealedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
 // seal ends the connection and tells whether any write began since mark.
-func (c *sealedConn) seal(mark uint64) (wrote bool) {
+func (c *sealedConn) seal(before uint64) (wrote bool) {
 	c.mu.Lock()
 	c.sealed = true
-	wrote = c.writes != mark
+	wrote = c.writes != before
 	c.mu.Unlock()
 	_ = c.Close()
 	return wrote
--- a/internal/backend/sse_stream.go
+++ b/internal/backend/sse_stream.go
@@ -27,17 +27,17 @@
 // sseStream reads the events of one generation. Each event is one "data:"
 // line; a line that begins with a colon is a keep-alive.
 type sseStream struct {
-	exchange *exchange
+	exchange *httpExchange
 	reader   *bufio.Reader
 	maxLine  int
-	long     []byte
+	longLine []byte
 	// ended and closed are atomic so that Close may come from another
 	// goroutine than Next.
 	ended  atomic.Bool
 	closed atomic.Bool
 }
 
-func newSSEStream(x *exchange, maxLine int) *sseStream {
+func newSSEStream(x *httpExchange, maxLine int) *sseStream {
 	return &sseStream{
 		exchange: x,
 		reader:   bufio.NewReaderSize(x.response.Body, streamBuffer),
@@ -54,20 +54,20 @@
 		return Token{}, io.EOF
 	}
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
 			return Token{}, err
 		}
 		switch {
 		case bytes.HasPrefix(line, dataPrefix):
-			return s.event(line[len(dataPrefix):])
+			return s.decodeEvent(line[len(dataPrefix):])
 		case len(line) > 0 && line[0] == ':':
 			return Token{KeepAlive: true}, nil
 		}
 	}
 }
 
-func (s *sseStream) event(data []byte) (Token, error) {
+func (s *sseStream) decodeEvent(data []byte) (Token, error) {
 	var t Token
 	if err := json.Unmarshal(data, &t); err != nil {
 		return Token{}, errors.Annotate(ErrMalformed, err.Error())
@@ -79,19 +79,19 @@
 // line returns the next line without its end. The failure guarded against is
 // an engine that sends a line without end: past maxLine the stream fails
 // instead of taking memory.
-func (s *sseStream) line() ([]byte, error) {
-	s.long = s.long[:0]
+func (s *sseStream) readLine() ([]byte, error) {
+	s.longLine = s.longLine[:0]
 	for {
 		part, err := s.reader.ReadSlice('\n')
-		if len(s.long)+len(part) > s.maxLine {
+		if len(s.longLine)+len(part) > s.maxLine {
 			return nil, errors.Trace(ErrLineTooLong)
 		}
-		if err == nil && len(s.long) == 0 {
+		if err == nil && len(s.longLine) == 0 {
 			return trimEnd(part), nil
 		}
-		s.long = append(s.long, part...)
+		s.longLine = append(s.longLine, part...)
 		if err == nil {
-			return trimEnd(s.long), nil
+			return trimEnd(s.longLine), nil
 		}
 		if err != bufio.ErrBufferFull {
 			return nil, cutError(s.exchange.ctx, err)
--- a/internal/backend/transports.go
+++ b/internal/backend/transports.go
@@ -40,7 +40,7 @@
 	defer t.mu.Unlock()
 	at, ok := t.byAddress[address]
 	if !ok {
-		t.forgetUnused(now)
+		t.dropUnused(now)
 		at = &addressTransport{transport: t.build()}
 		t.byAddress[address] = at
 	}
@@ -50,7 +50,7 @@
 
 // forgetUnused bounds the map by the addresses in use: backend servers come
 // back under new addresses for as long as the process lives.
-func (t *transports) forgetUnused(now time.Time) {
+func (t *transports) dropUnused(now time.Time) {
 	for address, at := range t.byAddress {
 		if now.Sub(at.lastUsed) > t.options.ForgetAfter {
 			at.transport.CloseIdleConnections()
