--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// FencingToken orders the orders that engines get. A later leader has a
-// higher Term; a later group on the same VM has a higher Epoch.
+// FencingToken determines which of two orders to an engine is newer. A later leader
+// has a higher Term; a later group on the same VM has a higher Epoch.
 type FencingToken struct {
 	Term  uint64 `json:"term"`
 	Epoch uint64 `json:"epoch"`
 }
 
-// Less tells whether t is older than o.
+// Less reports whether t is older than o.
 func (t FencingToken) Less(o FencingToken) bool {
 	if t.Term != o.Term {
 		return t.Term < o.Term
@@ -23,32 +23,32 @@
 	return t.Epoch < o.Epoch
 }
 
-// OrderKind names what an engine is told to do.
+// OrderKind is the operation that an order requests of an engine.
 type OrderKind string
 
-// The orders. Each is idempotent under one fencing token.
+// The kinds of orders. Each order is idempotent under one fencing token.
 const (
 	// OrderLoad makes the engine member Rank of a group and load the weights.
 	OrderLoad OrderKind = "load"
 	// OrderRelease makes the engine leave its group.
 	OrderRelease OrderKind = "release"
-	// OrderOpen makes the head of a group whose members are all ready take
-	// requests. OrderClose ends that: at once, or with Finish set once the
-	// requests that it has are done.
+	// OrderOpen makes the head of a group whose members are all ready accept
+	// requests. OrderClose makes it stop: at once or, with Finish set, after it has
+	// finished the requests that it has.
 	OrderOpen  OrderKind = "open"
 	OrderClose OrderKind = "close"
 )
 
-// GroupMember is one VM of a serving group, as an order names it.
+// GroupMember is one VM of a serving group in an order.
 type GroupMember struct {
 	VM      string `json:"vm"`
 	Address string `json:"address"`
-	// Incarnation is the one that is to be the member.
+	// Incarnation is the engine incarnation that is to be the member.
 	Incarnation string `json:"incarnation,omitempty"`
 }
 
-// Order tells one engine what to do. Engines that check fencing refuse an
-// order whose token is older than the newest they have seen; others obey it.
+// Order is a command to one engine. Engines that check fencing refuse an order whose
+// token is older than the newest that they have received; others carry it out.
 type Order struct {
 	Kind  OrderKind    `json:"kind"`
 	Token FencingToken `json:"token"`
@@ -58,15 +58,15 @@
 	Model       string        `json:"model,omitempty"`
 	Members     []GroupMember `json:"members,omitempty"`
 	Rank        int           `json:"rank"`
-	// Finish is of OrderClose.
+	// Finish applies to OrderClose.
 	Finish bool `json:"finish,omitempty"`
 }
 
-// OrderReply is what the engine answered.
+// OrderReply is an engine's answer to an order.
 type OrderReply struct {
 	// Accepted is false when the engine refused the order as stale.
 	Accepted bool `json:"accepted"`
-	// Newest is the newest token that the engine has seen, if it checks.
+	// Newest is the newest token that the engine has received, if it checks fencing.
 	Newest FencingToken `json:"newest"`
 }
 
@@ -79,40 +79,40 @@
 	Epoch   uint64 `json:"epoch"`
 	Model   string `json:"model"`
 	Prompt  string `json:"prompt"`
-	// MaxTokens bounds the whole answer, tokens before Offset included.
+	// MaxTokens bounds the complete answer, including the tokens before Offset.
 	MaxTokens int `json:"max_tokens"`
-	// Offset is the number of tokens that the caller has already; the engine
-	// starts with the token at this offset. Generated is their text.
+	// Offset is the number of tokens that the caller already has, and Generated is
+	// their text. The engine starts with the token at this offset.
 	Offset    int    `json:"offset"`
 	Generated string `json:"generated,omitempty"`
-	// Priority is higher for more worth.
+	// Priority is higher for a request of more worth (its scheduling weight).
 	Priority int `json:"priority"`
-	// Parameters are the caller's other sampling parameters, passed as given.
+	// Parameters are the caller's other sampling parameters, passed on unchanged.
 	Parameters map[string]json.RawMessage `json:"parameters,omitempty"`
 }
 
 // Token is one event of a generation's stream.
 type Token struct {
 	Attempt string `json:"attempt"`
-	// Offset is the position of this token in the whole answer.
+	// Offset is the position of this token in the complete answer.
 	Offset int    `json:"offset"`
 	Text   string `json:"text,omitempty"`
 	// End marks the last event; Total is then the answer's token count.
 	End          bool   `json:"end,omitempty"`
 	Total        int    `json:"total,omitempty"`
 	FinishReason string `json:"finish_reason,omitempty"`
-	// KeepAlive marks an event that only says that the engine is at work.
+	// KeepAlive marks an event that only shows that the engine is working.
 	KeepAlive bool `json:"-"`
 }
 
 // TokenStream is the answer to one Generation.
 type TokenStream interface {
-	// Next returns the next event in the order of arrival, keep-alives
-	// included. It returns io.EOF only after the end mark; a stream cut
-	// before it returns ErrCut. Events are not checked otherwise.
+	// Next returns the next event in the order of arrival, including keep-alives.
+	// It returns io.EOF only after the end mark, and ErrCut if the stream ends
+	// before. It does not check events otherwise.
 	Next() (Token, error)
-	// RateLimit is how many requests a second the engine takes from all entries together;
-	// nil if it names no limit.
+	// RateLimit returns how many requests per second the engine accepts from all entries
+	// together; nil if it states no limit.
 	RateLimit() *float64
 	// Close ends the stream and its connection if it is still open.
 	Close() error
@@ -122,19 +122,19 @@
 type ServiceCall struct {
 	Attempt string
 	Method  string
-	// Path is what follows /services/NAME, with its query.
+	// Path is the part of the request's path after /services/NAME, with its query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a connection of its own. A pooled one may have gone
-	// silent; the making of a new one shows that the path works right before
+	// Fresh requests a new connection for this call. A pooled connection may be dead
+	// without notice. Making a new one shows that the network path works right before
 	// a call is sent whose unknown outcome would be final.
 	Fresh bool
-	// Verbatim passes a caller's own request on: Path and Host as they came, and
-	// an answer that ends with its connection is taken, though its end can't be
-	// told from a cut that looks like an ordinary close.
+	// Verbatim passes a caller's own request on with its Path and Host unchanged. It
+	// also accepts an answer that ends with its connection, although such an end can't
+	// be distinguished from a cut that looks like an ordinary close.
 	Verbatim bool
-	// Host is what the caller named, if Verbatim is set.
+	// Host is the caller's Host header, if Verbatim is set.
 	Host string
 }
 
@@ -146,33 +146,34 @@
 	Body   io.ReadCloser
 	// Length is the announced length of Body, or -1.
 	Length int64
-	// RateLimit is how many requests a second the service takes from all entries together;
-	// nil if it names no limit.
+	// RateLimit is how many requests per second the service accepts from all entries
+	// together; nil if it states no limit.
 	RateLimit *float64
 }
 
-// Client talks to backend servers. Each error is a *CallError.
+// Client makes calls to backend servers. Each error is a *CallError.
 type Client interface {
 	Generate(ctx context.Context, address string, g Generation) (TokenStream, error)
 	Cancel(ctx context.Context, address, attempt string) error
 	Order(ctx context.Context, address string, o Order) (OrderReply, error)
 	Call(ctx context.Context, address string, c ServiceCall) (*ServiceAnswer, error)
-	// Retire closes the idle connections to address: after one connection
-	// has gone silent its siblings are suspect too.
+	// Retire closes the idle connections to address: after one connection has gone
+	// silent, the others are likely to be dead as well.
 	Retire(address string)
 }
 
-// Sent says how far a failed call got.
+// Sent is the stage that a failed call reached.
 type Sent int
 
 // The stages of a call. Only SentNothing and SentRefused prove that the
 // request did not run.
 const (
-	// SentNothing: no connection was made, so no byte was sent.
+	// SentNothing means that no byte of the request was sent.
 	SentNothing Sent = iota
-	// SentRefused: the backend server said that it did not start the request.
+	// SentRefused means that the backend server reported that it did not start the
+	// request.
 	SentRefused
-	// SentUnknown: the request, or part of it, may have arrived.
+	// SentUnknown means that the request, or part of it, may have arrived.
 	SentUnknown
 )
 
@@ -180,19 +181,19 @@
 type CallError struct {
 	Address string
 	Sent    Sent
-	// Status is the HTTP status, or 0 when no answer came.
+	// Status is the HTTP status, or 0 if no answer arrived.
 	Status int
-	// Busy says that the backend server refused for want of room.
+	// Busy is set if the backend server refused for lack of capacity.
 	Busy bool
-	// RetryAfter is what the backend server asked for, or 0.
+	// RetryAfter is the wait that the backend server requested, or 0.
 	RetryAfter time.Duration
-	// RateLimit is how many requests a second the backend server takes from all entries
-	// together; nil if it names no limit or gave no answer.
+	// RateLimit is how many requests per second the backend server accepts from all
+	// entries together; nil if it states no limit or gave no answer.
 	RateLimit *float64
 	Cause     error
 }
 
-// Error returns the address, the stage and the cause.
+// Error returns the address, the stage and the cause as text.
 func (e *CallError) Error() string {
 	text := "backend server " + e.Address + ": " + e.Sent.String()
 	if e.Cause != nil {
@@ -204,7 +205,7 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// String returns the stage in words.
+// String returns a description of the stage.
 func (s Sent) String() string {
 	switch s {
 	case SentNothing:
--- a/internal/backend/errors.go
+++ b/internal/backend/errors.go
@@ -2,10 +2,11 @@
 
 import "github.com/juju/errors"
 
-// ErrCut is returned by a stream that ended before its end mark.
+// ErrCut is returned for a stream that ended before its end mark, and for a body that
+// ended before its announced length.
 const ErrCut = errors.ConstError("stream cut before its end mark")
 
-// ErrLineTooLong is returned by a stream whose line is over the limit.
+// ErrLineTooLong is returned for a stream with a line longer than Options.MaxLine.
 const ErrLineTooLong = errors.ConstError("stream line over the limit")
 
 // ErrMalformed is returned for an answer that does not follow the protocol.
--- a/internal/backend/forward.go
+++ b/internal/backend/forward.go
@@ -7,13 +7,12 @@
 	"time"
 )
 
-// ForwardCall is one attempt at a caller's HTTP request that is passed on as it
-// came.
+// ForwardCall is one attempt to forward a caller's HTTP request unchanged.
 type ForwardCall struct {
-	// ID is the caller's own id of its request.
+	// ID is the request id that the caller chose.
 	ID      string
 	Address string
-	// Incarnation is the only one that may run the request.
+	// Incarnation is the only incarnation that may run the request.
 	Incarnation string
 	Method      string
 	Host        string
@@ -21,53 +20,52 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Workspace is whose key the request carried; empty on a public route.
+	// Workspace is the owner of the key that the request carried; empty on a public
+	// route.
 	Workspace string
-	// TimeLeft is how long the answer is of use.
+	// TimeLeft is the time until the request's deadline.
 	TimeLeft time.Duration
-	// Rank orders the engine's own queue, 0 first.
+	// Rank orders requests in the engine's own queue; rank 0 is served first.
 	Rank int
-	// Resume asks a stream to go on after the event ResumeAfter.
+	// Resume requests that a stream continue after the event ResumeAfter.
 	Resume      bool
 	ResumeAfter uint64
-	// Fresh asks for a connection of its own, see ServiceCall.Fresh.
+	// Fresh requests a new connection, see ServiceCall.Fresh.
 	Fresh bool
 }
 
-// ForwardAnswer is the head of the answer to a ForwardCall. Whoever gets it
-// closes Body.
+// ForwardAnswer is the head of the answer to a ForwardCall. The caller must close Body.
 type ForwardAnswer struct {
 	Status int
 	Header http.Header
-	// Body ends with io.EOF only where the answer was not cut.
+	// Body ends with io.EOF only if the answer was not cut.
 	Body io.ReadCloser
 	// Length is the announced length of Body, or -1.
 	Length int64
-	// NotRun says that the backend server did not run the request and never
-	// will.
+	// NotRun is set if the backend server did not run the request and never will.
 	NotRun bool
-	// OtherServer says that another backend server has the address by now.
+	// OtherServer is set if another backend server now has the address.
 	OtherServer bool
-	// Foreign says that the answer is that of another request.
+	// Foreign is set if the answer belongs to another request.
 	Foreign bool
-	// Proven says that the answer carries the proof of having been made by a
-	// backend server for this request.
+	// Proven is set if the answer carries proof that a backend server made it for
+	// this request.
 	Proven bool
-	// AtFault names the incarnation that the refusal is due to, if any.
+	// AtFault is the incarnation that caused the refusal, if any.
 	AtFault string
-	// Load is what the backend server says of itself; nil if nothing.
+	// Load is the load that the backend server reports; nil if it reports none.
 	Load *ServerLoad
-	// RateLimit is how many requests a second the backend server takes from all
-	// entries together; nil if the answer names no limit.
+	// RateLimit is how many requests per second the backend server accepts from all
+	// entries together; nil if the answer states no limit.
 	RateLimit *float64
 }
 
-// ServerLoad is a backend server's load as its answers state it.
+// ServerLoad is the load that a backend server reports in its answers.
 type ServerLoad struct {
 	Running, Queued, Slots int
 }
 
-// Forwarder passes callers' HTTP requests on. Each error is a *CallError.
+// Forwarder forwards callers' HTTP requests. Each error is a *CallError.
 type Forwarder interface {
 	Forward(ctx context.Context, c ForwardCall) (*ForwardAnswer, error)
 }
--- a/internal/backend/http_client.go
+++ b/internal/backend/http_client.go
@@ -11,8 +11,8 @@
 	"github.com/juju/errors"
 )
 
-// HTTPClient is the Client over HTTP/1.1 and server-sent events. It makes
-// each call once: it follows no redirect, uses no proxy and repeats nothing.
+// HTTPClient implements Client over HTTP/1.1 and server-sent events. It makes each
+// call once: it follows no redirect, uses no proxy and does not retry.
 type HTTPClient struct {
 	options    Options
 	transports *transports
@@ -26,15 +26,15 @@
 	return &HTTPClient{options: o, transports: newTransports(o)}
 }
 
-// Close closes all idle connections. Calls still open end by themselves.
+// Close closes all idle connections. It does not end open calls.
 func (c *HTTPClient) Close() { c.transports.closeAll() }
 
-// Retire closes the idle connections to address and pools none of those in
-// use; later calls make new ones.
+// Retire closes the idle connections to address. Connections in use are not returned
+// to the pool, so later calls make new ones.
 func (c *HTTPClient) Retire(address string) { c.transports.retire(address) }
 
-// Generate starts one attempt and returns its stream when the engine's
-// response header has arrived.
+// Generate starts one attempt and returns its stream once the engine's response header
+// has arrived.
 func (c *HTTPClient) Generate(ctx context.Context, address string, g Generation) (TokenStream, error) {
 	x, err := c.post(ctx, address, PathGenerate, g)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return newSSEStream(x, c.options.MaxLine), nil
 }
 
-// Cancel asks the engine to stop an attempt.
+// Cancel requests that the engine stop an attempt.
 func (c *HTTPClient) Cancel(ctx context.Context, address, attempt string) error {
 	x, err := c.post(ctx, address, PathCancel, CancelOrder{Attempt: attempt})
 	if err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Order gives one order. An order refused as stale is an answer, not an error.
+// Order sends one order. A refusal as stale is an answer, not an error.
 func (c *HTTPClient) Order(ctx context.Context, address string, o Order) (OrderReply, error) {
 	x, err := c.post(ctx, address, PathOrders, o)
 	if err != nil {
@@ -95,8 +95,9 @@
 	return c.send(ctx, r, c.options.HeaderTimeout)
 }
 
-// refused reads an answer other than 200. Only an explicit "started": false
-// proves that nothing ran: a 5xx may come from a process that failed halfway.
+// refusalError reads an answer other than 200 and returns its CallError. Only an
+// explicit "started": false proves that nothing ran: a 5xx may come from a process that
+// failed during the run.
 func (c *HTTPClient) refusalError(address string, x *httpExchange) error {
 	e := &CallError{
 		Address: address, Sent: SentUnknown, Status: x.response.StatusCode, RateLimit: rateLimitOf(x.response.Header),
@@ -124,13 +125,13 @@
 	return e
 }
 
-// serverMessage is what a backend server gave as its reason.
+// serverMessage is the reason that a backend server stated for its refusal.
 type serverMessage struct{ text string }
 
-// Error returns the backend server's own words.
+// Error returns the backend server's text unchanged.
 func (m *serverMessage) Error() string { return m.text }
 
-// readReply reads a short body whole, within MaxReply and HeaderTimeout, and
+// readReply reads a complete body of at most MaxReply bytes within HeaderTimeout, and
 // ends the exchange.
 func (c *HTTPClient) readReply(x *httpExchange) ([]byte, error) {
 	stop := startTimer(c.options.HeaderTimeout, func() { x.cancel(errHeaderTimeout) })
--- a/internal/backend/http_client_test.go
+++ b/internal/backend/http_client_test.go
@@ -34,7 +34,7 @@
 	return s.Listener.Addr().String()
 }
 
-// rawServer answers each connection by f.
+// rawServer accepts connections and passes each to f with its number.
 func rawServer(t *testing.T, f func(conn net.Conn, number int)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,10 +73,9 @@
 	assert.Equal(t, sentOf(t, err), SentNothing)
 }
 
-// A call of a non-idempotent service is answered "outcome unknown", though the
-// service has run it once and only once. The service read the call and closed
-// the connection without an answer; net/http would send a bodyless GET again
-// by itself on a new connection, a second run that nobody asked for.
+// Failure: a service reads a call and closes the reused connection without an answer.
+// net/http itself would resend a bodyless GET on a new connection, and the service would
+// run the call twice. The client must send the call once and report SentUnknown.
 func TestBrokenReusedConnectionIsUnknownAndNotRepeated(t *testing.T) {
 	var requests atomic.Int64
 	address := rawServer(t, func(conn net.Conn, _ int) {
@@ -107,9 +106,9 @@
 	assert.Equal(t, requests.Load(), int64(2))
 }
 
-// A caller is told "not run" and sends its transfer note again, but the first
-// one runs after all. The call had failed before a byte was written, and the
-// writer, still at work, wrote it afterwards. A sealed connection refuses that.
+// Failure: a call fails before a byte is written and is reported as not run, and the
+// caller repeats it. net/http's writing goroutine then sends the first call after all.
+// A sealed connection must refuse that write.
 func TestSealedConnectionWritesNothingMore(t *testing.T) {
 	local, remote := net.Pipe()
 	defer func() { _ = remote.Close() }()
@@ -125,10 +124,10 @@
 		body string
 		want Sent
 	}{
-		"said not started":  {`{"started":false,"busy":true,"retry_after_ms":200}`, SentRefused},
-		"said started":      {`{"started":true}`, SentUnknown},
-		"nothing said":      {`{"message":"boom"}`, SentUnknown},
-		"no JSON":           {`oops`, SentUnknown},
+		"not started":       {`{"started":false,"busy":true,"retry_after_ms":200}`, SentRefused},
+		"started":           {`{"started":true}`, SentUnknown},
+		"no started field":  {`{"message":"boom"}`, SentUnknown},
+		"not JSON":          {`oops`, SentUnknown},
 		"far over a limit":  {strings.Repeat(" ", 100<<10) + `{"started":false}`, SentUnknown},
 		"empty":             {``, SentUnknown},
 		"started is a null": {`{"started":null}`, SentUnknown},
@@ -144,7 +143,7 @@
 	}
 }
 
-func TestServiceSaysNotStarted(t *testing.T) {
+func TestServiceReportsNotStarted(t *testing.T) {
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(HeaderStarted, StartedNo)
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -209,8 +208,8 @@
 	assert.Equal(t, tokens[0].Text, text)
 }
 
-// A memo hangs for ever: the engine took the connection and never answered.
-// The header's deadline ends the attempt, and the outcome is unknown.
+// Failure: an engine accepts the connection and never answers, and the request hangs.
+// The header timeout must end the attempt with an unknown outcome.
 func TestNoHeaderInTime(t *testing.T) {
 	address := rawServer(t, func(conn net.Conn, _ int) {
 		_, _ = io.Copy(io.Discard, conn)
@@ -222,7 +221,7 @@
 	assert.ErrorIs(t, err, errHeaderTimeout)
 }
 
-func TestServiceAnswerCutIsNoEnd(t *testing.T) {
+func TestCutServiceAnswerReturnsErrCut(t *testing.T) {
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "10")
 		_, _ = io.WriteString(w, "half")
@@ -252,7 +251,7 @@
 	assert.NilError(t, answer.Body.Close())
 }
 
-func TestCallCarriesOurSecretAndNoHopHeaders(t *testing.T) {
+func TestCallCarriesClientSecretAndNoHopHeaders(t *testing.T) {
 	got := make(chan http.Header, 1)
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		got <- r.Header.Clone()
@@ -260,21 +259,21 @@
 	})
 	header := http.Header{"Authorization": {"Bearer caller"}, "Connection": {"close"}, "X-Own": {"1"}}
 	call := ServiceCall{Attempt: "a1", Method: "POST", Path: "/p?q=1", Header: header, Body: []byte("b")}
-	answer, err := newClient(t, Options{Secret: "ours"}).Call(t.Context(), address, call)
+	answer, err := newClient(t, Options{Secret: "client"}).Call(t.Context(), address, call)
 	assert.NilError(t, err)
 	assert.NilError(t, answer.Body.Close())
 	assert.Equal(t, answer.Header.Get("Keep-Alive"), "")
 	sent := <-got
-	assert.Equal(t, sent.Get("Authorization"), "Bearer ours")
+	assert.Equal(t, sent.Get("Authorization"), "Bearer client")
 	assert.Equal(t, sent.Get("X-Own"), "1")
 	assert.Equal(t, sent.Get("Connection"), "")
 	assert.Equal(t, sent.Get(HeaderAttempt), "a1")
 	assert.Equal(t, header.Get("Authorization"), "Bearer caller")
 }
 
-// After one connection has gone silent, each further request waits for a
-// timeout: the next idle sibling has lost its way through the same middlebox.
-// Retire gives the address up to new connections only, and no other address.
+// Failure: after one connection has gone silent, each further request waits for a
+// timeout, because the other idle connections pass through the same middlebox. Retire
+// must make later calls to the address use new connections and affect no other address.
 func TestRetireDropsTheConnectionsOfOneAddress(t *testing.T) {
 	var first, second atomic.Int64
 	count := func(n *atomic.Int64) string {
@@ -309,9 +308,9 @@
 	assert.Equal(t, second.Load(), int64(1))
 }
 
-// A lookup hangs until its deadline on a pooled connection that has gone
-// silent. The next lookup must not hang on the next idle one, and a call whose
-// outcome may not stay unknown must not use the pool at all.
+// Failure: a call hangs until its deadline on a pooled connection that has gone silent.
+// The next call must not hang on the next idle connection, and a call with Fresh set
+// must not use the pool at all.
 func TestDeadlineOnAPooledConnectionRetiresIdleOnes(t *testing.T) {
 	const pooled = 4
 	var conns, hang, requests atomic.Int64
--- a/internal/backend/http_exchange.go
+++ b/internal/backend/http_exchange.go
@@ -11,28 +11,28 @@
 	"github.com/juju/errors"
 )
 
-// errHeaderTimeout is the cause of a call whose response header did not come.
+// errHeaderTimeout is the cause of a call that got no response header within the limit.
 const errHeaderTimeout = errors.ConstError("no response header in time")
 
-// exchange is one HTTP request and its response. cancel ends it at any time.
+// httpExchange is one HTTP request and its response. cancel may end it at any time.
 type httpExchange struct {
 	response *http.Response
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
 }
 
-// nonRewindableBody is a request body without a way to rewind it.
+// nonRewindableBody is a request body that can't be rewound.
 //
-// The failure guarded against: net/http resends a request by itself when a
-// reused connection breaks, if the request has no body or a body that it can
-// rewind, and so runs it twice. A body that is present, even when empty, and
-// can't be rewound (http.Request.GetBody is nil) makes that impossible.
+// Failure: when a reused connection breaks, net/http itself resends a request that
+// has no body or a body that can be rewound, and the backend server runs the request
+// twice. A body that is present, even if empty, and can't be rewound
+// (http.Request.GetBody is nil) prevents this.
 type nonRewindableBody struct{ io.Reader }
 
 func (nonRewindableBody) Close() error { return nil }
 
-// send makes one request on one connection. headerTimeout 0 leaves the wait
-// for the header to ctx.
+// send makes one request on one connection. If headerTimeout is 0, only ctx bounds the
+// wait for the response header.
 func (c *HTTPClient) send(ctx context.Context, r outgoingRequest, headerTimeout time.Duration) (*httpExchange, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var used usedConn
@@ -44,7 +44,7 @@
 	}
 	c.authorise(request)
 	stop := startTimer(headerTimeout, func() { cancel(errHeaderTimeout) })
-	//nolint:bodyclose // whoever gets the exchange closes the body
+	//nolint:bodyclose // the caller that gets the exchange closes the body
 	response, err := c.transportFor(r).RoundTrip(request)
 	stop()
 	if err != nil {
@@ -64,28 +64,28 @@
 	return c.transports.get(r.address)
 }
 
-// retireIfSilent retires an address's idle connections after a pooled one has
-// brought no header until the call was given up.
+// retireIfSilent retires the idle connections to an address after a call on a pooled
+// connection ended without a response header.
 //
-// The failure guarded against: a middlebox has lost track of the open
-// connections. A plain service sends no keep-alives, so each further call
-// would hang on the next idle connection until its own deadline. When the
-// service was only slow, this costs a few new connections; a call given up
-// within SuspectAfter says nothing.
+// Failure: a middlebox has lost its state of the open connections. A plain service
+// sends no keep-alives, so each further call would hang on the next idle connection
+// until its own deadline. If the service was merely slow, retiring costs a few new
+// connections. A call that was given up within SuspectAfter is no evidence.
 func (c *HTTPClient) retireIfSilent(ctx context.Context, address string, used usedConn) {
 	if used.isReused && ctx.Err() != nil && time.Since(used.gotAt) >= c.options.SuspectAfter {
 		c.transports.retire(address)
 	}
 }
 
-// usedConn remembers the connection of a request. RoundTrip calls got in its
-// own goroutine and returns later, so no lock is needed.
+// usedConn records the connection that a request uses. RoundTrip calls got in its own
+// goroutine before it returns, so no lock is needed.
 type usedConn struct {
 	conn         *sealedConn
 	writesBefore uint64
-	// foreign is a connection of a kind that can prove nothing.
+	// isUnsealed is set if the connection is not a sealedConn, so that nothing proves
+	// how much was sent.
 	isUnsealed bool
-	// reused says that the connection came from the pool.
+	// isReused is set if the connection came from the pool.
 	isReused bool
 	gotAt    time.Time
 }
@@ -102,7 +102,7 @@
 	u.writesBefore = conn.writeCount()
 }
 
-// sent ends the connection and tells how far the request got on it.
+// sent closes the connection and returns the stage that the request reached on it.
 func (u *usedConn) sent() Sent {
 	if u.isUnsealed {
 		return SentUnknown
@@ -120,10 +120,10 @@
 	path    string
 	header  http.Header
 	body    []byte
-	// fresh asks for a connection that is not from the pool.
+	// fresh requests a connection that is not from the pool.
 	fresh bool
-	// opaque, if set, is the request's target as it is to stand on the wire, and
-	// host its Host.
+	// opaque, if set, is the request target exactly as sent on the wire; host is then
+	// the Host header.
 	opaque, host string
 }
 
@@ -159,8 +159,8 @@
 	return func() { timer.Stop() }
 }
 
-// causeOf prefers the reason for which ctx ended over the error that this
-// made net/http return.
+// causeOf returns the cause for which ctx ended or, if ctx has not ended, err. Ending
+// ctx makes net/http return a less specific error.
 func causeOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return errors.Trace(cause)
--- a/internal/backend/http_service.go
+++ b/internal/backend/http_service.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the headers that apply to one connection and are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -52,8 +52,9 @@
 	}, nil
 }
 
-// checkAnswer finds a call that the service says it did not start, and an
-// answer whose end could not be told from a cut.
+// checkAnswer returns an error for a call that the service reports as not started. It
+// also refuses an answer whose end can't be distinguished from a cut, unless
+// allowUnframed is set.
 func checkAnswer(address string, r *http.Response, allowUnframed bool) error {
 	if r.Header.Get(HeaderStarted) == StartedNo {
 		return &CallError{
@@ -67,7 +68,7 @@
 		}
 	}
 	// An answer that announces neither its length nor chunks ends with the
-	// connection, so a cut one looks whole.
+	// connection, so a cut answer appears complete.
 	bodyless := r.Request.Method == http.MethodHead
 	if r.ContentLength < 0 && len(r.TransferEncoding) == 0 && !bodyless && !allowUnframed {
 		cause := errors.Annotate(ErrMalformed, "answer announces no end")
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// EndToEnd returns a copy of a header without what belongs to one connection:
-// the hop-by-hop headers of HTTP and those that Connection names.
+// EndToEnd returns a copy of h without the headers that apply to one connection: the
+// hop-by-hop headers of HTTP and those that the Connection header names.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
@@ -95,8 +96,8 @@
 // answerBody returns ErrCut for a body that ends before its announced end.
 type answerBody struct{ exchange *httpExchange }
 
-// Read reads the answer; any end but the announced one is ErrCut, or the
-// reason for which the call's context ended.
+// Read reads the answer. If the answer ends before its announced end, Read returns
+// ErrCut or, if the call's context has ended, its cause.
 func (b *answerBody) Read(p []byte) (int, error) {
 	n, err := b.exchange.response.Body.Read(p)
 	if err == nil || err == io.EOF {
--- a/internal/backend/options.go
+++ b/internal/backend/options.go
@@ -6,14 +6,14 @@
 	"github.com/go-kit/log"
 )
 
-// Options are the limits and the identity of a Client. A zero field takes the
-// default named at it.
+// Options holds the limits and the credentials of a Client. A zero field takes its
+// documented default.
 type Options struct {
 	Logger log.Logger
 	// Secret is the bearer token that orders, generations and calls carry.
 	// It is never logged.
 	Secret string
-	// DialTimeout bounds the making of a connection; default 1 s.
+	// DialTimeout bounds the time to make a connection; default 1 s.
 	DialTimeout time.Duration
 	// HeaderTimeout bounds the wait for an engine's response header, which
 	// engines send before they queue; default 3 s. A plain service's header
@@ -27,14 +27,15 @@
 	MaxHeaderBytes int64
 	// MaxIdle bounds the idle connections to one address; default 64.
 	MaxIdle int
-	// IdleTimeout ends an idle connection; default 30 s. It is shorter than
-	// the idle limits usual in middleboxes, which drop silently.
+	// IdleTimeout is how long an idle connection is kept; default 30 s. It is
+	// shorter than the idle limits usual in middleboxes, which drop connections
+	// silently.
 	IdleTimeout time.Duration
-	// SuspectAfter is how long a call on a pooled connection waits for its
-	// header before its end makes the address's idle connections suspect;
-	// default 500 ms.
+	// SuspectAfter is how long a call on a pooled connection must have waited for
+	// its response header for its end to retire the idle connections to the
+	// address; default 500 ms.
 	SuspectAfter time.Duration
-	// ForgetAfter drops what is kept for an address not used for so long;
+	// ForgetAfter is how long the connection pool of an unused address is kept;
 	// default 10 min.
 	ForgetAfter time.Duration
 }
--- a/internal/backend/paths.go
+++ b/internal/backend/paths.go
@@ -10,24 +10,24 @@
 	PathCancel   = "/v1/cancel"
 )
 
-// The headers that a call of a plain service adds to the caller's own.
+// The headers that calls of plain services add to those of the caller.
 const (
 	// HeaderAttempt carries ServiceCall.Attempt to a plain service.
 	HeaderAttempt = "Citronstep-Attempt"
-	// HeaderStarted, with the value StartedNo, is how a plain service says
-	// that it did not start a call.
+	// HeaderStarted, with the value StartedNo, states that a plain service did not
+	// start a call.
 	HeaderStarted = "Citronstep-Started"
 	// StartedNo is HeaderStarted's value for a call that was not started.
 	StartedNo = "false"
 )
 
-// HeaderRateLimit is how a backend server says, on any answer to a generation or a call,
-// how many requests a second it takes from all entries together.
+// HeaderRateLimit states how many requests per second a backend server accepts from all
+// entries together. It may appear on any answer to a generation or a call.
 const HeaderRateLimit = "Citronstep-Rate-Limit"
 
-// Refusal is the body of an engine's answer to a generation that it did not
-// start. Started must be present and false: an answer without it proves
-// nothing.
+// Refusal is the body of an engine's answer to a generation that it did not start.
+// Started must be present and false; otherwise the answer does not prove that nothing
+// ran.
 type Refusal struct {
 	Started          *bool  `json:"started"`
 	Busy             bool   `json:"busy,omitempty"`
--- a/internal/backend/prefix.go
+++ b/internal/backend/prefix.go
@@ -10,9 +10,9 @@
 // protocol's cache events. It is about 16 tokens of English text.
 const PrefixBlockBytes = 64
 
-// PrefixBlocks returns the hashes of a prompt's whole blocks. Each hash covers
-// its block and all blocks before it, so that equal hashes mean equal
-// prefixes. A last block shorter than PrefixBlockBytes has no hash.
+// PrefixBlocks returns the hashes of a prompt's complete blocks. Each hash covers its
+// block and all blocks before it, so equal hashes mean equal prefixes. A last block
+// shorter than PrefixBlockBytes has no hash.
 func PrefixBlocks(prompt string) []uint64 {
 	count := len(prompt) / PrefixBlockBytes
 	blocks := make([]uint64, 0, count)
--- a/internal/backend/rate_limit_test.go
+++ b/internal/backend/rate_limit_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a rate limit that is lost in some kind of answer.
-func TestARateLimitIsReadFromEachAnswer(t *testing.T) {
+// Failure: the rate limit is lost in one of the kinds of answers.
+func TestRateLimitIsReadFromEachAnswer(t *testing.T) {
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(HeaderRateLimit, "1.5")
 		switch r.URL.Path {
--- a/internal/backend/sealed_conn.go
+++ b/internal/backend/sealed_conn.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// sealedConn counts what was handed to the network, so that a failed call can
-// prove that nothing was sent.
+// sealedConn counts the writes to a connection, so that a failed call can prove that
+// nothing was sent.
 //
-// The failure guarded against: net/http reports an error while its writing
-// goroutine still runs, and the request goes out after we have called it not
-// sent. seal closes the connection and refuses later writes under the same
-// lock that writes hold, so the answer can't change afterwards.
+// Failure: net/http returns an error while its writing goroutine still runs, and the
+// request is sent after it was reported as not sent. seal closes the connection and
+// refuses later writes under the lock that writes take, so its result can't change
+// afterwards.
 type sealedConn struct {
 	net.Conn
 
@@ -20,8 +20,8 @@
 	sealed bool
 }
 
-// Write counts each attempt to write, also one that fails: part of it may
-// have left.
+// Write counts each attempt to write, including failed ones: a part may have been
+// sent.
 func (c *sealedConn) Write(p []byte) (int, error) {
 	if !c.beginWrite() {
 		return 0, net.ErrClosed
@@ -39,14 +39,15 @@
 	return true
 }
 
-// mark returns how many writes there were before a call.
+// writeCount returns the number of writes so far.
 func (c *sealedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal ends the connection and tells whether any write began since mark.
+// seal closes the connection and reports whether any write began since writeCount
+// returned before.
 func (c *sealedConn) seal(before uint64) (wrote bool) {
 	c.mu.Lock()
 	c.sealed = true
--- a/internal/backend/sse_stream.go
+++ b/internal/backend/sse_stream.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// streamBuffer is the read buffer of one open stream; a token event is
-	// about 100 bytes. Longer lines are gathered beside it.
+	// streamBuffer is the size in bytes of the read buffer of one open stream. A
+	// token event is about 100 bytes. Longer lines are collected in longLine.
 	streamBuffer = 1 << 10
-	// drainTimeout bounds the wait for the last chunk after the end mark.
-	// Past it the connection is closed, not pooled.
+	// drainTimeout bounds the wait for the last chunk after the end mark. After it
+	// the connection is closed, not returned to the pool.
 	drainTimeout = 250 * time.Millisecond
-	// drainBytes bounds what may follow the end mark.
+	// drainBytes bounds the bytes that may follow the end mark.
 	drainBytes = 4 << 10
 )
 
@@ -31,8 +31,8 @@
 	reader   *bufio.Reader
 	maxLine  int
 	longLine []byte
-	// ended and closed are atomic so that Close may come from another
-	// goroutine than Next.
+	// ended and closed are atomic so that Close and Next may be called from
+	// different goroutines.
 	ended  atomic.Bool
 	closed atomic.Bool
 }
@@ -45,7 +45,7 @@
 	}
 }
 
-// RateLimit is that of the answer's header. See TokenStream.
+// RateLimit returns the rate limit in the response header. See TokenStream.
 func (s *sseStream) RateLimit() *float64 { return rateLimitOf(s.exchange.response.Header) }
 
 // Next returns the next event. See TokenStream.
@@ -76,9 +76,10 @@
 	return t, nil
 }
 
-// line returns the next line without its end. The failure guarded against is
-// an engine that sends a line without end: past maxLine the stream fails
-// instead of taking memory.
+// readLine returns the next line without its line ending.
+//
+// Failure: an engine sends an endless line that takes all memory. The stream fails
+// after maxLine bytes instead.
 func (s *sseStream) readLine() ([]byte, error) {
 	s.longLine = s.longLine[:0]
 	for {
@@ -101,8 +102,8 @@
 
 func trimEnd(line []byte) []byte { return bytes.TrimRight(line, "\r\n") }
 
-// Close ends the stream. After the end mark the connection is kept for reuse
-// if the engine ends its answer at once; else it is closed.
+// Close ends the stream. After the end mark the connection is reused if the engine ends
+// its answer within drainTimeout; otherwise it is closed.
 func (s *sseStream) Close() error {
 	if s.closed.Swap(true) {
 		return nil
--- a/internal/backend/transports.go
+++ b/internal/backend/transports.go
@@ -10,12 +10,12 @@
 	"github.com/juju/errors"
 )
 
-// transports keeps one http.Transport for each address, so that the
-// connections to one address can be retired without touching the others.
+// transports holds one http.Transport for each address, so that the connections to one
+// address can be retired without affecting the others.
 type transports struct {
 	options Options
 
-	// fresh pools nothing: each request makes a connection.
+	// fresh pools no connections: each request makes a new one.
 	fresh *http.Transport
 
 	mu        sync.Mutex
@@ -48,8 +48,8 @@
 	return at.transport
 }
 
-// forgetUnused bounds the map by the addresses in use: backend servers come
-// back under new addresses for as long as the process lives.
+// dropUnused removes addresses not used for ForgetAfter. Without it the map would grow
+// for the life of the process, because backend servers return under new addresses.
 func (t *transports) dropUnused(now time.Time) {
 	for address, at := range t.byAddress {
 		if now.Sub(at.lastUsed) > t.options.ForgetAfter {
@@ -59,9 +59,9 @@
 	}
 }
 
-// retire closes the idle connections to address. The transport itself is
-// dropped too: its connections still in use are then closed, not pooled, when
-// their calls end, because no later call reopens its pool.
+// retire closes the idle connections to address and drops the transport. Connections
+// still in use are then closed, not pooled, when their calls end, because no later call
+// reopens the transport's pool.
 func (t *transports) retire(address string) {
 	t.mu.Lock()
 	at, ok := t.byAddress[address]
