--- a/internal/node/adapter.go
+++ b/internal/node/adapter.go
@@ -46,7 +46,7 @@
 	Handler http.Handler
 }
 
-func (n *Node) listenAtEdges() error {
+func (n *Node) listenForAdapter() error {
 	if n.adapter.Edges == nil {
 		return nil
 	}
@@ -61,18 +61,18 @@
 	return nil
 }
 
-func (n *Node) orders() control.OrderSender {
+func (n *Node) orderSender() control.OrderSender {
 	if n.adapter.Orders == nil {
-		return n.ordered
+		return n.orderClient
 	}
-	return n.adapter.Orders(n.ordered)
+	return n.adapter.Orders(n.orderClient)
 }
 
 func (n *Node) forwarder() backend.Forwarder {
 	if n.adapter.Forwarder == nil {
 		return nil
 	}
-	return n.adapter.Forwarder(n.backends)
+	return n.adapter.Forwarder(n.backendClient)
 }
 
 // timing returns what the controllers go by. Only what the settings say
@@ -85,11 +85,11 @@
 	}
 	t.Dead = millis(c.DeadMillis)
 	t.Paused = t.Dead
-	t.Fault = quickFault
-	t.Start = quickStart
-	t.Resend = quickResend
+	t.Fault = quickFaultDelay
+	t.Start = quickStartTimeout
+	t.Resend = quickResendDelay
 	t.Settle = quickSettle
-	t.SettleMost = quickSettleMost
+	t.SettleMost = quickMaxSettle
 	return t
 }
 
@@ -106,14 +106,14 @@
 const (
 	// quickStep is what the leader adds to each turn of a repair at most.
 	quickStep = 50 * time.Millisecond
-	// quickFault lets an announcement pass that was under way.
-	quickFault = 300 * time.Millisecond
-	// quickStart is within which an order that is carried out late mostly comes.
-	quickStart = 6 * time.Second
-	// quickResend is several times an order's answer and the report that follows.
-	quickResend = 700 * time.Millisecond
-	// quickSettle and quickSettleMost: a VM that flaps costs its group a second
+	// quickFaultDelay lets an announcement pass that was under way.
+	quickFaultDelay = 300 * time.Millisecond
+	// quickStartTimeout is within which an order that is carried out late mostly comes.
+	quickStartTimeout = 6 * time.Second
+	// quickResendDelay is several times an order's answer and the report that follows.
+	quickResendDelay = 700 * time.Millisecond
+	// quickSettle and quickMaxSettle: a VM that flaps costs its group a second
 	// each time, one that is left out strands its accelerators.
-	quickSettle     = 250 * time.Millisecond
-	quickSettleMost = 8 * time.Second
+	quickSettle    = 250 * time.Millisecond
+	quickMaxSettle = 8 * time.Second
 )
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -21,15 +21,15 @@
 // Failure: a process starts while its disk is full. If it ended for that it would
 // be started again at once, many times a second.
 func (n *Node) openReplica(o replica.Options) (*replica.Node, error) {
-	told := false
+	isLogged := false
 	for {
 		r, err := replica.Open(o)
 		if !errors.Is(err, wal.ErrNoRoom) {
 			return r, errors.Trace(err)
 		}
-		if !told {
+		if !isLogged {
 			_ = level.Error(n.logger).Log("event", "dependency_lost", "what", "disk", "err", err)
-			told = true
+			isLogged = true
 		}
 		time.Sleep(diskProbeInterval)
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -11,12 +11,12 @@
 // no new work, and lets running work finish. It returns false when the context
 // ended first.
 func (n *Node) Drain(ctx context.Context) bool {
-	n.handOver(ctx)
+	n.transferLeadership(ctx)
 	if n.entry != nil && !n.entry.Drain(ctx, n.closeIdleCallers) {
 		return false
 	}
 	_ = level.Info(n.logger).Log("event", "drained_jobs")
-	return n.shutServers(ctx)
+	return n.shutdownServers(ctx)
 }
 
 // closeIdleCallers ends the callers' connections that carry no request.
@@ -32,35 +32,35 @@
 	}
 }
 
-// handOverTimeout is a few election timeouts: a leader that can't hand over in
+// transferTimeout is a few election timeouts: a leader that can't hand over in
 // that time is replaced by an election when it stops.
-const handOverTimeout = 2 * time.Second
+const transferTimeout = 2 * time.Second
 
-func (n *Node) handOver(ctx context.Context) {
+func (n *Node) transferLeadership(ctx context.Context) {
 	if n.replica == nil || n.replica.LeaseRemaining() <= 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	if err := n.replica.TransferLeadership(ctx); err != nil {
 		_ = level.Warn(n.logger).Log("event", "leadership_kept", "err", err)
 	}
 }
 
-// shutServers waits until every answer is written.
+// shutdownServers waits until every answer is written.
 //
 // Failure: the last token of a long answer is known here, its job is done, but
 // the caller reads slowly and has most of it still to come; closing the
 // connection cuts it off. Callers come first, since peers may be reading
 // answers for theirs.
-func (n *Node) shutServers(ctx context.Context) bool {
-	whole := true
+func (n *Node) shutdownServers(ctx context.Context) bool {
+	complete := true
 	for _, name := range []string{"callers", "ready", "control", "admin", "peers"} {
 		for _, l := range n.servers {
 			if l.name == name && l.server.Shutdown(ctx) != nil {
-				whole = false
+				complete = false
 			}
 		}
 	}
-	return whole
+	return complete
 }
--- a/internal/node/stop_test.go
+++ b/internal/node/drain_test.go
@@ -26,7 +26,7 @@
 	_, err = io.ReadFull(conn, make([]byte, 1000))
 	assert.NilError(t, err)
 
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	drained := make(chan bool, 1)
 	go func() {
--- a/internal/node/found.go
+++ b/internal/node/founding.go
@@ -15,9 +15,9 @@
 const (
 	// foundRetry is the time between two tries to found the cluster.
 	foundRetry = 200 * time.Millisecond
-	// foundTurn is how long a process leaves the founding to those before it in
+	// turnDelay is how long a process leaves the founding to those before it in
 	// the list of its settings: longer than the processes of one start are apart.
-	foundTurn = time.Second
+	turnDelay = time.Second
 	// foundTimeout bounds one try.
 	foundTimeout = 3 * time.Second
 )
@@ -34,21 +34,21 @@
 	if !listed {
 		return
 	}
-	wait := time.Duration(turn) * foundTurn
+	wait := time.Duration(turn) * turnDelay
 	for {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
 			return
 		}
-		if n.founded(ctx) {
+		if n.tryFound(ctx) {
 			return
 		}
 		wait = foundRetry
 	}
 }
 
-func (n *Node) founded(ctx context.Context) bool {
+func (n *Node) tryFound(ctx context.Context) bool {
 	if board := n.machine.Board(); board.ClusterID != "" {
 		return true
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,14 +40,14 @@
 
 // Node is one process of the system.
 type Node struct {
-	settings *settings.Settings
-	logger   log.Logger
-	tokens   tokens
-	peers    *http.Client
-	dialer   *net.Dialer
-	backends *backend.HTTPClient
-	// ordered carries orders to engines.
-	ordered *backend.HTTPClient
+	settings      *settings.Settings
+	logger        log.Logger
+	tokens        tokens
+	peerClient    *http.Client
+	dialer        *net.Dialer
+	backendClient *backend.HTTPClient
+	// orderClient carries orders to engines.
+	orderClient *backend.HTTPClient
 
 	replica  *replica.Node
 	machine  *control.Machine
@@ -55,7 +55,7 @@
 	hearing  *hearing.Hearing
 	follower *follow.Follower
 	entry    *entry.Server
-	servers  []*listening
+	servers  []*namedServer
 	adapter  Adapter
 	commits  *controlclient.Client
 	metrics  *metrics.Metrics
@@ -66,8 +66,8 @@
 	peers, admin, announce, backend string
 }
 
-// listening is one HTTP server and its listener.
-type listening struct {
+// namedServer is one HTTP server and its listener.
+type namedServer struct {
 	name     string
 	server   *http.Server
 	listener net.Listener
@@ -82,7 +82,7 @@
 // NewAdapted makes a node that runs on a platform through an adapter.
 func NewAdapted(s *settings.Settings, logger log.Logger, a Adapter) (*Node, error) {
 	n := &Node{settings: s, logger: logger, adapter: a}
-	steps := []func() error{n.readTokens, n.makeMetrics, n.makeClients, n.makeControl, n.makeEntry, n.listen}
+	steps := []func() error{n.readTokens, n.makeMetrics, n.makeClients, n.openConsensus, n.makeServers, n.listen}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			_ = n.Close()
@@ -149,31 +149,31 @@
 	// dark lets it hang, and the request with it, twice where two are tried. The
 	// farthest data centres of a deployment are half of this away.
 	backendDialTimeout = 200 * time.Millisecond
-	// orderIdle is how long an idle connection for orders is kept: a group is joined and
+	// orderIdleTimeout is how long an idle connection for orders is kept: a group is joined and
 	// opened within it. The leader orders each VM of a pool now and then; kept for
 	// longer, the connections to a large pool take all of its descriptors.
-	orderIdle = time.Second
-	// peerIdle is how long an idle connection between our processes is kept.
-	peerIdle = 30 * time.Second
+	orderIdleTimeout = time.Second
+	// peerIdleTimeout is how long an idle connection between our processes is kept.
+	peerIdleTimeout = 30 * time.Second
 	// peerCallTimeout bounds any call between our processes.
 	peerCallTimeout = 10 * time.Second
 )
 
 func (n *Node) makeClients() error {
 	n.dialer = &net.Dialer{Timeout: peerDialTimeout, LocalAddr: n.localAddr()}
-	n.peers = &http.Client{
+	n.peerClient = &http.Client{
 		Timeout: peerCallTimeout,
 		Transport: &auth.Transport{Token: n.tokens.peers, Base: &http.Transport{
-			DialContext: n.dialer.DialContext, IdleConnTimeout: peerIdle, MaxIdleConnsPerHost: 4,
+			DialContext: n.dialer.DialContext, IdleConnTimeout: peerIdleTimeout, MaxIdleConnsPerHost: 4,
 		}},
 	}
 	o := backend.Options{
 		Logger: n.logger, Secret: n.tokens.backend, DialTimeout: backendDialTimeout,
 		HeaderTimeout: time.Duration(n.settings.Entry.HeaderTimeoutMillis) * time.Millisecond,
 	}
-	n.backends = backend.NewHTTPClient(o)
-	o.IdleTimeout = orderIdle
-	n.ordered = backend.NewHTTPClient(o)
+	n.backendClient = backend.NewHTTPClient(o)
+	o.IdleTimeout = orderIdleTimeout
+	n.orderClient = backend.NewHTTPClient(o)
 	return nil
 }
 
@@ -188,7 +188,7 @@
 	return &net.TCPAddr{IP: address.IP}
 }
 
-func (n *Node) makeControl() error {
+func (n *Node) openConsensus() error {
 	if !n.settings.Control.Enabled {
 		return nil
 	}
@@ -224,7 +224,7 @@
 	return recovered, errors.Trace(err)
 }
 
-func (n *Node) makeEntry() error {
+func (n *Node) makeServers() error {
 	e := n.settings.Entry
 	self := blackboard.Entry{
 		ID: n.settings.VM, Address: e.Advertise, PeerAddress: n.settings.Peers.Advertise, DataCentre: n.settings.DataCentre,
@@ -233,31 +233,31 @@
 	if e.Enabled && self.Address == "" {
 		self.Address = n.settings.Adapter.Callers
 	}
-	client := controlclient.New(n.settings.Peers.Control, n.peers)
+	client := controlclient.New(n.settings.Peers.Control, n.peerClient)
 	n.follower = follow.New(follow.Options{
-		Watcher: client, Entry: self, Logger: log.With(n.logger, "part", "follow"), OnChange: n.boardChanged,
+		Watcher: client, Entry: self, Logger: log.With(n.logger, "part", "follow"), OnChange: n.onBoardChange,
 		OnControl: client.Learn, StartWithoutLease: e.ServeWithoutLease,
 	})
 	n.commits = client
 	n.hearing = hearing.New(hearing.Options{
 		Self: n.settings.VM, Board: n.follower.Board, Lease: n.follower.Lease, Dial: n.dialer.DialContext,
 		PeerToken: n.tokens.peers, AnnounceToken: n.tokens.announce,
-		Logger: log.With(n.logger, "part", "hearing"), OnAnnouncement: n.announced,
-		Interval: millis(n.settings.Control.AnnounceMillis), OnChange: n.evidenceChanged,
+		Logger: log.With(n.logger, "part", "hearing"), OnAnnouncement: n.onAnnouncement,
+		Interval: millis(n.settings.Control.AnnounceMillis), OnChange: n.onEvidenceChange,
 	})
 	if e.Enabled {
 		n.entry = entry.NewServer(entry.Options{
 			ID: n.settings.VM, DataCentre: n.settings.DataCentre, Regions: n.settings.Regions, Settings: e, Follower: n.follower, Hearing: n.hearing,
-			Client: n.backends, Control: client, Logger: n.decisions("entry"), RequestLinesPerSecond: n.settings.Log.RequestLinesPerSecond, Metrics: n.metrics.Entry(), Peers: &http.Client{Transport: n.peers.Transport},
+			Client: n.backendClient, Control: client, Logger: n.decisionLogger("entry"), RequestLinesPerSecond: n.settings.Log.RequestLinesPerSecond, Metrics: n.metrics.Entry(), Peers: &http.Client{Transport: n.peerClient.Transport},
 			Forwarder: n.forwarder(), Suspects: client,
 		})
 	}
 	if n.replica != nil {
 		c := n.settings.Control
 		n.control = control.NewServer(control.Options{
-			Machine: n.machine, Consensus: n.replica, Evidence: n.hearing, Orders: n.orders(),
+			Machine: n.machine, Consensus: n.replica, Evidence: n.hearing, Orders: n.orderSender(),
 			MinDisks: c.MinDisks, Timing: n.timing(), Renewer: client, DataCentres: slices.Sorted(maps.Keys(n.settings.Regions)),
-			Logger: n.decisions("control"), VM: n.settings.VM, Step: n.controllerStep(), Metrics: n.metrics.Control(),
+			Logger: n.decisionLogger("control"), VM: n.settings.VM, Step: n.controllerStep(), Metrics: n.metrics.Control(),
 			Lease:      time.Duration(c.ConfigLeaseMillis) * time.Millisecond,
 			OrderLease: time.Duration(c.TickMillis*int64(c.ElectionTicks)) * time.Millisecond,
 		})
@@ -267,8 +267,8 @@
 
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// decisions returns the logger of a part that logs its decisions at level info.
-func (n *Node) decisions(part string) log.Logger {
+// decisionLogger returns the logger of a part that logs its decisions at level info.
+func (n *Node) decisionLogger(part string) log.Logger {
 	logger := log.With(n.logger, "part", part)
 	if n.settings.Log.Decisions {
 		return logger
@@ -276,21 +276,21 @@
 	return level.NewFilter(logger, level.AllowWarn())
 }
 
-func (n *Node) boardChanged(b *blackboard.Board) {
+func (n *Node) onBoardChange(b *blackboard.Board) {
 	if n.entry != nil {
 		n.entry.BoardChanged(b)
 	}
 }
 
-// evidenceChanged runs the controllers at once: a group that waits for this word
+// onEvidenceChange runs the controllers at once: a group that waits for this word
 // is up that much sooner.
-func (n *Node) evidenceChanged() {
+func (n *Node) onEvidenceChange() {
 	if n.control != nil {
 		n.control.Wake()
 	}
 }
 
-func (n *Node) announced(a backend.Announcement) {
+func (n *Node) onAnnouncement(a backend.Announcement) {
 	if n.entry != nil {
 		n.entry.Announced(a)
 	}
@@ -378,7 +378,7 @@
 	for _, l := range n.servers {
 		_ = l.listener.Close()
 	}
-	for _, c := range []*backend.HTTPClient{n.backends, n.ordered} {
+	for _, c := range []*backend.HTTPClient{n.backendClient, n.orderClient} {
 		if c != nil {
 			c.Close()
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -51,8 +51,8 @@
 	// groups and perGroup shape the test's serving groups.
 	groups   = 3
 	perGroup = 2
-	// patience bounds any wait of a test; it is no measure of anything.
-	patience = 60 * time.Second
+	// testTimeout bounds any wait of a test; it is no measure of anything.
+	testTimeout = 60 * time.Second
 )
 
 func start(t *testing.T, shape func(*standin.EngineOptions)) *system {
@@ -81,7 +81,7 @@
 		<-s.ran
 		assert.NilError(t, n.Close())
 	})
-	s.found()
+	s.bootstrap()
 	s.startBackends(shape)
 	s.await("groups serve", func() bool { return s.serving() == groups })
 	return s
@@ -114,7 +114,7 @@
 	return w.b.Write(p)
 }
 
-func (s *system) found() {
+func (s *system) bootstrap() {
 	change := blackboard.ConfigChange{
 		ChangeID:   "first",
 		Workspaces: []blackboard.Workspace{{Name: "w", KeySHA256: auth.KeyHash(testKey)}},
@@ -154,7 +154,7 @@
 
 func (s *system) await(what string, ok func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if ok() {
 			return
 		}
@@ -199,16 +199,16 @@
 	data, err := io.ReadAll(response.Body)
 	assert.NilError(s.t, err)
 	a := answer{status: response.StatusCode, header: response.Header}
-	var whole struct {
+	var decoded struct {
 		Choices []struct{ Text string }
 		Error   *failure.Error
 	}
-	_ = json.Unmarshal(data, &whole)
-	if len(whole.Choices) > 0 {
-		a.text = whole.Choices[0].Text
+	_ = json.Unmarshal(data, &decoded)
+	if len(decoded.Choices) > 0 {
+		a.text = decoded.Choices[0].Text
 	}
-	if whole.Error != nil {
-		a.failure = *whole.Error
+	if decoded.Error != nil {
+		a.failure = *decoded.Error
 	}
 	return a
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -31,7 +31,7 @@
 	if err := n.listenAt("peers", n.settings.Peers.Listen, n.peersHandler()); err != nil {
 		return errors.Trace(err)
 	}
-	if err := n.listenAtEdges(); err != nil {
+	if err := n.listenForAdapter(); err != nil {
 		return errors.Trace(err)
 	}
 	if n.entry != nil && n.settings.Entry.Listen != "" {
@@ -51,7 +51,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(metrics.Path, auth.Handler(n.tokens.admin, n.metrics.Handler()))
 	if n.control != nil {
-		forward := &control.Forwarder{Client: &http.Client{Transport: n.peers.Transport}, Token: n.tokens.peers}
+		forward := &control.Forwarder{Client: &http.Client{Transport: n.peerClient.Transport}, Token: n.tokens.peers}
 		mux.Handle("/admin/v1/", n.control.AdminHandler(n.tokens.admin, forward))
 	}
 	return mux
@@ -65,7 +65,7 @@
 	server := &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
 	}
-	n.servers = append(n.servers, &listening{name: name, server: server, listener: l})
+	n.servers = append(n.servers, &namedServer{name: name, server: server, listener: l})
 	_ = level.Info(n.logger).Log("event", "listening", "for", name, "address", l.Addr())
 	return nil
 }
@@ -92,33 +92,33 @@
 		return guarded
 	}
 	// The replica checks the token itself.
-	whole := http.NewServeMux()
-	whole.Handle("/", guarded)
-	whole.Handle(replica.PathPrefix, n.replica.Handler())
-	return whole
+	outer := http.NewServeMux()
+	outer.Handle("/", guarded)
+	outer.Handle(replica.PathPrefix, n.replica.Handler())
+	return outer
 }
 
 func (n *Node) entriesService() noderpc.Entries {
 	if n.entry == nil {
-		return noHome{}
+		return noEntryRole{}
 	}
 	return n.entry.Home()
 }
 
-// noHome refuses to be the home of keys on a process without the entry role.
-type noHome struct{}
+// noEntryRole refuses to be the home of keys on a process without the entry role.
+type noEntryRole struct{}
 
 // Hold refuses.
-func (noHome) Hold(context.Context, *noderpc.HoldRequest) (*noderpc.HoldReply, error) {
+func (noEntryRole) Hold(context.Context, *noderpc.HoldRequest) (*noderpc.HoldReply, error) {
 	return nil, twirp.NotFound.Error("no entry role here")
 }
 
 // LendRetry refuses.
-func (noHome) LendRetry(context.Context, *noderpc.LendRetryRequest) (*noderpc.LendRetryReply, error) {
+func (noEntryRole) LendRetry(context.Context, *noderpc.LendRetryRequest) (*noderpc.LendRetryReply, error) {
 	return nil, twirp.NotFound.Error("no entry role here")
 }
 
 // Release refuses.
-func (noHome) Release(context.Context, *noderpc.ReleaseRequest) (*noderpc.ReleaseReply, error) {
+func (noEntryRole) Release(context.Context, *noderpc.ReleaseRequest) (*noderpc.ReleaseReply, error) {
 	return nil, twirp.NotFound.Error("no entry role here")
 }
