--- a/internal/node/adapter.go
+++ b/internal/node/adapter.go
@@ -16,19 +16,19 @@
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
-// Adapter translates between the product and a platform that speaks otherwise.
-// Nil fields leave the product's own way.
+// Adapter translates between the product and a platform that uses other protocols.
+// For a nil field the node uses the product's own protocol.
 type Adapter struct {
-	// Orders gives orders to engines.
+	// Orders returns the sender of orders to engines.
 	Orders func(*backend.HTTPClient) control.OrderSender
-	// Forwarder passes callers' requests on.
+	// Forwarder returns the forwarder of callers' requests.
 	Forwarder func(*backend.HTTPClient) backend.Forwarder
-	// Edges returns what the process listens for beside its own APIs.
+	// Edges returns the servers that the process runs beside its own APIs.
 	Edges func(Parts) []Edge
 }
 
-// Parts are what an adapter's edges work with. Entry and Control are nil in a
-// process without that role.
+// Parts are the components of a node that an adapter's edges may use. Entry and Control
+// are nil in a process without that role.
 type Parts struct {
 	Settings *settings.Settings
 	Entry    *entry.Server
@@ -38,9 +38,9 @@
 	Logger   log.Logger
 }
 
-// Edge is one address that an adapter listens at.
+// Edge is one HTTP server of an adapter.
 type Edge struct {
-	// Name is callers, ready or control; a graceful stop ends them in this order.
+	// Name is callers, ready or control. A graceful stop shuts them down in this order.
 	Name    string
 	Address string
 	Handler http.Handler
@@ -75,8 +75,8 @@
 	return n.adapter.Forwarder(n.backendClient)
 }
 
-// timing returns what the controllers go by. Only what the settings say
-// otherwise than by default is stated.
+// timing returns the limits and delays of the controllers. Zero fields leave the
+// controllers' defaults; only values that the settings change are set.
 func (n *Node) timing() controller.Timing {
 	c := n.settings.Control
 	t := controller.Timing{Stall: millis(c.StallMillis)}
@@ -101,19 +101,23 @@
 	return quickStep
 }
 
-// Times for engines of pools, which tell of a change at once and join again
-// within a second or two.
+// Times for engines of pools, which announce a change at once and rejoin within one or
+// two seconds.
 const (
-	// quickStep is what the leader adds to each turn of a repair at most.
+	// quickStep is the time between two runs of the controllers, and thus the longest
+	// delay that the leader adds to each step of a repair.
 	quickStep = 50 * time.Millisecond
-	// quickFaultDelay lets an announcement pass that was under way.
+	// quickFaultDelay is long enough for an announcement in transit to arrive before a
+	// reported fault counts.
 	quickFaultDelay = 300 * time.Millisecond
-	// quickStartTimeout is within which an order that is carried out late mostly comes.
+	// quickStartTimeout is long enough for most orders that an engine carries out late.
 	quickStartTimeout = 6 * time.Second
-	// quickResendDelay is several times an order's answer and the report that follows.
+	// quickResendDelay is several times as long as the answer to an order and the
+	// following announcement take.
 	quickResendDelay = 700 * time.Millisecond
-	// quickSettle and quickMaxSettle: a VM that flaps costs its group a second
-	// each time, one that is left out strands its accelerators.
+	// quickSettle and quickMaxSettle are the first and the longest wait after the
+	// return of a VM. A VM that flaps costs its group one second each time; a VM that
+	// is left out leaves its accelerators unused.
 	quickSettle    = 250 * time.Millisecond
 	quickMaxSettle = 8 * time.Second
 )
--- a/internal/node/crashing_request_test.go
+++ b/internal/node/crashing_request_test.go
@@ -12,10 +12,9 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// A scheduler sends one request that crashes each engine that runs it, and
-// sends it again without end. Group after group goes down, and callers of
-// other requests lose theirs. Cause: nothing ties a crash to the request, so
-// each resend gets a fresh group.
+// Failure: a caller keeps resending a request that crashes each engine that runs it. If
+// crashes are not attributed to the request, each resend goes to another group, and group
+// after group fails together with the other requests on it.
 func TestRequestThatCrashesIsRefusedAfterItsSecondCrash(t *testing.T) {
 	const marker = "POISON"
 	s := start(t, func(o *standin.EngineOptions) {
@@ -28,7 +27,7 @@
 		others.Add(1)
 		go func() {
 			defer others.Done()
-			answers[i] = s.post("innocent "+strconv.Itoa(i), 40, nil)
+			answers[i] = s.post("other "+strconv.Itoa(i), 40, nil)
 		}()
 	}
 	got := s.post(marker, 4, nil)
@@ -38,7 +37,7 @@
 
 	others.Wait()
 	for i, a := range answers {
-		assert.Equal(t, a.text, standin.ExpectedText("innocent "+strconv.Itoa(i), 40), "%v", a.failure)
+		assert.Equal(t, a.text, standin.ExpectedText("other "+strconv.Itoa(i), 40), "%v", a.failure)
 	}
 
 	again := s.post(marker, 4, nil)
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -13,13 +13,13 @@
 	"github.com/citronstep/citronstep/internal/wal"
 )
 
-// diskProbeInterval is the time between two tries to write to the data folder.
+// diskProbeInterval is the time between two attempts to write to the data folder.
 const diskProbeInterval = 250 * time.Millisecond
 
-// openReplica opens the replica once its disk has room for it.
+// openReplica opens the replica. While the disk is full, it waits and retries.
 //
-// Failure: a process starts while its disk is full. If it ended for that it would
-// be started again at once, many times a second.
+// Failure: a process starts while its disk is full. If it exited, it would be restarted
+// at once, many times a second.
 func (n *Node) openReplica(o replica.Options) (*replica.Node, error) {
 	isLogged := false
 	for {
@@ -35,12 +35,12 @@
 	}
 }
 
-// waitForDisk returns once the data folder takes writes again.
+// waitForDisk returns once a write to the data folder succeeds, or when the context ends.
 //
-// Failure: the disk returns errors; the replica has stopped, as nobody knows what
-// its file holds. A process that ends at once is started again, fails at its next
-// write and so on, many times a second, and takes the VM's processor from the
-// other process on it. The process stays instead, and refuses.
+// Failure: the disk returns errors. The replica has stopped, because the content of its
+// file is unknown. A process that exits at once is restarted and fails at its next write,
+// many times a second, and takes processor time from the other process on the VM. This
+// process keeps running instead and refuses requests.
 func (n *Node) waitForDisk(ctx context.Context) {
 	_ = level.Error(n.logger).Log("event", "dependency_lost", "what", "disk", "err", errText(n.replica.Status().Err))
 	ticker := time.NewTicker(diskProbeInterval)
@@ -59,7 +59,7 @@
 	}
 }
 
-// probeDisk writes and syncs a small file and removes it.
+// probeDisk writes, syncs and removes a small file in folder.
 func probeDisk(folder string) error {
 	path := filepath.Join(folder, "probe")
 	f, err := os.Create(path)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -7,9 +7,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// Drain stops gracefully within the context: it hands leadership over, takes
-// no new work, and lets running work finish. It returns false when the context
-// ended first.
+// Drain stops gracefully: it transfers leadership, admits no new work, and lets running
+// work finish. It returns false if the context ends first.
 func (n *Node) Drain(ctx context.Context) bool {
 	n.transferLeadership(ctx)
 	if n.entry != nil && !n.entry.Drain(ctx, n.closeIdleCallers) {
@@ -19,11 +18,11 @@
 	return n.shutdownServers(ctx)
 }
 
-// closeIdleCallers ends the callers' connections that carry no request.
+// closeIdleCallers closes the callers' connections that carry no request.
 //
-// Failure: a caller has kept a connection idle since before the stop and knows
-// nothing of it; its next request is refused, and the one retry that it has is
-// used up. Closed, it sends that request to another entry in the first place.
+// Failure: a caller holds an idle connection and does not know of the stop. Its next
+// request is refused and uses up its only retry. If the connection is closed, the caller
+// sends that request to another entry in the first place.
 func (n *Node) closeIdleCallers() {
 	for _, l := range n.servers {
 		if l.name == "callers" {
@@ -32,8 +31,8 @@
 	}
 }
 
-// transferTimeout is a few election timeouts: a leader that can't hand over in
-// that time is replaced by an election when it stops.
+// transferTimeout is a few election timeouts. If the leader can't transfer its
+// leadership in that time, an election replaces it after it has stopped.
 const transferTimeout = 2 * time.Second
 
 func (n *Node) transferLeadership(ctx context.Context) {
@@ -47,12 +46,12 @@
 	}
 }
 
-// shutdownServers waits until every answer is written.
+// shutdownServers shuts the servers down once all answers are written. It returns false
+// if the context ends first.
 //
-// Failure: the last token of a long answer is known here, its job is done, but
-// the caller reads slowly and has most of it still to come; closing the
-// connection cuts it off. Callers come first, since peers may be reading
-// answers for theirs.
+// Failure: the job of a long answer is done, but the caller reads slowly and most of the
+// answer is still unsent. Closing the connection would cut the answer. The callers'
+// server is shut down first, because peers may be reading answers for their callers.
 func (n *Node) shutdownServers(ctx context.Context) bool {
 	complete := true
 	for _, name := range []string{"callers", "ready", "control", "admin", "peers"} {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -11,10 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A terminal reads a long memo over a slow line. The last token is known and
-// the entry is told to stop: it waited for its jobs alone, closed the
-// connection, and the terminal got half a memo.
-func TestAStopWritesWhatASlowReaderHasStillToGet(t *testing.T) {
+// Failure: a caller reads a long answer slowly. Its job is done when the entry is stopped.
+// An entry that waits only for its jobs closes the connection and cuts the answer.
+func TestDrainWritesTheCompleteAnswerToASlowReader(t *testing.T) {
 	s := start(t, nil)
 	conn, err := net.Dial("tcp", s.settings.Entry.Listen)
 	assert.NilError(t, err)
@@ -34,7 +33,7 @@
 		s.stop()
 	}()
 	s.await("the job is done", func() bool { return strings.Contains(s.log.text(), "event=drained_jobs") })
-	// The caller goes on only now.
+	// The caller reads the rest only after the drain has begun to wait for it.
 	time.Sleep(300 * time.Millisecond)
 	rest, err := io.ReadAll(conn)
 	assert.NilError(t, err)
--- a/internal/node/founding.go
+++ b/internal/node/founding.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// foundRetry is the time between two tries to found the cluster.
+	// foundRetry is the time between two attempts to found (bootstrap) the cluster.
 	foundRetry = 200 * time.Millisecond
-	// turnDelay is how long a process leaves the founding to those before it in
-	// the list of its settings: longer than the processes of one start are apart.
+	// turnDelay is how long a process leaves the founding to each process before it in
+	// the sorted list of control processes. It exceeds the differences in start time
+	// within one start of the system.
 	turnDelay = time.Second
-	// foundTimeout bounds one try.
+	// foundTimeout bounds one attempt.
 	foundTimeout = 3 * time.Second
 )
 
-// foundLoop founds the cluster at the first start of a whole system. Only the
-// processes that the settings name as control processes found, each in its
-// turn, so that the loss of the first does not leave the system without one.
+// foundLoop founds (bootstraps) the cluster at the first start of a complete system. Only
+// the processes that the settings list as control processes do so, each in its turn, so
+// that the loss of the first one does not leave the system without a cluster.
 //
-// Failure: two processes found a cluster each. The guard is replica.Found's: it
-// asks all others named and refuses unless each answers that it belongs to
-// none and is not founding either.
+// Failure: two processes found a cluster each. replica.Found prevents this: it asks all
+// other listed processes and refuses unless each answers that it belongs to no cluster
+// and is not founding one either.
 func (n *Node) foundLoop(ctx context.Context) {
 	turn, listed := n.foundingTurn()
 	if !listed {
@@ -48,6 +49,8 @@
 	}
 }
 
+// tryFound attempts to found the cluster once. It returns true if this process is part
+// of a cluster or has founded one.
 func (n *Node) tryFound(ctx context.Context) bool {
 	if board := n.machine.Board(); board.ClusterID != "" {
 		return true
@@ -66,8 +69,9 @@
 	return true
 }
 
-// foundingTurn returns this process's place among the control processes of the
-// settings, in the order of their addresses, which is the same on all.
+// foundingTurn returns the index of this process among the control processes of the
+// settings, and false if the settings do not list it. They are sorted by host, so all
+// processes use the same order.
 func (n *Node) foundingTurn() (int, bool) {
 	hosts := make([]string, 0, len(n.settings.Peers.Control))
 	for _, address := range n.settings.Peers.Control {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node makes one process of the system from its settings: the entry
+// Package node assembles one process of the system from its settings, with the entry
 // role, the control role, or both.
 package node
 
@@ -29,13 +29,13 @@
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
-// group is the one consensus group of today. Every message carries its id, so
-// that records can move to groups of their own.
+// group is the id of the only consensus group. Every message carries the id, so that
+// some records can move to separate groups later.
 const group raft.GroupID = 1
 
-// controllerStep is the time between two runs of the controllers: a quarter of
-// the age at which evidence is too old to route by, so that they add little to
-// the time of a repair.
+// controllerStep is the time between two runs of the controllers. It is a quarter of the
+// age at which evidence becomes too old for routing, so it adds little to the time of a
+// repair.
 const controllerStep = 300 * time.Millisecond
 
 // Node is one process of the system.
@@ -61,25 +61,25 @@
 	metrics  *metrics.Metrics
 }
 
-// tokens are the secrets that the settings name files of.
+// tokens holds the secrets from the token files that the settings name.
 type tokens struct {
 	peers, admin, announce, backend string
 }
 
-// namedServer is one HTTP server and its listener.
+// namedServer is an HTTP server with its listener and a name for logs.
 type namedServer struct {
 	name     string
 	server   *http.Server
 	listener net.Listener
 }
 
-// New makes the node and opens its listeners and its data folder. Close ends
-// what New began.
+// New creates a node and opens its listeners and its data folder. The caller must call
+// Close to release them.
 func New(s *settings.Settings, logger log.Logger) (*Node, error) {
 	return NewAdapted(s, logger, Adapter{})
 }
 
-// NewAdapted makes a node that runs on a platform through an adapter.
+// NewAdapted creates a node that uses an adapter for its platform's protocols.
 func NewAdapted(s *settings.Settings, logger log.Logger, a Adapter) (*Node, error) {
 	n := &Node{settings: s, logger: logger, adapter: a}
 	steps := []func() error{n.readTokens, n.makeMetrics, n.makeClients, n.openConsensus, n.makeServers, n.listen}
@@ -140,22 +140,25 @@
 	}
 }
 
-// Times of calls between our processes.
+// Timeouts of calls to the system's own processes and to backend servers.
 const (
-	// A VM without power lets a connection hang; the farthest data centres of a
-	// deployment are a tenth of this away.
+	// peerDialTimeout bounds a dial to another process of the system, which hangs if
+	// its VM is without power. The latency to the farthest data centre of a
+	// deployment is a tenth of this.
 	peerDialTimeout = 400 * time.Millisecond
-	// backendDialTimeout bounds a connection to a backend server. One that has gone
-	// dark lets it hang, and the request with it, twice where two are tried. The
-	// farthest data centres of a deployment are half of this away.
+	// backendDialTimeout bounds a dial to a backend server. A dial to an unreachable
+	// server hangs, and the request with it, twice if two servers are tried. The
+	// latency to the farthest data centre of a deployment is half of this.
 	backendDialTimeout = 200 * time.Millisecond
-	// orderIdleTimeout is how long an idle connection for orders is kept: a group is joined and
-	// opened within it. The leader orders each VM of a pool now and then; kept for
-	// longer, the connections to a large pool take all of its descriptors.
+	// orderIdleTimeout is how long an idle connection for orders is kept. A group joins
+	// and opens within this time. The leader sends orders to each VM of a pool
+	// occasionally; with a longer timeout the connections to a large pool would take all
+	// of its file descriptors.
 	orderIdleTimeout = time.Second
-	// peerIdleTimeout is how long an idle connection between our processes is kept.
+	// peerIdleTimeout is how long an idle connection to another process of the system is
+	// kept.
 	peerIdleTimeout = 30 * time.Second
-	// peerCallTimeout bounds any call between our processes.
+	// peerCallTimeout bounds any call to another process of the system.
 	peerCallTimeout = 10 * time.Second
 )
 
@@ -177,9 +180,9 @@
 	return nil
 }
 
-// localAddr is the address that connections to peers come from: the IP that
-// this process listens on for peers. A VM with several addresses is then seen
-// under the one that its settings name.
+// localAddr returns the source address of connections to peers: the IP on which this
+// process listens for peers, or nil if that is unspecified. Peers of a VM with several
+// addresses then observe the one in its settings.
 func (n *Node) localAddr() net.Addr {
 	address, err := net.ResolveTCPAddr("tcp", n.settings.Peers.Listen)
 	if err != nil || address.IP == nil || address.IP.IsUnspecified() {
@@ -206,7 +209,7 @@
 	return nil
 }
 
-// replicaOptions are those that the settings alone give.
+// replicaOptions returns the replica options that depend on the settings alone.
 func replicaOptions(s *settings.Settings) replica.Options {
 	return replica.Options{
 		Group: group, Folder: s.Control.DataFolder, VM: s.VM, DataCentre: s.DataCentre,
@@ -217,8 +220,8 @@
 	}
 }
 
-// Recover makes the state in the data folder of a stopped control process the
-// start of a new cluster; see replica.Recover for what may be lost.
+// Recover starts a new cluster from the state in the data folder of a stopped control
+// process. See replica.Recover for the data that may be lost.
 func Recover(s *settings.Settings) (replica.Recovered, error) {
 	recovered, err := replica.Recover(replicaOptions(s))
 	return recovered, errors.Trace(err)
@@ -267,7 +270,8 @@
 
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// decisionLogger returns the logger of a part that logs its decisions at level info.
+// decisionLogger returns the logger of a part, which logs its decisions at level info.
+// Unless the settings enable decisions, it passes only warnings and errors.
 func (n *Node) decisionLogger(part string) log.Logger {
 	logger := log.With(n.logger, "part", part)
 	if n.settings.Log.Decisions {
@@ -282,8 +286,8 @@
 	}
 }
 
-// onEvidenceChange runs the controllers at once: a group that waits for this word
-// is up that much sooner.
+// onEvidenceChange runs the controllers at once, so that a group that waits for the change
+// becomes ready sooner.
 func (n *Node) onEvidenceChange() {
 	if n.control != nil {
 		n.control.Wake()
@@ -296,12 +300,11 @@
 	}
 }
 
-// ErrReplicaFailed ends a process whose consensus replica can't go on, such as
-// after a failed sync. The platform starts it again.
+// ErrReplicaFailed is returned by Run after the consensus replica has failed
+// irrecoverably, such as by a failed sync. The platform restarts the process.
 const ErrReplicaFailed = errors.ConstError("the consensus replica has failed")
 
-// Run serves until the context ends, then returns. It returns an error when
-// the process can't go on.
+// Run serves until the context ends. It returns an error if the process can't continue.
 func (n *Node) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, l := range n.servers {
@@ -333,8 +336,8 @@
 	return errors.Trace(g.Wait())
 }
 
-// Reload takes in what may change while the process runs: where the control
-// processes are.
+// Reload applies the settings that may change while the process runs: the addresses of
+// the control processes.
 func (n *Node) Reload(s *settings.Settings) {
 	n.commits.Reseed(s.Peers.Control)
 	if n.replica != nil {
@@ -372,7 +375,7 @@
 	}
 }
 
-// Close frees what the node holds.
+// Close closes the node's listeners, idle connections, metrics and replica.
 func (n *Node) Close() error {
 	n.closeServers()
 	for _, l := range n.servers {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// system is one node with every role, and stand-ins, in the test's process.
+// system is one node with every role and stand-in backend servers, in the test's process.
 type system struct {
 	t        *testing.T
 	settings *settings.Settings
@@ -48,10 +48,10 @@
 const (
 	testKey   = "key"
 	testModel = "demo"
-	// groups and perGroup shape the test's serving groups.
+	// groups is the number of serving groups, perGroup the number of VMs in each.
 	groups   = 3
 	perGroup = 2
-	// testTimeout bounds any wait of a test; it is no measure of anything.
+	// testTimeout bounds each wait of a test. It does not assert a duration.
 	testTimeout = 60 * time.Second
 )
 
@@ -87,7 +87,7 @@
 	return s
 }
 
-// testWriter keeps the log out of a passing test's output.
+// testWriter collects the log and prints it only if the test fails.
 type testWriter struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -159,7 +159,7 @@
 			return
 		}
 	}
-	s.t.Fatalf("gave up waiting: %s", what)
+	s.t.Fatalf("timed out waiting: %s", what)
 }
 
 func (s *system) serving() int {
@@ -172,7 +172,7 @@
 	return n
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
 	status  int
 	text    string
@@ -213,7 +213,7 @@
 	return a
 }
 
-// runs counts the runs of a prompt on all engines.
+// runs returns the number of runs of a prompt on all engines.
 func (s *system) runs(prompt string) int {
 	n := 0
 	for _, e := range s.engines {
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -20,7 +20,7 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Limits of connections from outside.
+// Limits of the HTTP servers.
 const (
 	readHeaderTimeout = 10 * time.Second
 	maxHeaderBytes    = 32 << 10
@@ -45,8 +45,8 @@
 	return errors.Trace(n.listenAt("admin", n.settings.Admin.Listen, n.adminHandler()))
 }
 
-// adminHandler serves operators: the admin API on a control process, and the
-// metrics on any.
+// adminHandler serves operators: metrics on every process, and the admin API on a
+// control process.
 func (n *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(metrics.Path, auth.Handler(n.tokens.admin, n.metrics.Handler()))
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// peersHandler serves the system's own processes.
+// peersHandler serves the other processes of the system.
 func (n *Node) peersHandler() http.Handler {
 	mux := http.NewServeMux()
 	entries := noderpc.NewEntriesServer(n.entriesService())
@@ -91,7 +91,7 @@
 	if n.replica == nil {
 		return guarded
 	}
-	// The replica checks the token itself.
+	// The replica checks the token itself, so its handler bypasses auth.
 	outer := http.NewServeMux()
 	outer.Handle("/", guarded)
 	outer.Handle(replica.PathPrefix, n.replica.Handler())
@@ -105,20 +105,21 @@
 	return n.entry.Home()
 }
 
-// noEntryRole refuses to be the home of keys on a process without the entry role.
+// noEntryRole implements noderpc.Entries on a process without the entry role. It refuses
+// every call.
 type noEntryRole struct{}
 
-// Hold refuses.
+// Hold returns a not-found error.
 func (noEntryRole) Hold(context.Context, *noderpc.HoldRequest) (*noderpc.HoldReply, error) {
 	return nil, twirp.NotFound.Error("no entry role here")
 }
 
-// LendRetry refuses.
+// LendRetry returns a not-found error.
 func (noEntryRole) LendRetry(context.Context, *noderpc.LendRetryRequest) (*noderpc.LendRetryReply, error) {
 	return nil, twirp.NotFound.Error("no entry role here")
 }
 
-// Release refuses.
+// Release returns a not-found error.
 func (noEntryRole) Release(context.Context, *noderpc.ReleaseRequest) (*noderpc.ReleaseReply, error) {
 	return nil, twirp.NotFound.Error("no entry role here")
 }
