--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -139,7 +139,7 @@
 }
 
 // ServiceAnswer is the head of a plain service's answer; Body ends with
-// io.EOF only when the whole announced body has arrived.
+// io.EOF only when the complete announced body has arrived.
 type ServiceAnswer struct {
 	Status int
 	Header http.Header
--- a/internal/evidence/query.go
+++ b/internal/evidence/query.go
@@ -110,7 +110,7 @@
 // Routable reports whether an entry may send new work to a group, and the reason if
 // it may not.
 //
-// Failure: a member dies and the group goes on receiving requests that nobody will
+// Failure: a member dies and the group keeps receiving requests that nobody will
 // answer. The blackboard changes only after the leader has noticed. Each entry
 // therefore requires evidence of its own, at most RoutableAge old, that each member
 // is alive under the incarnation that joined, in the current epoch, is ready, and has
--- a/internal/evidence/table.go
+++ b/internal/evidence/table.go
@@ -367,7 +367,7 @@
 // the VM appears to have restarted. Start times, if announced, decide: one VM runs one
 // backend server, so the incarnation that started last is the current one, however
 // late announcements of others arrive. Without start times, a retired incarnation is
-// accepted only if it goes on announcing while the current one is silent, and an
+// accepted only if it keeps announcing while the current one is silent, and an
 // unknown one only if it was received after the current one.
 func (r *record) isReplacedBy(heardAt time.Time, h Heard) bool {
 	if h.StartedMillis != r.report.StartedMillis {
