--- a/internal/backend/http_client.go
+++ b/internal/backend/http_client.go
@@ -11,8 +11,8 @@
 	"github.com/juju/errors"
 )
 
-// HTTPClient is the Client over HTTP/1.1 and server-sent events. It makes
-// each call once: it follows no redirect, uses no proxy and repeats nothing.
+// HTTPClient implements Client over HTTP/1.1 and server-sent events. It makes each
+// call once: it follows no redirect, uses no proxy and does not retry.
 type HTTPClient struct {
 	options    Options
 	transports *transports
@@ -26,47 +26,47 @@
 	return &HTTPClient{options: o, transports: newTransports(o)}
 }
 
-// Close closes all idle connections. Calls still open end by themselves.
+// Close closes all idle connections. It does not end open calls.
 func (c *HTTPClient) Close() { c.transports.closeAll() }
 
-// Retire closes the idle connections to address and pools none of those in
-// use; later calls make new ones.
+// Retire closes the idle connections to address. Connections in use are not returned
+// to the pool, so later calls make new ones.
 func (c *HTTPClient) Retire(address string) { c.transports.retire(address) }
 
-// Generate starts one attempt and returns its stream when the engine's
-// response header has arrived.
+// Generate starts one attempt and returns its stream once the engine's response header
+// has arrived.
 func (c *HTTPClient) Generate(ctx context.Context, address string, g Generation) (TokenStream, error) {
 	x, err := c.post(ctx, address, PathGenerate, g)
 	if err != nil {
 		return nil, err
 	}
 	if x.response.StatusCode != http.StatusOK {
-		return nil, c.refused(address, x)
+		return nil, c.refusalError(address, x)
 	}
 	return newSSEStream(x, c.options.MaxLine), nil
 }
 
-// Cancel asks the engine to stop an attempt.
+// Cancel requests that the engine stop an attempt.
 func (c *HTTPClient) Cancel(ctx context.Context, address, attempt string) error {
 	x, err := c.post(ctx, address, PathCancel, CancelOrder{Attempt: attempt})
 	if err != nil {
 		return err
 	}
 	if x.response.StatusCode != http.StatusOK {
-		return c.refused(address, x)
+		return c.refusalError(address, x)
 	}
 	_, _ = c.readReply(x)
 	return nil
 }
 
-// Order gives one order. An order refused as stale is an answer, not an error.
+// Order sends one order. A refusal as stale is an answer, not an error.
 func (c *HTTPClient) Order(ctx context.Context, address string, o Order) (OrderReply, error) {
 	x, err := c.post(ctx, address, PathOrders, o)
 	if err != nil {
 		return OrderReply{}, err
 	}
 	if x.response.StatusCode != http.StatusOK {
-		return OrderReply{}, c.refused(address, x)
+		return OrderReply{}, c.refusalError(address, x)
 	}
 	body, err := c.readReply(x)
 	if err != nil {
@@ -80,12 +80,12 @@
 	return reply, nil
 }
 
-func (c *HTTPClient) post(ctx context.Context, address, path string, message any) (*exchange, error) {
+func (c *HTTPClient) post(ctx context.Context, address, path string, message any) (*httpExchange, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return nil, &CallError{Address: address, Sent: SentNothing, Cause: errors.Trace(err)}
 	}
-	r := outgoing{
+	r := outgoingRequest{
 		address: address,
 		method:  http.MethodPost,
 		path:    path,
@@ -95,9 +95,10 @@
 	return c.send(ctx, r, c.options.HeaderTimeout)
 }
 
-// refused reads an answer other than 200. Only an explicit "started": false
-// proves that nothing ran: a 5xx may come from a process that failed halfway.
-func (c *HTTPClient) refused(address string, x *exchange) error {
+// refusalError reads an answer other than 200 and returns its CallError. Only an
+// explicit "started": false proves that nothing ran: a 5xx may come from a process that
+// failed during the run.
+func (c *HTTPClient) refusalError(address string, x *httpExchange) error {
 	e := &CallError{
 		Address: address, Sent: SentUnknown, Status: x.response.StatusCode, RateLimit: rateLimitOf(x.response.Header),
 	}
@@ -117,22 +118,22 @@
 	e.Busy = r.Busy
 	e.RetryAfter = time.Duration(max(r.RetryAfterMillis, 0)) * time.Millisecond
 	if r.Message != "" {
-		e.Cause = &engineMessage{r.Message}
+		e.Cause = &serverMessage{r.Message}
 	}
 	_ = level.Debug(c.options.Logger).Log("msg", "backend server refused", "address", address,
 		"status", e.Status, "sent", e.Sent, "busy", e.Busy)
 	return e
 }
 
-// engineMessage is what a backend server gave as its reason.
-type engineMessage struct{ text string }
+// serverMessage is the reason that a backend server stated for its refusal.
+type serverMessage struct{ text string }
 
-// Error returns the backend server's own words.
-func (m *engineMessage) Error() string { return m.text }
+// Error returns the backend server's text unchanged.
+func (m *serverMessage) Error() string { return m.text }
 
-// readReply reads a short body whole, within MaxReply and HeaderTimeout, and
+// readReply reads a complete body of at most MaxReply bytes within HeaderTimeout, and
 // ends the exchange.
-func (c *HTTPClient) readReply(x *exchange) ([]byte, error) {
+func (c *HTTPClient) readReply(x *httpExchange) ([]byte, error) {
 	stop := startTimer(c.options.HeaderTimeout, func() { x.cancel(errHeaderTimeout) })
 	defer stop()
 	defer x.cancel(nil)
--- /dev/null
+++ b/internal/backend/http_exchange.go
@@ -0,0 +1,169 @@
+package backend
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+	"time"
+
+	"github.com/juju/errors"
+)
+
+// errHeaderTimeout is the cause of a call that got no response header within the limit.
+const errHeaderTimeout = errors.ConstError("no response header in time")
+
+// httpExchange is one HTTP request and its response. cancel may end it at any time.
+type httpExchange struct {
+	response *http.Response
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+}
+
+// nonRewindableBody is a request body that can't be rewound.
+//
+// Failure: when a reused connection breaks, net/http itself resends a request that
+// has no body or a body that can be rewound, and the backend server runs the request
+// twice. A body that is present, even if empty, and can't be rewound
+// (http.Request.GetBody is nil) prevents this.
+type nonRewindableBody struct{ io.Reader }
+
+func (nonRewindableBody) Close() error { return nil }
+
+// send makes one request on one connection. If headerTimeout is 0, only ctx bounds the
+// wait for the response header.
+func (c *HTTPClient) send(ctx context.Context, r outgoingRequest, headerTimeout time.Duration) (*httpExchange, error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	var used usedConn
+	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: used.got})
+	request, err := r.build(traced)
+	if err != nil {
+		cancel(nil)
+		return nil, &CallError{Address: r.address, Sent: SentNothing, Cause: err}
+	}
+	c.authorise(request)
+	stop := startTimer(headerTimeout, func() { cancel(errHeaderTimeout) })
+	//nolint:bodyclose // the caller that gets the exchange closes the body
+	response, err := c.transportFor(r).RoundTrip(request)
+	stop()
+	if err != nil {
+		sent := used.sent()
+		cause := causeOf(ctx, err)
+		c.retireIfSilent(ctx, r.address, used)
+		cancel(nil)
+		return nil, &CallError{Address: r.address, Sent: sent, Cause: cause}
+	}
+	return &httpExchange{response: response, ctx: ctx, cancel: cancel}, nil
+}
+
+func (c *HTTPClient) transportFor(r outgoingRequest) *http.Transport {
+	if r.fresh {
+		return c.transports.fresh
+	}
+	return c.transports.get(r.address)
+}
+
+// retireIfSilent retires the idle connections to an address after a call on a pooled
+// connection ended without a response header.
+//
+// Failure: a middlebox has lost its state of the open connections. A plain service
+// sends no keep-alives, so each further call would hang on the next idle connection
+// until its own deadline. If the service was merely slow, retiring costs a few new
+// connections. A call that was given up within SuspectAfter is no evidence.
+func (c *HTTPClient) retireIfSilent(ctx context.Context, address string, used usedConn) {
+	if used.isReused && ctx.Err() != nil && time.Since(used.gotAt) >= c.options.SuspectAfter {
+		c.transports.retire(address)
+	}
+}
+
+// usedConn records the connection that a request uses. RoundTrip calls got in its own
+// goroutine before it returns, so no lock is needed.
+type usedConn struct {
+	conn         *sealedConn
+	writesBefore uint64
+	// isUnsealed is set if the connection is not a sealedConn, so that nothing proves
+	// how much was sent.
+	isUnsealed bool
+	// isReused is set if the connection came from the pool.
+	isReused bool
+	gotAt    time.Time
+}
+
+func (u *usedConn) got(info httptrace.GotConnInfo) {
+	u.isReused = info.Reused
+	u.gotAt = time.Now()
+	conn, ok := info.Conn.(*sealedConn)
+	if !ok {
+		u.isUnsealed = true
+		return
+	}
+	u.conn = conn
+	u.writesBefore = conn.writeCount()
+}
+
+// sent closes the connection and returns the stage that the request reached on it.
+func (u *usedConn) sent() Sent {
+	if u.isUnsealed {
+		return SentUnknown
+	}
+	if u.conn == nil || !u.conn.seal(u.writesBefore) {
+		return SentNothing
+	}
+	return SentUnknown
+}
+
+// outgoingRequest is a request to a backend server.
+type outgoingRequest struct {
+	address string
+	method  string
+	path    string
+	header  http.Header
+	body    []byte
+	// fresh requests a connection that is not from the pool.
+	fresh bool
+	// opaque, if set, is the request target exactly as sent on the wire; host is then
+	// the Host header.
+	opaque, host string
+}
+
+func (r outgoingRequest) build(ctx context.Context) (*http.Request, error) {
+	body := nonRewindableBody{bytes.NewReader(r.body)}
+	request, err := http.NewRequestWithContext(ctx, r.method, "http://"+r.address+r.path, body)
+	if err != nil {
+		return nil, errors.Annotate(err, "building the request")
+	}
+	if r.header != nil {
+		request.Header = r.header
+	}
+	if r.opaque != "" {
+		request.URL.Opaque = r.opaque
+		request.Host = r.host
+	}
+	request.ContentLength = int64(len(r.body))
+	return request, nil
+}
+
+func (c *HTTPClient) authorise(r *http.Request) {
+	r.Header.Del("Authorization")
+	if c.options.Secret != "" {
+		r.Header.Set("Authorization", "Bearer "+c.options.Secret)
+	}
+}
+
+func startTimer(d time.Duration, f func()) (stop func()) {
+	if d == 0 {
+		return func() {}
+	}
+	timer := time.AfterFunc(d, f)
+	return func() { timer.Stop() }
+}
+
+// causeOf returns the cause for which ctx ended or, if ctx has not ended, err. Ending
+// ctx makes net/http return a less specific error.
+func causeOf(ctx context.Context, err error) error {
+	if cause := context.Cause(ctx); cause != nil {
+		return errors.Trace(cause)
+	}
+	return errors.Trace(err)
+}
--- a/internal/backend/sse_stream.go
+++ b/internal/backend/sse_stream.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// streamBuffer is the read buffer of one open stream; a token event is
-	// about 100 bytes. Longer lines are gathered beside it.
+	// streamBuffer is the size in bytes of the read buffer of one open stream. A
+	// token event is about 100 bytes. Longer lines are collected in longLine.
 	streamBuffer = 1 << 10
-	// drainTimeout bounds the wait for the last chunk after the end mark.
-	// Past it the connection is closed, not pooled.
+	// drainTimeout bounds the wait for the last chunk after the end mark. After it
+	// the connection is closed, not returned to the pool.
 	drainTimeout = 250 * time.Millisecond
-	// drainBytes bounds what may follow the end mark.
+	// drainBytes bounds the bytes that may follow the end mark.
 	drainBytes = 4 << 10
 )
 
@@ -27,17 +27,17 @@
 // sseStream reads the events of one generation. Each event is one "data:"
 // line; a line that begins with a colon is a keep-alive.
 type sseStream struct {
-	exchange *exchange
+	exchange *httpExchange
 	reader   *bufio.Reader
 	maxLine  int
-	long     []byte
-	// ended and closed are atomic so that Close may come from another
-	// goroutine than Next.
+	longLine []byte
+	// ended and closed are atomic so that Close and Next may be called from
+	// different goroutines.
 	ended  atomic.Bool
 	closed atomic.Bool
 }
 
-func newSSEStream(x *exchange, maxLine int) *sseStream {
+func newSSEStream(x *httpExchange, maxLine int) *sseStream {
 	return &sseStream{
 		exchange: x,
 		reader:   bufio.NewReaderSize(x.response.Body, streamBuffer),
@@ -45,7 +45,7 @@
 	}
 }
 
-// RateLimit is that of the answer's header. See TokenStream.
+// RateLimit returns the rate limit in the response header. See TokenStream.
 func (s *sseStream) RateLimit() *float64 { return rateLimitOf(s.exchange.response.Header) }
 
 // Next returns the next event. See TokenStream.
@@ -54,20 +54,20 @@
 		return Token{}, io.EOF
 	}
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
 			return Token{}, err
 		}
 		switch {
 		case bytes.HasPrefix(line, dataPrefix):
-			return s.event(line[len(dataPrefix):])
+			return s.decodeEvent(line[len(dataPrefix):])
 		case len(line) > 0 && line[0] == ':':
 			return Token{KeepAlive: true}, nil
 		}
 	}
 }
 
-func (s *sseStream) event(data []byte) (Token, error) {
+func (s *sseStream) decodeEvent(data []byte) (Token, error) {
 	var t Token
 	if err := json.Unmarshal(data, &t); err != nil {
 		return Token{}, errors.Annotate(ErrMalformed, err.Error())
@@ -76,22 +76,23 @@
 	return t, nil
 }
 
-// line returns the next line without its end. The failure guarded against is
-// an engine that sends a line without end: past maxLine the stream fails
-// instead of taking memory.
-func (s *sseStream) line() ([]byte, error) {
-	s.long = s.long[:0]
+// readLine returns the next line without its line ending.
+//
+// Failure: an engine sends an endless line that takes all memory. The stream fails
+// after maxLine bytes instead.
+func (s *sseStream) readLine() ([]byte, error) {
+	s.longLine = s.longLine[:0]
 	for {
 		part, err := s.reader.ReadSlice('\n')
-		if len(s.long)+len(part) > s.maxLine {
+		if len(s.longLine)+len(part) > s.maxLine {
 			return nil, errors.Trace(ErrLineTooLong)
 		}
-		if err == nil && len(s.long) == 0 {
+		if err == nil && len(s.longLine) == 0 {
 			return trimEnd(part), nil
 		}
-		s.long = append(s.long, part...)
+		s.longLine = append(s.longLine, part...)
 		if err == nil {
-			return trimEnd(s.long), nil
+			return trimEnd(s.longLine), nil
 		}
 		if err != bufio.ErrBufferFull {
 			return nil, cutError(s.exchange.ctx, err)
@@ -101,8 +102,8 @@
 
 func trimEnd(line []byte) []byte { return bytes.TrimRight(line, "\r\n") }
 
-// Close ends the stream. After the end mark the connection is kept for reuse
-// if the engine ends its answer at once; else it is closed.
+// Close ends the stream. After the end mark the connection is reused if the engine ends
+// its answer within drainTimeout; otherwise it is closed.
 func (s *sseStream) Close() error {
 	if s.closed.Swap(true) {
 		return nil
--- a/internal/evidence/wire/values.go
+++ b/internal/evidence/wire/values.go
@@ -20,7 +20,7 @@
 	loadAge
 )
 
-// putLoad writes what differs from the last load.
+// putLoad appends the fields that differ from the last load.
 func putLoad(b []byte, last, l *backend.Load) []byte {
 	if last == nil {
 		last = &backend.Load{}
@@ -43,7 +43,7 @@
 	return putUint(b, number, protowire.EncodeZigZag(int64(v)))
 }
 
-// readLoad reads what differs from the last load.
+// readLoad decodes a load; omitted fields have the values of the last load.
 func readLoad(b []byte, last *backend.Load) (*backend.Load, error) {
 	l := &backend.Load{}
 	if last != nil {
@@ -67,7 +67,7 @@
 			l.AtMillis = int64(age)
 			return err
 		}
-		return v.wrong()
+		return v.malformed()
 	})
 	return l, errors.Trace(err)
 }
@@ -116,7 +116,7 @@
 			d.Weights = append(d.Weights, "")
 			return v.asString(&d.Weights[len(d.Weights)-1])
 		}
-		return v.wrong()
+		return v.malformed()
 	})
 	return d, errors.Trace(err)
 }
@@ -134,7 +134,7 @@
 	var list []string
 	err := eachField(b, listItem, func(v field) error {
 		if v.number != listItem {
-			return v.wrong()
+			return v.malformed()
 		}
 		list = append(list, "")
 		return v.asString(&list[len(list)-1])
--- a/internal/hearing/connection.go
+++ b/internal/hearing/connection.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// silenceLimit is how long a connection may bring no whole frame, and how
-	// long a write may take: over two intervals, so that one late frame does not
-	// end it, and under evidence.WitnessAge.
+	// silenceLimit bounds the wait for a complete frame and the duration of a
+	// write. It exceeds two digest intervals, so one late frame does not end the
+	// connection, and is shorter than evidence.WitnessAge.
 	//
-	// Failure: a middlebox forgets a connection, or a link loses one direction;
-	// the connection stays open and brings nothing. The side that hears nothing
-	// closes it; the other side then sees the end, or, when that is lost too,
-	// hears nothing itself.
+	// Failure: a middlebox drops its state for a connection, or a link loses one
+	// direction, and the connection stays open without delivering data. The side
+	// that receives nothing closes the connection. The other side then reads the
+	// end of the stream or, if the close is lost too, reaches its own limit.
 	silenceLimit = 800 * time.Millisecond
-	// peerBuffer is the read buffer of a connection in bytes, several ordinary
-	// frames; an entry has one for each other entry.
-	peerBuffer = 1 << 10
+	// peerBufferBytes is the size of a connection's read buffer. It holds several
+	// ordinary frames; an entry has one buffer for each other entry.
+	peerBufferBytes = 1 << 10
 )
 
 // connection is one end of a connection to another entry.
@@ -37,11 +37,11 @@
 	peer    string
 	conn    net.Conn
 	reader  *bufio.Reader
-	// dated is signalled when the first frame has arrived, as lines can be sent
+	// firstFrame is signalled when the first frame has arrived. Lines can be sent
 	// from then on.
-	dated chan struct{}
-	// news is signalled when there is something to send before its time.
-	news chan struct{}
+	firstFrame chan struct{}
+	// flush is signalled when a frame is to be sent before the next interval.
+	flush chan struct{}
 
 	mu      sync.Mutex
 	session *wire.Session
@@ -51,7 +51,7 @@
 func (h *Hearing) newConnection(peer string, conn net.Conn, reader *bufio.Reader) *connection {
 	return &connection{
 		hearing: h, peer: peer, conn: conn, reader: reader,
-		dated: make(chan struct{}, 1), news: make(chan struct{}, 1), session: wire.NewSession(),
+		firstFrame: make(chan struct{}, 1), flush: make(chan struct{}, 1), session: wire.NewSession(),
 	}
 }
 
@@ -88,9 +88,9 @@
 		}
 		select {
 		case <-ticker.C:
-		case <-c.dated:
-		case <-c.news:
-			// What else is heard meanwhile goes in the same frame.
+		case <-c.firstFrame:
+		case <-c.flush:
+			// Announcements received during the gap go into the same frame.
 			sleep(ctx, pushGap)
 		case <-ctx.Done():
 			return nil
@@ -98,16 +98,16 @@
 	}
 }
 
-// push asks for a frame before its time.
+// push requests a frame before the next interval.
 func (c *connection) push() {
 	select {
-	case c.news <- struct{}{}:
+	case c.flush <- struct{}{}:
 	default:
 	}
 }
 
 func (c *connection) send() error {
-	data, err := c.next()
+	data, err := c.nextFrames()
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -118,9 +118,10 @@
 	return errors.Trace(err)
 }
 
-// next makes the next frame. What was heard since the last one goes into it
-// once: it arrives, or the connection ends and the next one begins afresh.
-func (c *connection) next() ([]byte, error) {
+// nextFrames returns the bytes of the next frames. They carry each announcement
+// received since the last call exactly once. Either they arrive, or the connection
+// ends and the next connection sends the complete table.
+func (c *connection) nextFrames() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var lines []evidence.Heard
@@ -160,7 +161,7 @@
 		return errors.Trace(err)
 	}
 	if first {
-		c.dated <- struct{}{}
+		c.firstFrame <- struct{}{}
 	}
 	if got.Made.IsZero() {
 		return nil
--- a/internal/hearing/exchange_test.go
+++ b/internal/hearing/exchange_test.go
@@ -30,8 +30,8 @@
 
 const token = "secret"
 
-// lossy is a connection that can lose what it writes or reads, without an end
-// on either side.
+// lossy is a connection that can drop the data it writes or reads while both sides
+// stay open.
 type lossy struct {
 	net.Conn
 	loseWrites, loseReads atomic.Bool
@@ -83,15 +83,15 @@
 	return l, nil
 }
 
-// dialled returns the connections dialled so far.
-func (p *process) dialled() []*lossy {
+// dialledConns returns the connections dialled so far.
+func (p *process) dialledConns() []*lossy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conns
 }
 
-// begin starts n processes that know each other.
-func begin(t *testing.T, n int) []*process {
+// startProcesses starts n processes that are registered on the same board.
+func startProcesses(t *testing.T, n int) []*process {
 	t.Helper()
 	board := blackboard.New()
 	list := make([]*process, n)
@@ -114,12 +114,12 @@
 			defer close(p.done)
 			p.Run(ctx)
 		}()
-		t.Cleanup(p.end)
+		t.Cleanup(p.stop)
 	}
 	return list
 }
 
-func (p *process) end() {
+func (p *process) stop() {
 	p.cancel()
 	<-p.done
 	p.server.Close()
@@ -128,13 +128,13 @@
 func (p *process) announce(vm string, sequence uint64) { p.announceLoad(vm, sequence, nil) }
 
 func (p *process) announceLoad(vm string, sequence uint64, load *backend.Load) {
-	p.hear(backend.Announcement{
+	p.record(backend.Announcement{
 		ID: vm, Kind: backend.KindEngine, Incarnation: "x", Sequence: sequence, Group: "demo-0", Epoch: 7,
 		Phase: backend.PhaseReady, Address: "10.0.0.1:1", Load: load,
 	})
 }
 
-// await waits until p satisfies ok.
+// await waits until the table of p satisfies ok.
 func (p *process) await(t *testing.T, what string, ok func(*evidence.Table) bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -147,14 +147,14 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-func knows(vm string, sequence uint64) func(*evidence.Table) bool {
+func hasSequence(vm string, sequence uint64) func(*evidence.Table) bool {
 	return func(table *evidence.Table) bool {
 		r, ok := table.Get(vm)
 		return ok && r.Sequence == sequence
 	}
 }
 
-func witnesses(id string) func(*evidence.Table) bool {
+func hasRecentDigest(id string) func(*evidence.Table) bool {
 	return func(table *evidence.Table) bool { return table.Witness(time.Now(), id, evidence.WitnessAge) }
 }
 
@@ -162,28 +162,28 @@
 	return func(table *evidence.Table) bool { return !ok(table) }
 }
 
-// Entries that hear of no backend server still witness each other, and what one
-// hears reaches the others over the one connection of each pair.
-func TestBothSidesOfAConnectionAreUsed(t *testing.T) {
-	list := begin(t, 3)
+// Entries without backend servers still receive each other's digests. An announcement
+// to one entry reaches the others over the single connection of each pair.
+func TestConnectionCarriesEvidenceBothWays(t *testing.T) {
+	list := startProcesses(t, 3)
 	for _, p := range list {
 		for _, q := range list {
-			p.await(t, "witnesses "+q.id, witnesses(q.id))
+			p.await(t, "a recent digest of "+q.id, hasRecentDigest(q.id))
 		}
 	}
 	list[0].announce("vm-0", 1)
 	list[2].announce("vm-2", 1)
 	for _, p := range list {
-		p.await(t, "vm-0", knows("vm-0", 1))
-		p.await(t, "vm-2", knows("vm-2", 1))
+		p.await(t, "vm-0", hasSequence("vm-0", 1))
+		p.await(t, "vm-2", hasSequence("vm-2", 1))
 	}
-	assert.Equal(t, len(list[2].dialled()), 0, "the greatest id dials no one")
+	assert.Equal(t, len(list[2].dialledConns()), 0, "the greatest id dials no one")
 }
 
-// Routes stay closed all afternoon: a middlebox has forgotten the connection
-// between two entries, which stays open and brings nothing. Each of three
-// losses must be noticed and a new connection must bring what was missed.
-func TestASilentConnectionIsReplaced(t *testing.T) {
+// Failure: a middlebox drops the state of a connection between two entries. The
+// connection stays open, delivers nothing, and routes stay closed. Each of three kinds
+// of loss must be detected, and a new connection must deliver the missed announcements.
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		lose func(*lossy)
@@ -193,30 +193,30 @@
 		{"from the dialler", func(l *lossy) { l.loseWrites.Store(true) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			list := begin(t, 2)
+			list := startProcesses(t, 2)
 			list[0].announce("vm-0", 1)
 			list[1].announce("vm-1", 1)
-			list[1].await(t, "vm-0", knows("vm-0", 1))
-			list[0].await(t, "vm-1", knows("vm-1", 1))
-			before := list[0].dialled()
+			list[1].await(t, "vm-0", hasSequence("vm-0", 1))
+			list[0].await(t, "vm-1", hasSequence("vm-1", 1))
+			before := list[0].dialledConns()
 			c.lose(before[len(before)-1])
 			list[0].announce("vm-0", 2)
 			list[1].announce("vm-1", 2)
-			list[1].await(t, "vm-0 again", knows("vm-0", 2))
-			list[0].await(t, "vm-1 again", knows("vm-1", 2))
-			assert.Assert(t, len(list[0].dialled()) > len(before))
+			list[1].await(t, "vm-0 again", hasSequence("vm-0", 2))
+			list[0].await(t, "vm-1 again", hasSequence("vm-1", 2))
+			assert.Assert(t, len(list[0].dialledConns()) > len(before))
 		})
 	}
 }
 
-// A leader counts a peer as a witness though it is gone.
-func TestAPeerThatIsGoneIsNoWitness(t *testing.T) {
-	list := begin(t, 2)
-	list[0].await(t, "witnesses", witnesses("n1"))
-	list[1].await(t, "witnesses", witnesses("n0"))
+// Failure: a leader counts a stopped peer among the peers with a recent digest.
+func TestStoppedPeerHasNoRecentDigest(t *testing.T) {
+	list := startProcesses(t, 2)
+	list[0].await(t, "a recent digest of n1", hasRecentDigest("n1"))
+	list[1].await(t, "a recent digest of n0", hasRecentDigest("n0"))
 	list[0].cancel()
 	<-list[0].done
-	list[1].await(t, "no witness", not(witnesses("n0")))
+	list[1].await(t, "no recent digest of n0", not(hasRecentDigest("n0")))
 }
 
 func upgrade(t *testing.T, p *process, change func(http.Header)) (net.Conn, *http.Response) {
@@ -237,10 +237,10 @@
 	return conn, reply
 }
 
-// Evidence must not come from, nor go to, whoever reaches the listener, or be
-// taken for that of another entry.
-func TestTheUpgradeIsChecked(t *testing.T) {
-	p := begin(t, 2)[1]
+// The upgrade must refuse unauthenticated clients, unknown entries and requests meant
+// for another entry, so that no evidence is attributed to the wrong entry.
+func TestUpgradeIsValidated(t *testing.T) {
+	p := startProcesses(t, 2)[1]
 	for _, c := range []struct {
 		name   string
 		change func(http.Header)
@@ -261,9 +261,9 @@
 	}
 }
 
-// A peer that sends junk loses its connection, and nothing else breaks.
-func TestABadFrameClosesTheConnection(t *testing.T) {
-	p := begin(t, 2)[1]
+// An invalid frame must close its connection and leave all others open.
+func TestInvalidFrameClosesTheConnection(t *testing.T) {
+	p := startProcesses(t, 2)[1]
 	for _, bytes := range [][]byte{
 		{3, 0xff, 0xff, 0xff},
 		binary.AppendUvarint(nil, wire.MaxFrame+1),
@@ -280,10 +280,10 @@
 		timeout, ok := errors.Cause(err).(net.Error)
 		assert.Assert(t, !ok || !timeout.Timeout(), "%v", err)
 	}
-	p.await(t, "the good peer", witnesses("n0"))
+	p.await(t, "a recent digest of the valid peer", hasRecentDigest("n0"))
 }
 
-func TestAFrameOverTheLimitIsNotRead(t *testing.T) {
+func TestFrameOverTheLimitIsNotRead(t *testing.T) {
 	client, server := net.Pipe()
 	defer func() { _, _ = client.Close(), server.Close() }()
 	go func() { _, _ = client.Write(binary.AppendUvarint(nil, wire.MaxFrame+1)) }()
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -7,23 +7,22 @@
 	"github.com/go-kit/log/level"
 )
 
-// Drain stops gracefully within the context: it hands leadership over, takes
-// no new work, and lets running work finish. It returns false when the context
-// ended first.
+// Drain stops gracefully: it transfers leadership, admits no new work, and lets running
+// work finish. It returns false if the context ends first.
 func (n *Node) Drain(ctx context.Context) bool {
-	n.handOver(ctx)
+	n.transferLeadership(ctx)
 	if n.entry != nil && !n.entry.Drain(ctx, n.closeIdleCallers) {
 		return false
 	}
 	_ = level.Info(n.logger).Log("event", "drained_jobs")
-	return n.shutServers(ctx)
+	return n.shutdownServers(ctx)
 }
 
-// closeIdleCallers ends the callers' connections that carry no request.
+// closeIdleCallers closes the callers' connections that carry no request.
 //
-// Failure: a caller has kept a connection idle since before the stop and knows
-// nothing of it; its next request is refused, and the one retry that it has is
-// used up. Closed, it sends that request to another entry in the first place.
+// Failure: a caller holds an idle connection and does not know of the stop. Its next
+// request is refused and uses up its only retry. If the connection is closed, the caller
+// sends that request to another entry in the first place.
 func (n *Node) closeIdleCallers() {
 	for _, l := range n.servers {
 		if l.name == "callers" {
@@ -32,35 +31,35 @@
 	}
 }
 
-// handOverTimeout is a few election timeouts: a leader that can't hand over in
-// that time is replaced by an election when it stops.
-const handOverTimeout = 2 * time.Second
+// transferTimeout is a few election timeouts. If the leader can't transfer its
+// leadership in that time, an election replaces it after it has stopped.
+const transferTimeout = 2 * time.Second
 
-func (n *Node) handOver(ctx context.Context) {
+func (n *Node) transferLeadership(ctx context.Context) {
 	if n.replica == nil || n.replica.LeaseRemaining() <= 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	if err := n.replica.TransferLeadership(ctx); err != nil {
 		_ = level.Warn(n.logger).Log("event", "leadership_kept", "err", err)
 	}
 }
 
-// shutServers waits until every answer is written.
+// shutdownServers shuts the servers down once all answers are written. It returns false
+// if the context ends first.
 //
-// Failure: the last token of a long answer is known here, its job is done, but
-// the caller reads slowly and has most of it still to come; closing the
-// connection cuts it off. Callers come first, since peers may be reading
-// answers for theirs.
-func (n *Node) shutServers(ctx context.Context) bool {
-	whole := true
+// Failure: the job of a long answer is done, but the caller reads slowly and most of the
+// answer is still unsent. Closing the connection would cut the answer. The callers'
+// server is shut down first, because peers may be reading answers for their callers.
+func (n *Node) shutdownServers(ctx context.Context) bool {
+	complete := true
 	for _, name := range []string{"callers", "ready", "control", "admin", "peers"} {
 		for _, l := range n.servers {
 			if l.name == name && l.server.Shutdown(ctx) != nil {
-				whole = false
+				complete = false
 			}
 		}
 	}
-	return whole
+	return complete
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node makes one process of the system from its settings: the entry
+// Package node assembles one process of the system from its settings, with the entry
 // role, the control role, or both.
 package node
 
@@ -29,25 +29,25 @@
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
-// group is the one consensus group of today. Every message carries its id, so
-// that records can move to groups of their own.
+// group is the id of the only consensus group. Every message carries the id, so that
+// some records can move to separate groups later.
 const group raft.GroupID = 1
 
-// controllerStep is the time between two runs of the controllers: a quarter of
-// the age at which evidence is too old to route by, so that they add little to
-// the time of a repair.
+// controllerStep is the time between two runs of the controllers. It is a quarter of the
+// age at which evidence becomes too old for routing, so it adds little to the time of a
+// repair.
 const controllerStep = 300 * time.Millisecond
 
 // Node is one process of the system.
 type Node struct {
-	settings *settings.Settings
-	logger   log.Logger
-	tokens   tokens
-	peers    *http.Client
-	dialer   *net.Dialer
-	backends *backend.HTTPClient
-	// ordered carries orders to engines.
-	ordered *backend.HTTPClient
+	settings      *settings.Settings
+	logger        log.Logger
+	tokens        tokens
+	peerClient    *http.Client
+	dialer        *net.Dialer
+	backendClient *backend.HTTPClient
+	// orderClient carries orders to engines.
+	orderClient *backend.HTTPClient
 
 	replica  *replica.Node
 	machine  *control.Machine
@@ -55,34 +55,34 @@
 	hearing  *hearing.Hearing
 	follower *follow.Follower
 	entry    *entry.Server
-	servers  []*listening
+	servers  []*namedServer
 	adapter  Adapter
 	commits  *controlclient.Client
 	metrics  *metrics.Metrics
 }
 
-// tokens are the secrets that the settings name files of.
+// tokens holds the secrets from the token files that the settings name.
 type tokens struct {
 	peers, admin, announce, backend string
 }
 
-// listening is one HTTP server and its listener.
-type listening struct {
+// namedServer is an HTTP server with its listener and a name for logs.
+type namedServer struct {
 	name     string
 	server   *http.Server
 	listener net.Listener
 }
 
-// New makes the node and opens its listeners and its data folder. Close ends
-// what New began.
+// New creates a node and opens its listeners and its data folder. The caller must call
+// Close to release them.
 func New(s *settings.Settings, logger log.Logger) (*Node, error) {
 	return NewAdapted(s, logger, Adapter{})
 }
 
-// NewAdapted makes a node that runs on a platform through an adapter.
+// NewAdapted creates a node that uses an adapter for its platform's protocols.
 func NewAdapted(s *settings.Settings, logger log.Logger, a Adapter) (*Node, error) {
 	n := &Node{settings: s, logger: logger, adapter: a}
-	steps := []func() error{n.readTokens, n.makeMetrics, n.makeClients, n.makeControl, n.makeEntry, n.listen}
+	steps := []func() error{n.readTokens, n.makeMetrics, n.makeClients, n.openConsensus, n.makeServers, n.listen}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			_ = n.Close()
@@ -140,46 +140,49 @@
 	}
 }
 
-// Times of calls between our processes.
+// Timeouts of calls to the system's own processes and to backend servers.
 const (
-	// A VM without power lets a connection hang; the farthest data centres of a
-	// deployment are a tenth of this away.
+	// peerDialTimeout bounds a dial to another process of the system, which hangs if
+	// its VM is without power. The latency to the farthest data centre of a
+	// deployment is a tenth of this.
 	peerDialTimeout = 400 * time.Millisecond
-	// backendDialTimeout bounds a connection to a backend server. One that has gone
-	// dark lets it hang, and the request with it, twice where two are tried. The
-	// farthest data centres of a deployment are half of this away.
+	// backendDialTimeout bounds a dial to a backend server. A dial to an unreachable
+	// server hangs, and the request with it, twice if two servers are tried. The
+	// latency to the farthest data centre of a deployment is half of this.
 	backendDialTimeout = 200 * time.Millisecond
-	// orderIdle is how long an idle connection for orders is kept: a group is joined and
-	// opened within it. The leader orders each VM of a pool now and then; kept for
-	// longer, the connections to a large pool take all of its descriptors.
-	orderIdle = time.Second
-	// peerIdle is how long an idle connection between our processes is kept.
-	peerIdle = 30 * time.Second
-	// peerCallTimeout bounds any call between our processes.
+	// orderIdleTimeout is how long an idle connection for orders is kept. A group joins
+	// and opens within this time. The leader sends orders to each VM of a pool
+	// occasionally; with a longer timeout the connections to a large pool would take all
+	// of its file descriptors.
+	orderIdleTimeout = time.Second
+	// peerIdleTimeout is how long an idle connection to another process of the system is
+	// kept.
+	peerIdleTimeout = 30 * time.Second
+	// peerCallTimeout bounds any call to another process of the system.
 	peerCallTimeout = 10 * time.Second
 )
 
 func (n *Node) makeClients() error {
 	n.dialer = &net.Dialer{Timeout: peerDialTimeout, LocalAddr: n.localAddr()}
-	n.peers = &http.Client{
+	n.peerClient = &http.Client{
 		Timeout: peerCallTimeout,
 		Transport: &auth.Transport{Token: n.tokens.peers, Base: &http.Transport{
-			DialContext: n.dialer.DialContext, IdleConnTimeout: peerIdle, MaxIdleConnsPerHost: 4,
+			DialContext: n.dialer.DialContext, IdleConnTimeout: peerIdleTimeout, MaxIdleConnsPerHost: 4,
 		}},
 	}
 	o := backend.Options{
 		Logger: n.logger, Secret: n.tokens.backend, DialTimeout: backendDialTimeout,
 		HeaderTimeout: time.Duration(n.settings.Entry.HeaderTimeoutMillis) * time.Millisecond,
 	}
-	n.backends = backend.NewHTTPClient(o)
-	o.IdleTimeout = orderIdle
-	n.ordered = backend.NewHTTPClient(o)
+	n.backendClient = backend.NewHTTPClient(o)
+	o.IdleTimeout = orderIdleTimeout
+	n.orderClient = backend.NewHTTPClient(o)
 	return nil
 }
 
-// localAddr is the address that connections to peers come from: the IP that
-// this process listens on for peers. A VM with several addresses is then seen
-// under the one that its settings name.
+// localAddr returns the source address of connections to peers: the IP on which this
+// process listens for peers, or nil if that is unspecified. Peers of a VM with several
+// addresses then observe the one in its settings.
 func (n *Node) localAddr() net.Addr {
 	address, err := net.ResolveTCPAddr("tcp", n.settings.Peers.Listen)
 	if err != nil || address.IP == nil || address.IP.IsUnspecified() {
@@ -188,7 +191,7 @@
 	return &net.TCPAddr{IP: address.IP}
 }
 
-func (n *Node) makeControl() error {
+func (n *Node) openConsensus() error {
 	if !n.settings.Control.Enabled {
 		return nil
 	}
@@ -206,7 +209,7 @@
 	return nil
 }
 
-// replicaOptions are those that the settings alone give.
+// replicaOptions returns the replica options that depend on the settings alone.
 func replicaOptions(s *settings.Settings) replica.Options {
 	return replica.Options{
 		Group: group, Folder: s.Control.DataFolder, VM: s.VM, DataCentre: s.DataCentre,
@@ -217,14 +220,14 @@
 	}
 }
 
-// Recover makes the state in the data folder of a stopped control process the
-// start of a new cluster; see replica.Recover for what may be lost.
+// Recover starts a new cluster from the state in the data folder of a stopped control
+// process. See replica.Recover for the data that may be lost.
 func Recover(s *settings.Settings) (replica.Recovered, error) {
 	recovered, err := replica.Recover(replicaOptions(s))
 	return recovered, errors.Trace(err)
 }
 
-func (n *Node) makeEntry() error {
+func (n *Node) makeServers() error {
 	e := n.settings.Entry
 	self := blackboard.Entry{
 		ID: n.settings.VM, Address: e.Advertise, PeerAddress: n.settings.Peers.Advertise, DataCentre: n.settings.DataCentre,
@@ -233,31 +236,31 @@
 	if e.Enabled && self.Address == "" {
 		self.Address = n.settings.Adapter.Callers
 	}
-	client := controlclient.New(n.settings.Peers.Control, n.peers)
+	client := controlclient.New(n.settings.Peers.Control, n.peerClient)
 	n.follower = follow.New(follow.Options{
-		Watcher: client, Entry: self, Logger: log.With(n.logger, "part", "follow"), OnChange: n.boardChanged,
+		Watcher: client, Entry: self, Logger: log.With(n.logger, "part", "follow"), OnChange: n.onBoardChange,
 		OnControl: client.Learn, StartWithoutLease: e.ServeWithoutLease,
 	})
 	n.commits = client
 	n.hearing = hearing.New(hearing.Options{
 		Self: n.settings.VM, Board: n.follower.Board, Lease: n.follower.Lease, Dial: n.dialer.DialContext,
 		PeerToken: n.tokens.peers, AnnounceToken: n.tokens.announce,
-		Logger: log.With(n.logger, "part", "hearing"), OnAnnouncement: n.announced,
-		Interval: millis(n.settings.Control.AnnounceMillis), OnChange: n.evidenceChanged,
+		Logger: log.With(n.logger, "part", "hearing"), OnAnnouncement: n.onAnnouncement,
+		Interval: millis(n.settings.Control.AnnounceMillis), OnChange: n.onEvidenceChange,
 	})
 	if e.Enabled {
 		n.entry = entry.NewServer(entry.Options{
 			ID: n.settings.VM, DataCentre: n.settings.DataCentre, Regions: n.settings.Regions, Settings: e, Follower: n.follower, Hearing: n.hearing,
-			Client: n.backends, Control: client, Logger: n.decisions("entry"), RequestLinesPerSecond: n.settings.Log.RequestLinesPerSecond, Metrics: n.metrics.Entry(), Peers: &http.Client{Transport: n.peers.Transport},
+			Client: n.backendClient, Control: client, Logger: n.decisionLogger("entry"), RequestLinesPerSecond: n.settings.Log.RequestLinesPerSecond, Metrics: n.metrics.Entry(), Peers: &http.Client{Transport: n.peerClient.Transport},
 			Forwarder: n.forwarder(), Suspects: client,
 		})
 	}
 	if n.replica != nil {
 		c := n.settings.Control
 		n.control = control.NewServer(control.Options{
-			Machine: n.machine, Consensus: n.replica, Evidence: n.hearing, Orders: n.orders(),
+			Machine: n.machine, Consensus: n.replica, Evidence: n.hearing, Orders: n.orderSender(),
 			MinDisks: c.MinDisks, Timing: n.timing(), Renewer: client, DataCentres: slices.Sorted(maps.Keys(n.settings.Regions)),
-			Logger: n.decisions("control"), VM: n.settings.VM, Step: n.controllerStep(), Metrics: n.metrics.Control(),
+			Logger: n.decisionLogger("control"), VM: n.settings.VM, Step: n.controllerStep(), Metrics: n.metrics.Control(),
 			Lease:      time.Duration(c.ConfigLeaseMillis) * time.Millisecond,
 			OrderLease: time.Duration(c.TickMillis*int64(c.ElectionTicks)) * time.Millisecond,
 		})
@@ -267,8 +270,9 @@
 
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// decisions returns the logger of a part that logs its decisions at level info.
-func (n *Node) decisions(part string) log.Logger {
+// decisionLogger returns the logger of a part, which logs its decisions at level info.
+// Unless the settings enable decisions, it passes only warnings and errors.
+func (n *Node) decisionLogger(part string) log.Logger {
 	logger := log.With(n.logger, "part", part)
 	if n.settings.Log.Decisions {
 		return logger
@@ -276,32 +280,31 @@
 	return level.NewFilter(logger, level.AllowWarn())
 }
 
-func (n *Node) boardChanged(b *blackboard.Board) {
+func (n *Node) onBoardChange(b *blackboard.Board) {
 	if n.entry != nil {
 		n.entry.BoardChanged(b)
 	}
 }
 
-// evidenceChanged runs the controllers at once: a group that waits for this word
-// is up that much sooner.
-func (n *Node) evidenceChanged() {
+// onEvidenceChange runs the controllers at once, so that a group that waits for the change
+// becomes ready sooner.
+func (n *Node) onEvidenceChange() {
 	if n.control != nil {
 		n.control.Wake()
 	}
 }
 
-func (n *Node) announced(a backend.Announcement) {
+func (n *Node) onAnnouncement(a backend.Announcement) {
 	if n.entry != nil {
 		n.entry.Announced(a)
 	}
 }
 
-// ErrReplicaFailed ends a process whose consensus replica can't go on, such as
-// after a failed sync. The platform starts it again.
+// ErrReplicaFailed is returned by Run after the consensus replica has failed
+// irrecoverably, such as by a failed sync. The platform restarts the process.
 const ErrReplicaFailed = errors.ConstError("the consensus replica has failed")
 
-// Run serves until the context ends, then returns. It returns an error when
-// the process can't go on.
+// Run serves until the context ends. It returns an error if the process can't continue.
 func (n *Node) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, l := range n.servers {
@@ -333,8 +336,8 @@
 	return errors.Trace(g.Wait())
 }
 
-// Reload takes in what may change while the process runs: where the control
-// processes are.
+// Reload applies the settings that may change while the process runs: the addresses of
+// the control processes.
 func (n *Node) Reload(s *settings.Settings) {
 	n.commits.Reseed(s.Peers.Control)
 	if n.replica != nil {
@@ -372,13 +375,13 @@
 	}
 }
 
-// Close frees what the node holds.
+// Close closes the node's listeners, idle connections, metrics and replica.
 func (n *Node) Close() error {
 	n.closeServers()
 	for _, l := range n.servers {
 		_ = l.listener.Close()
 	}
-	for _, c := range []*backend.HTTPClient{n.backends, n.ordered} {
+	for _, c := range []*backend.HTTPClient{n.backendClient, n.orderClient} {
 		if c != nil {
 			c.Close()
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// system is one node with every role, and stand-ins, in the test's process.
+// system is one node with every role and stand-in backend servers, in the test's process.
 type system struct {
 	t        *testing.T
 	settings *settings.Settings
@@ -48,11 +48,11 @@
 const (
 	testKey   = "key"
 	testModel = "demo"
-	// groups and perGroup shape the test's serving groups.
+	// groups is the number of serving groups, perGroup the number of VMs in each.
 	groups   = 3
 	perGroup = 2
-	// patience bounds any wait of a test; it is no measure of anything.
-	patience = 60 * time.Second
+	// testTimeout bounds each wait of a test. It does not assert a duration.
+	testTimeout = 60 * time.Second
 )
 
 func start(t *testing.T, shape func(*standin.EngineOptions)) *system {
@@ -81,13 +81,13 @@
 		<-s.ran
 		assert.NilError(t, n.Close())
 	})
-	s.found()
+	s.bootstrap()
 	s.startBackends(shape)
 	s.await("groups serve", func() bool { return s.serving() == groups })
 	return s
 }
 
-// testWriter keeps the log out of a passing test's output.
+// testWriter collects the log and prints it only if the test fails.
 type testWriter struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -114,7 +114,7 @@
 	return w.b.Write(p)
 }
 
-func (s *system) found() {
+func (s *system) bootstrap() {
 	change := blackboard.ConfigChange{
 		ChangeID:   "first",
 		Workspaces: []blackboard.Workspace{{Name: "w", KeySHA256: auth.KeyHash(testKey)}},
@@ -154,12 +154,12 @@
 
 func (s *system) await(what string, ok func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	s.t.Fatalf("gave up waiting: %s", what)
+	s.t.Fatalf("timed out waiting: %s", what)
 }
 
 func (s *system) serving() int {
@@ -172,7 +172,7 @@
 	return n
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
 	status  int
 	text    string
@@ -199,21 +199,21 @@
 	data, err := io.ReadAll(response.Body)
 	assert.NilError(s.t, err)
 	a := answer{status: response.StatusCode, header: response.Header}
-	var whole struct {
+	var decoded struct {
 		Choices []struct{ Text string }
 		Error   *failure.Error
 	}
-	_ = json.Unmarshal(data, &whole)
-	if len(whole.Choices) > 0 {
-		a.text = whole.Choices[0].Text
+	_ = json.Unmarshal(data, &decoded)
+	if len(decoded.Choices) > 0 {
+		a.text = decoded.Choices[0].Text
 	}
-	if whole.Error != nil {
-		a.failure = *whole.Error
+	if decoded.Error != nil {
+		a.failure = *decoded.Error
 	}
 	return a
 }
 
-// runs counts the runs of a prompt on all engines.
+// runs returns the number of runs of a prompt on all engines.
 func (s *system) runs(prompt string) int {
 	n := 0
 	for _, e := range s.engines {
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -20,7 +20,7 @@
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
 )
 
-// Limits of connections from outside.
+// Limits of the HTTP servers.
 const (
 	readHeaderTimeout = 10 * time.Second
 	maxHeaderBytes    = 32 << 10
@@ -31,7 +31,7 @@
 	if err := n.listenAt("peers", n.settings.Peers.Listen, n.peersHandler()); err != nil {
 		return errors.Trace(err)
 	}
-	if err := n.listenAtEdges(); err != nil {
+	if err := n.listenForAdapter(); err != nil {
 		return errors.Trace(err)
 	}
 	if n.entry != nil && n.settings.Entry.Listen != "" {
@@ -45,13 +45,13 @@
 	return errors.Trace(n.listenAt("admin", n.settings.Admin.Listen, n.adminHandler()))
 }
 
-// adminHandler serves operators: the admin API on a control process, and the
-// metrics on any.
+// adminHandler serves operators: metrics on every process, and the admin API on a
+// control process.
 func (n *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(metrics.Path, auth.Handler(n.tokens.admin, n.metrics.Handler()))
 	if n.control != nil {
-		forward := &control.Forwarder{Client: &http.Client{Transport: n.peers.Transport}, Token: n.tokens.peers}
+		forward := &control.Forwarder{Client: &http.Client{Transport: n.peerClient.Transport}, Token: n.tokens.peers}
 		mux.Handle("/admin/v1/", n.control.AdminHandler(n.tokens.admin, forward))
 	}
 	return mux
@@ -65,12 +65,12 @@
 	server := &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
 	}
-	n.servers = append(n.servers, &listening{name: name, server: server, listener: l})
+	n.servers = append(n.servers, &namedServer{name: name, server: server, listener: l})
 	_ = level.Info(n.logger).Log("event", "listening", "for", name, "address", l.Addr())
 	return nil
 }
 
-// peersHandler serves the system's own processes.
+// peersHandler serves the other processes of the system.
 func (n *Node) peersHandler() http.Handler {
 	mux := http.NewServeMux()
 	entries := noderpc.NewEntriesServer(n.entriesService())
@@ -91,34 +91,35 @@
 	if n.replica == nil {
 		return guarded
 	}
-	// The replica checks the token itself.
-	whole := http.NewServeMux()
-	whole.Handle("/", guarded)
-	whole.Handle(replica.PathPrefix, n.replica.Handler())
-	return whole
+	// The replica checks the token itself, so its handler bypasses auth.
+	outer := http.NewServeMux()
+	outer.Handle("/", guarded)
+	outer.Handle(replica.PathPrefix, n.replica.Handler())
+	return outer
 }
 
 func (n *Node) entriesService() noderpc.Entries {
 	if n.entry == nil {
-		return noHome{}
+		return noEntryRole{}
 	}
 	return n.entry.Home()
 }
 
-// noHome refuses to be the home of keys on a process without the entry role.
-type noHome struct{}
+// noEntryRole implements noderpc.Entries on a process without the entry role. It refuses
+// every call.
+type noEntryRole struct{}
 
-// Hold refuses.
-func (noHome) Hold(context.Context, *noderpc.HoldRequest) (*noderpc.HoldReply, error) {
+// Hold returns a not-found error.
+func (noEntryRole) Hold(context.Context, *noderpc.HoldRequest) (*noderpc.HoldReply, error) {
 	return nil, twirp.NotFound.Error("no entry role here")
 }
 
-// LendRetry refuses.
-func (noHome) LendRetry(context.Context, *noderpc.LendRetryRequest) (*noderpc.LendRetryReply, error) {
+// LendRetry returns a not-found error.
+func (noEntryRole) LendRetry(context.Context, *noderpc.LendRetryRequest) (*noderpc.LendRetryReply, error) {
 	return nil, twirp.NotFound.Error("no entry role here")
 }
 
-// Release refuses.
-func (noHome) Release(context.Context, *noderpc.ReleaseRequest) (*noderpc.ReleaseReply, error) {
+// Release returns a not-found error.
+func (noEntryRole) Release(context.Context, *noderpc.ReleaseRequest) (*noderpc.ReleaseReply, error) {
 	return nil, twirp.NotFound.Error("no entry role here")
 }
