--- a/internal/blackboard/batch.go
+++ b/internal/blackboard/batch.go
@@ -41,15 +41,15 @@
 // each, so that the one is left out and the others stay.
 func (c Batch) apply(d *draft) (any, bool) {
 	next := d.draft()
-	refusal, changed := c.applyAll(next, applyIn)
-	if changed && !next.consistent() {
+	refusal, changed := c.applyAll(next, applyInPlace)
+	if changed && !next.checkMembership() {
 		next = d.draft()
-		refusal, changed = c.applyAll(next, applyApart)
+		refusal, changed = c.applyAll(next, applyIsolated)
 	}
 	if !changed {
 		return refusal, false
 	}
-	d.become(next)
+	d.replaceWith(next)
 	return applied()
 }
 
@@ -62,8 +62,8 @@
 			refusal = Verdict{Reason: err.Error()}
 			continue
 		}
-		result, did := apply(d, command)
-		if !did {
+		result, didChange := apply(d, command)
+		if !didChange {
 			refusal = result
 			continue
 		}
@@ -72,17 +72,17 @@
 	return refusal, changed
 }
 
-// applyIn applies a command to the draft itself.
-func applyIn(d *draft, c Command) (any, bool) { return c.apply(d) }
+// applyInPlace applies a command to the draft itself.
+func applyInPlace(d *draft, c Command) (any, bool) { return c.apply(d) }
 
-// applyApart applies a command to a draft of its own, and takes that over unless it
+// applyIsolated applies a command to a draft of its own, and takes that over unless it
 // breaks an invariant.
-func applyApart(d *draft, c Command) (any, bool) {
+func applyIsolated(d *draft, c Command) (any, bool) {
 	next := d.draft()
-	result, did := c.apply(next)
-	if !did || !next.consistent() {
+	result, changed := c.apply(next)
+	if !changed || !next.checkMembership() {
 		return result, false
 	}
-	d.become(next)
+	d.replaceWith(next)
 	return result, true
 }
--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -53,12 +53,12 @@
 // New returns an empty board at revision 0.
 func New() *Board {
 	b := &Board{NextEpoch: 1}
-	b.fill()
+	b.initTables()
 	return b
 }
 
 // fill makes each nil table an empty one, as a snapshot may leave it.
-func (b *Board) fill() {
+func (b *Board) initTables() {
 	b.Config = b.Config.clone()
 	b.VMs = orEmpty(b.VMs)
 	b.Groups = orEmpty(b.Groups)
@@ -86,15 +86,15 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	data, err = pack(data)
+	data, err = compress(data)
 	return data, errors.Trace(err)
 }
 
 // Decode returns the board that a snapshot holds, be it whole or an entry's copy.
 func Decode(snapshot []byte) (*Board, error) {
 	b := &Board{}
-	if packed(snapshot) {
-		plain, err := unpack(snapshot)
+	if isCompressed(snapshot) {
+		plain, err := decompress(snapshot)
 		if err != nil {
 			return nil, errors.WithType(errors.Annotate(err, "blackboard snapshot"), ErrMalformed)
 		}
@@ -103,7 +103,7 @@
 	if err := json.Unmarshal(snapshot, b); err != nil {
 		return nil, errors.WithType(errors.Annotate(err, "blackboard snapshot"), ErrMalformed)
 	}
-	b.fill()
+	b.initTables()
 	return b, nil
 }
 
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if !b.consistent() {
+	if !b.checkMembership() {
 		return nil, errors.Annotate(ErrInconsistent, "blackboard snapshot")
 	}
 	return b, nil
@@ -142,11 +142,11 @@
 		return b, data, Change{}, nil
 	}
 	next.Revision++
-	if !next.consistent() {
+	if !next.checkMembership() {
 		return b, data, Change{}, errors.Trace(ErrInconsistent)
 	}
 	board := next.Board
-	return &board, data, changeOf(b, next), nil
+	return &board, data, changeBetween(b, next), nil
 }
 
 // ApplyAll returns the board after commands that have each changed a board before,
@@ -169,14 +169,14 @@
 			next.Revision++
 		}
 	}
-	if !next.consistent() {
+	if !next.checkMembership() {
 		return b, errors.Trace(ErrInconsistent)
 	}
 	board := next.Board
 	return &board, nil
 }
 
-func (b *Board) remember(id string, outcome ChangeOutcome) {
+func (b *Board) recordOutcome(id string, outcome ChangeOutcome) {
 	changes := cloneMap(b.Changes)
 	changes[id] = outcome
 	order := append(append([]string(nil), b.ChangeOrder...), id)
--- a/internal/blackboard/command_test.go
+++ b/internal/blackboard/command_test.go
@@ -163,7 +163,7 @@
 	for i, to := range []Liveness{Paused, Alive, Paused, Alive, Paused, Alive} {
 		later += 1000
 		if i == 5 {
-			later += flapMemoryMillis + 1
+			later += flapWindowMillis + 1
 		}
 		b, _ = verdict(t, b, SetLiveness{VM: "1", Incarnation: "a", To: to, NowMillis: later, Returned: to == Alive})
 		if i == 3 {
@@ -202,7 +202,7 @@
 func TestRememberedChangesAreBounded(t *testing.T) {
 	b := New()
 	for i := range maxRememberedChanges + 10 {
-		b.remember(string(rune('a'+i%26))+string(rune(i)), ChangeOutcome{Revision: uint64(i)})
+		b.recordOutcome(string(rune('a'+i%26))+string(rune(i)), ChangeOutcome{Revision: uint64(i)})
 	}
 	assert.Equal(t, len(b.Changes), maxRememberedChanges)
 	assert.Equal(t, len(b.ChangeOrder), maxRememberedChanges)
--- a/internal/blackboard/compress.go
+++ b/internal/blackboard/compress.go
@@ -10,19 +10,19 @@
 	"github.com/juju/errors"
 )
 
-// maxUncompressed bounds what a compressed part may unfold to, in bytes: a
+// maxUncompressedBytes bounds what a compressed part may unfold to, in bytes: a
 // board with thousands of routes takes a few megabytes.
-const maxUncompressed = 64 << 20
+const maxUncompressedBytes = 64 << 20
 
-// compressors are kept between uses: a new one takes most of a megabyte.
-var compressors = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
+// gzipWriters are kept between uses: a new one takes most of a megabyte.
+var gzipWriters = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
 
 // pack returns data compressed. Configurations repeat their field names and
 // take a tenth of their size, and each goes to every entry.
-func pack(data []byte) ([]byte, error) {
+func compress(data []byte) ([]byte, error) {
 	var b bytes.Buffer
-	z := compressors.Get().(*gzip.Writer)
-	defer compressors.Put(z)
+	z := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(z)
 	z.Reset(&b)
 	if _, err := z.Write(data); err != nil {
 		return nil, errors.Trace(err)
@@ -33,20 +33,20 @@
 	return b.Bytes(), nil
 }
 
-func unpack(data []byte) ([]byte, error) {
+func decompress(data []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	out, err := io.ReadAll(io.LimitReader(z, maxUncompressed))
+	out, err := io.ReadAll(io.LimitReader(z, maxUncompressedBytes))
 	return out, errors.Trace(err)
 }
 
 // packed tells compressed data from JSON by its first bytes.
-func packed(data []byte) bool { return len(data) > 2 && data[0] == 0x1f && data[1] == 0x8b }
+func isCompressed(data []byte) bool { return len(data) > 2 && data[0] == 0x1f && data[1] == 0x8b }
 
-// packedCommand is the compressed form of a long command.
-type packedCommand struct {
+// compressedCommand is the compressed form of a long command.
+type compressedCommand struct {
 	Packed []byte `json:"packed"`
 }
 
@@ -60,21 +60,21 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	body, err := pack(plain)
+	body, err := compress(plain)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	data, err := json.Marshal(packedCommand{Packed: body})
+	data, err := json.Marshal(compressedCommand{Packed: body})
 	return data, errors.Trace(err)
 }
 
 // UnmarshalJSON reads the compressed form.
 func (c *ReplaceConfiguration) UnmarshalJSON(data []byte) error {
-	var p packedCommand
+	var p compressedCommand
 	if err := json.Unmarshal(data, &p); err != nil {
 		return errors.Trace(err)
 	}
-	plain, err := unpack(p.Packed)
+	plain, err := decompress(p.Packed)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/internal/blackboard/config.go
+++ b/internal/blackboard/config.go
@@ -162,7 +162,7 @@
 		return old, false
 	}
 	outcome := c.decide(&d.Board)
-	d.remember(c.ChangeID, outcome)
+	d.recordOutcome(c.ChangeID, outcome)
 	return outcome, true
 }
 
@@ -175,7 +175,7 @@
 	}
 	next := b.Config.clone()
 	c.edit(&next)
-	if e := next.check(); e != nil {
+	if e := next.validate(); e != nil {
 		return ChangeOutcome{Revision: current, Failure: e}
 	}
 	next.Revision = current + 1
@@ -222,7 +222,7 @@
 }
 
 // check refuses a configuration that could not be carried out.
-func (c *Configuration) check() *failure.Error {
+func (c *Configuration) validate() *failure.Error {
 	for _, name := range sortedKeys(c.Groups) {
 		g := c.Groups[name]
 		if name == "" || g.Model == "" || g.Replicas < 0 || g.VMsPerReplica < 1 {
@@ -231,7 +231,7 @@
 		}
 	}
 	for _, name := range sortedKeys(c.Workspaces) {
-		if w := c.Workspaces[name]; name == "" || !w.hasGoodKeys(c.Version > 0) || w.Share < 0 || w.MaxOpen < 0 {
+		if w := c.Workspaces[name]; name == "" || !w.hasValidKeys(c.Version > 0) || w.Share < 0 || w.MaxOpen < 0 {
 			return failure.New(failure.TypeBadRequest,
 				"a workspace needs a name, key_sha256 of 64 hex digits, and share and max_open of 0 or more").WithDetail("workspaces." + name)
 		}
@@ -243,12 +243,12 @@
 		}
 	}
 	for _, name := range sortedKeys(c.Services) {
-		if e := c.Services[name].check(); e != nil {
+		if e := c.Services[name].validate(); e != nil {
 			return e
 		}
 	}
 	for _, name := range sortedKeys(c.Routes) {
-		if e := c.Routes[name].check(c); e != nil {
+		if e := c.Routes[name].validate(c); e != nil {
 			return e
 		}
 	}
@@ -260,16 +260,16 @@
 
 const sha256HexLength = 64
 
-// hasGoodKeys tells whether each key is a hash. A workspace of a whole
+// hasValidKeys tells whether each key is a hash. A workspace of a whole
 // configuration may have lost all its keys; any other has one.
-func (w Workspace) hasGoodKeys(mayHaveNone bool) bool {
+func (w Workspace) hasValidKeys(allowNone bool) bool {
 	hashes := w.keyHashes()
 	for _, hash := range hashes {
 		if len(hash) != sha256HexLength {
 			return false
 		}
 	}
-	return mayHaveNone || w.KeySHA256 != ""
+	return allowNone || w.KeySHA256 != ""
 }
 
 // ClassWorth returns the worth of a class under the preset in force.
--- a/internal/blackboard/draft.go
+++ b/internal/blackboard/draft.go
@@ -16,39 +16,39 @@
 	Board
 	// ownVMs and ownGroups say that the table is a copy of this draft's own.
 	ownVMs, ownGroups bool
-	// touched names the groups whose rows, or whose members' rows, have changed.
-	touched map[string]bool
+	// affectedGroups names the groups whose rows, or whose members' rows, have changed.
+	affectedGroups map[string]bool
 	// vms and groups name the rows that were written.
-	vms, groups map[string]bool
+	writtenVMs, writtenGroups map[string]bool
 }
 
 // draft returns a draft that begins as a copy of the board.
 func (b *Board) draft() *draft {
-	return &draft{Board: *b, touched: make(map[string]bool), vms: make(map[string]bool), groups: make(map[string]bool)}
+	return &draft{Board: *b, affectedGroups: make(map[string]bool), writtenVMs: make(map[string]bool), writtenGroups: make(map[string]bool)}
 }
 
 // become takes over what a draft of this one has become.
-func (d *draft) become(next *draft) {
-	maps.Copy(next.touched, d.touched)
-	maps.Copy(next.vms, d.vms)
-	maps.Copy(next.groups, d.groups)
+func (d *draft) replaceWith(next *draft) {
+	maps.Copy(next.affectedGroups, d.affectedGroups)
+	maps.Copy(next.writtenVMs, d.writtenVMs)
+	maps.Copy(next.writtenGroups, d.writtenGroups)
 	*d = *next
 }
 
 // putVM writes the row of a VM.
 func (d *draft) putVM(v VM) {
-	d.takeVMs()
-	d.touched[d.VMs[v.ID].Group] = true
-	d.touched[v.Group] = true
-	d.vms[v.ID] = true
+	d.cloneVMsOnce()
+	d.affectedGroups[d.VMs[v.ID].Group] = true
+	d.affectedGroups[v.Group] = true
+	d.writtenVMs[v.ID] = true
 	d.VMs[v.ID] = v
 }
 
 // removeVM drops the row of a VM.
 func (d *draft) removeVM(id string) {
-	d.takeVMs()
-	d.touched[d.VMs[id].Group] = true
-	d.vms[id] = true
+	d.cloneVMsOnce()
+	d.affectedGroups[d.VMs[id].Group] = true
+	d.writtenVMs[id] = true
 	delete(d.VMs, id)
 }
 
@@ -58,12 +58,12 @@
 		d.Groups = cloneMap(d.Groups)
 		d.ownGroups = true
 	}
-	d.touched[g.ID] = true
-	d.groups[g.ID] = true
+	d.affectedGroups[g.ID] = true
+	d.writtenGroups[g.ID] = true
 	d.Groups[g.ID] = g
 }
 
-func (d *draft) takeVMs() {
+func (d *draft) cloneVMsOnce() {
 	if !d.ownVMs {
 		d.VMs = cloneMap(d.VMs)
 		d.ownVMs = true
@@ -71,11 +71,11 @@
 }
 
 // consistent asserts the invariant of members for the groups that the draft has
-// touched. The others keep theirs: a member's row names its group, so a change of
+// affectedGroups. The others keep theirs: a member's row names its group, so a change of
 // the row touches the group.
-func (d *draft) consistent() bool {
-	for id := range d.touched {
-		if g, ok := d.Groups[id]; ok && !d.holdsMembersOf(g) {
+func (d *draft) checkMembership() bool {
+	for id := range d.affectedGroups {
+		if g, ok := d.Groups[id]; ok && !d.membersHoldEpoch(g) {
 			return false
 		}
 	}
@@ -83,20 +83,20 @@
 }
 
 // consistent asserts the invariant of members for all groups.
-func (b *Board) consistent() bool {
+func (b *Board) checkMembership() bool {
 	for _, g := range b.Groups {
-		if !b.holdsMembersOf(g) {
+		if !b.membersHoldEpoch(g) {
 			return false
 		}
 	}
 	return true
 }
 
-// holdsMembersOf asserts that each member of a group that is not released or
+// membersHoldEpoch asserts that each member of a group that is not released or
 // broken up holds that group and epoch, so no VM is in two groups and no
 // group serves with a member missing from its row.
-func (b *Board) holdsMembersOf(g Group) bool {
-	if !g.State.holdsMembers() {
+func (b *Board) membersHoldEpoch(g Group) bool {
+	if !g.State.requiresMembers() {
 		return true
 	}
 	for _, m := range g.Members {
--- a/internal/blackboard/entry_copy.go
+++ b/internal/blackboard/entry_copy.go
@@ -15,7 +15,7 @@
 // copied returns the row of a group in an entry's copy, and whether it has one.
 // Entries need the members of a group that serves alone, and of one that has ceased
 // to, why.
-func copied(g Group) (Group, bool) {
+func groupForEntries(g Group) (Group, bool) {
 	switch g.State {
 	case Serving:
 		return g, true
@@ -35,20 +35,20 @@
 	c.Waits, c.RateLimits, c.CallersMillis = b.Waits, b.RateLimits, b.CallersMillis
 	c.Evacuations, c.ColdServers = b.Evacuations, b.ColdServers
 	for id, g := range b.Groups {
-		if row, ok := copied(g); ok {
+		if row, ok := groupForEntries(g); ok {
 			c.Groups[id] = row
 		}
 	}
 	for id, v := range b.VMs {
 		if v.Leaving {
-			c.VMs[id] = leavingRow(id)
+			c.VMs[id] = leavingVMRow(id)
 		}
 	}
 	return c
 }
 
-// leavingRow is the row of a leaving VM in an entry's copy.
-func leavingRow(id string) VM { return VM{ID: id, Leaving: true} }
+// leavingVMRow is the row of a leaving VM in an entry's copy.
+func leavingVMRow(id string) VM { return VM{ID: id, Leaving: true} }
 
 // EncodeForEntries returns the entry's copy of the board as a snapshot.
 func (b *Board) EncodeForEntries() ([]byte, error) {
--- a/internal/blackboard/evacuation.go
+++ b/internal/blackboard/evacuation.go
@@ -38,10 +38,10 @@
 	if c.DataCentre == "" {
 		return EvacuationOutcome{Failure: failure.New(failure.TypeBadRequest, "a data centre is needed")}, false
 	}
-	standing, evacuated := d.Evacuations[c.DataCentre]
+	current, evacuated := d.Evacuations[c.DataCentre]
 	switch {
 	case evacuated && !c.End:
-		return EvacuationOutcome{Revision: standing.Revision}, false
+		return EvacuationOutcome{Revision: current.Revision}, false
 	case !evacuated && c.End:
 		return EvacuationOutcome{Revision: d.Revision}, false
 	}
--- a/internal/blackboard/group.go
+++ b/internal/blackboard/group.go
@@ -16,8 +16,8 @@
 // Routable tells whether entries may send new work to the group.
 func (s GroupState) Routable() bool { return s == Serving }
 
-// holdsMembers tells whether every member's row must name the group's epoch.
-func (s GroupState) holdsMembers() bool {
+// requiresMembers tells whether every member's row must name the group's epoch.
+func (s GroupState) requiresMembers() bool {
 	return s == Forming || s == Loading || s == Serving
 }
 
@@ -99,7 +99,7 @@
 	if len(g.Members) == 0 {
 		return refused("no members")
 	}
-	if reason := d.mayJoin(g); reason != "" {
+	if reason := d.joinRefusal(g); reason != "" {
 		return refused(reason)
 	}
 	g.Epoch = d.NextEpoch
@@ -115,8 +115,8 @@
 	return Verdict{Applied: true, Epoch: g.Epoch}, true
 }
 
-// mayJoin returns why the members of a group that is to form can't all join it, or "".
-func (b *Board) mayJoin(g Group) string {
+// joinRefusal returns why the members of a group that is to form can't all join it, or "".
+func (b *Board) joinRefusal(g Group) string {
 	seen := make(map[string]bool, len(g.Members))
 	for _, m := range g.Members {
 		v, ok := b.VMs[m.VM]
@@ -146,10 +146,10 @@
 	if !ok || g.Epoch != c.Epoch || g.State != c.From {
 		return refused("the group is in another epoch or state")
 	}
-	if !mayFollow(c.From, c.To) {
+	if !isTransition(c.From, c.To) {
 		return refused("no such transition")
 	}
-	if c.To == Released && d.holds(g) {
+	if c.To == Released && d.anyMemberHolds(g) {
 		return refused("a member still holds the epoch")
 	}
 	g.State, g.Reason, g.SinceMillis = c.To, c.Reason, c.NowMillis
@@ -157,7 +157,7 @@
 	return applied()
 }
 
-func mayFollow(from, to GroupState) bool {
+func isTransition(from, to GroupState) bool {
 	for _, s := range transitions[from] {
 		if s == to {
 			return true
@@ -167,7 +167,7 @@
 }
 
 // holds tells whether any VM still holds the group's epoch.
-func (b *Board) holds(g Group) bool {
+func (b *Board) anyMemberHolds(g Group) bool {
 	for _, m := range g.Members {
 		if v, ok := b.VMs[m.VM]; ok && v.Group == g.ID && v.Epoch == g.Epoch {
 			return true
--- a/internal/blackboard/invariants_test.go
+++ b/internal/blackboard/invariants_test.go
@@ -63,7 +63,7 @@
 	}
 	seen := make(map[string]string)
 	for _, g := range after.Groups {
-		if !g.State.holdsMembers() {
+		if !g.State.requiresMembers() {
 			continue
 		}
 		for _, m := range g.Members {
--- a/internal/blackboard/patch.go
+++ b/internal/blackboard/patch.go
@@ -11,55 +11,55 @@
 
 // Change names the rows of an entry's copy that one command changed.
 type Change struct {
-	groups, leaving, services, entries, suspects, quarantines, waits []string
-	rateLimits, evacuations, cold, routes, configured, workspaces    []string
+	groups, leavingVMs, services, entries, suspects, quarantines, waits    []string
+	rateLimits, evacuations, coldServers, routes, serviceSpecs, workspaces []string
 	// version says that the operators' whole configuration changed, parts that anything
 	// else of the configuration did, and callers that callers have come.
-	version, parts, callers bool
+	versionChanged, otherConfigChanged, callersChanged bool
 }
 
 // Concerns tells whether an entry's copy differs by the change in anything but its
 // revision.
 func (c Change) Concerns() bool {
-	rows := len(c.groups) + len(c.leaving) + len(c.services) + len(c.entries) + len(c.suspects) + len(c.quarantines) + len(c.waits) +
-		len(c.rateLimits) + len(c.evacuations) + len(c.cold)
-	return rows > 0 || c.version || c.parts || c.callers
+	rows := len(c.groups) + len(c.leavingVMs) + len(c.services) + len(c.entries) + len(c.suspects) + len(c.quarantines) + len(c.waits) +
+		len(c.rateLimits) + len(c.evacuations) + len(c.coldServers)
+	return rows > 0 || c.versionChanged || c.otherConfigChanged || c.callersChanged
 }
 
-// changeOf returns what a draft changed of the board that it began as.
-func changeOf(before *Board, d *draft) Change {
+// changeBetween returns what a draft changed of the board that it began as.
+func changeBetween(before *Board, d *draft) Change {
 	c := Change{
-		services:    changedRows(before.Services, d.Services),
-		entries:     changedRows(before.Entries, d.Entries),
-		suspects:    changedRows(before.Suspects, d.Suspects),
-		quarantines: changedRows(before.Quarantines, d.Quarantines),
-		waits:       changedRows(before.Waits, d.Waits),
-		rateLimits:  changedRows(before.RateLimits, d.RateLimits),
-		evacuations: changedRows(before.Evacuations, d.Evacuations),
-		cold:        changedRows(before.ColdServers, d.ColdServers),
-		callers:     before.CallersMillis != d.CallersMillis,
+		services:       changedRows(before.Services, d.Services),
+		entries:        changedRows(before.Entries, d.Entries),
+		suspects:       changedRows(before.Suspects, d.Suspects),
+		quarantines:    changedRows(before.Quarantines, d.Quarantines),
+		waits:          changedRows(before.Waits, d.Waits),
+		rateLimits:     changedRows(before.RateLimits, d.RateLimits),
+		evacuations:    changedRows(before.Evacuations, d.Evacuations),
+		coldServers:    changedRows(before.ColdServers, d.ColdServers),
+		callersChanged: before.CallersMillis != d.CallersMillis,
 	}
-	for id := range d.groups {
-		_, had := copied(before.Groups[id])
-		if _, has := copied(d.Groups[id]); had || has {
+	for id := range d.writtenGroups {
+		_, had := groupForEntries(before.Groups[id])
+		if _, has := groupForEntries(d.Groups[id]); had || has {
 			c.groups = append(c.groups, id)
 		}
 	}
-	for id := range d.vms {
+	for id := range d.writtenVMs {
 		if before.VMs[id].Leaving != d.VMs[id].Leaving {
-			c.leaving = append(c.leaving, id)
+			c.leavingVMs = append(c.leavingVMs, id)
 		}
 	}
 	from, to := &before.Config, &d.Config
 	switch {
 	case from.Revision == to.Revision:
 	case from.Version != to.Version:
-		c.version = true
+		c.versionChanged = true
 		c.routes = changedRows(from.Routes, to.Routes)
-		c.configured = changedRows(from.Services, to.Services)
+		c.serviceSpecs = changedRows(from.Services, to.Services)
 		c.workspaces = changedRows(from.Workspaces, to.Workspaces)
 	default:
-		c.parts = true
+		c.otherConfigChanged = true
 	}
 	return c
 }
@@ -132,8 +132,8 @@
 	Remove []string     `json:"remove,omitempty"`
 }
 
-// rowsOf returns the named rows of a table.
-func rowsOf[V any](table map[string]V, names map[string]bool) Rows[V] {
+// selectRows returns the named rows of a table.
+func selectRows[V any](table map[string]V, names map[string]bool) Rows[V] {
 	var rows Rows[V]
 	for name := range names {
 		row, known := table[name]
@@ -151,7 +151,7 @@
 }
 
 // in returns the table with the rows taken in.
-func (r Rows[V]) in(table map[string]V) map[string]V {
+func (r Rows[V]) applyTo(table map[string]V) map[string]V {
 	if len(r.Put) == 0 && len(r.Remove) == 0 {
 		return table
 	}
@@ -167,22 +167,22 @@
 // the board's revision.
 func (b *Board) PatchFor(changes []Change) ([]byte, error) {
 	p := &Patch{Revision: b.Revision, ClusterID: b.ClusterID, CallersMillis: b.CallersMillis}
-	p.Groups = b.copiedGroups(named(changes, func(c Change) []string { return c.groups }))
-	p.Leaving = b.leavingRows(named(changes, func(c Change) []string { return c.leaving }))
-	p.Services = rowsOf(b.Services, named(changes, func(c Change) []string { return c.services }))
-	p.Entries = rowsOf(b.Entries, named(changes, func(c Change) []string { return c.entries }))
-	p.Suspects = rowsOf(b.Suspects, named(changes, func(c Change) []string { return c.suspects }))
-	p.Quarantines = rowsOf(b.Quarantines, named(changes, func(c Change) []string { return c.quarantines }))
-	p.Waits = rowsOf(b.Waits, named(changes, func(c Change) []string { return c.waits }))
-	p.RateLimits = rowsOf(b.RateLimits, named(changes, func(c Change) []string { return c.rateLimits }))
-	p.Evacuations = rowsOf(b.Evacuations, named(changes, func(c Change) []string { return c.evacuations }))
-	p.ColdServers = rowsOf(b.ColdServers, named(changes, func(c Change) []string { return c.cold }))
+	p.Groups = b.groupRows(unionNames(changes, func(c Change) []string { return c.groups }))
+	p.Leaving = b.leavingVMRows(unionNames(changes, func(c Change) []string { return c.leavingVMs }))
+	p.Services = selectRows(b.Services, unionNames(changes, func(c Change) []string { return c.services }))
+	p.Entries = selectRows(b.Entries, unionNames(changes, func(c Change) []string { return c.entries }))
+	p.Suspects = selectRows(b.Suspects, unionNames(changes, func(c Change) []string { return c.suspects }))
+	p.Quarantines = selectRows(b.Quarantines, unionNames(changes, func(c Change) []string { return c.quarantines }))
+	p.Waits = selectRows(b.Waits, unionNames(changes, func(c Change) []string { return c.waits }))
+	p.RateLimits = selectRows(b.RateLimits, unionNames(changes, func(c Change) []string { return c.rateLimits }))
+	p.Evacuations = selectRows(b.Evacuations, unionNames(changes, func(c Change) []string { return c.evacuations }))
+	p.ColdServers = selectRows(b.ColdServers, unionNames(changes, func(c Change) []string { return c.coldServers }))
 	switch {
-	case slices.ContainsFunc(changes, func(c Change) bool { return c.parts }):
+	case slices.ContainsFunc(changes, func(c Change) bool { return c.otherConfigChanged }):
 		config := b.Config
 		config.Document = nil
 		p.Config = &config
-	case slices.ContainsFunc(changes, func(c Change) bool { return c.version }):
+	case slices.ContainsFunc(changes, func(c Change) bool { return c.versionChanged }):
 		p.Version = b.versionPatch(changes)
 	}
 	data, err := Encode(p)
@@ -192,7 +192,7 @@
 	return data, nil
 }
 
-func named(changes []Change, table func(Change) []string) map[string]bool {
+func unionNames(changes []Change, table func(Change) []string) map[string]bool {
 	names := make(map[string]bool)
 	for _, c := range changes {
 		for _, name := range table(c) {
@@ -202,33 +202,33 @@
 	return names
 }
 
-func (b *Board) copiedGroups(names map[string]bool) Rows[Group] {
+func (b *Board) groupRows(names map[string]bool) Rows[Group] {
 	table := make(map[string]Group, len(names))
 	for id := range names {
-		if row, ok := copied(b.Groups[id]); ok {
+		if row, ok := groupForEntries(b.Groups[id]); ok {
 			table[id] = row
 		}
 	}
-	return rowsOf(table, names)
+	return selectRows(table, names)
 }
 
-func (b *Board) leavingRows(names map[string]bool) Rows[VM] {
+func (b *Board) leavingVMRows(names map[string]bool) Rows[VM] {
 	table := make(map[string]VM, len(names))
 	for id := range names {
 		if b.VMs[id].Leaving {
-			table[id] = leavingRow(id)
+			table[id] = leavingVMRow(id)
 		}
 	}
-	return rowsOf(table, names)
+	return selectRows(table, names)
 }
 
 func (b *Board) versionPatch(changes []Change) *VersionPatch {
 	c := &b.Config
 	return &VersionPatch{
 		Revision: c.Revision, Version: c.Version, Limits: c.Limits,
-		Routes:     rowsOf(c.Routes, named(changes, func(c Change) []string { return c.routes })),
-		Services:   rowsOf(c.Services, named(changes, func(c Change) []string { return c.configured })),
-		Workspaces: rowsOf(c.Workspaces, named(changes, func(c Change) []string { return c.workspaces })),
+		Routes:     selectRows(c.Routes, unionNames(changes, func(c Change) []string { return c.routes })),
+		Services:   selectRows(c.Services, unionNames(changes, func(c Change) []string { return c.serviceSpecs })),
+		Workspaces: selectRows(c.Workspaces, unionNames(changes, func(c Change) []string { return c.workspaces })),
 	}
 }
 
@@ -237,29 +237,29 @@
 // command adds one.
 func (p Patch) apply(d *draft) (any, bool) {
 	d.ClusterID, d.Revision = p.ClusterID, p.Revision-1
-	d.Groups, d.VMs = p.Groups.in(d.Groups), p.Leaving.in(d.VMs)
-	d.Services, d.Entries = p.Services.in(d.Services), p.Entries.in(d.Entries)
-	d.Suspects, d.Quarantines = p.Suspects.in(d.Suspects), p.Quarantines.in(d.Quarantines)
-	d.Waits, d.RateLimits = p.Waits.in(d.Waits), p.RateLimits.in(d.RateLimits)
-	d.Evacuations, d.ColdServers = p.Evacuations.in(d.Evacuations), p.ColdServers.in(d.ColdServers)
+	d.Groups, d.VMs = p.Groups.applyTo(d.Groups), p.Leaving.applyTo(d.VMs)
+	d.Services, d.Entries = p.Services.applyTo(d.Services), p.Entries.applyTo(d.Entries)
+	d.Suspects, d.Quarantines = p.Suspects.applyTo(d.Suspects), p.Quarantines.applyTo(d.Quarantines)
+	d.Waits, d.RateLimits = p.Waits.applyTo(d.Waits), p.RateLimits.applyTo(d.RateLimits)
+	d.Evacuations, d.ColdServers = p.Evacuations.applyTo(d.Evacuations), p.ColdServers.applyTo(d.ColdServers)
 	d.CallersMillis = p.CallersMillis
 	if p.Config != nil {
 		d.Config = p.Config.clone()
 	}
 	if p.Version != nil {
-		d.Config = p.Version.in(d.Config)
+		d.Config = p.Version.applyTo(d.Config)
 	}
 	return applied()
 }
 
 // in returns the configuration with the changes of a later version taken in.
-func (p VersionPatch) in(c Configuration) Configuration {
+func (p VersionPatch) applyTo(c Configuration) Configuration {
 	next := c.clone()
 	next.Revision, next.Version, next.Limits, next.Document = p.Revision, p.Version, p.Limits, nil
-	next.Routes = p.Routes.in(next.Routes)
-	next.Services = p.Services.in(next.Services)
-	next.Workspaces = p.Workspaces.in(next.Workspaces)
-	next.Groups = groupsOf(next.Services)
+	next.Routes = p.Routes.applyTo(next.Routes)
+	next.Services = p.Services.applyTo(next.Services)
+	next.Workspaces = p.Workspaces.applyTo(next.Workspaces)
+	next.Groups = groupSpecsOf(next.Services)
 	return next
 }
 
@@ -267,32 +267,32 @@
 // each goes to many entries.
 func (p Patch) MarshalJSON() ([]byte, error) {
 	plain, err := json.Marshal(plainPatch(p))
-	if err != nil || len(plain) < packFrom {
+	if err != nil || len(plain) < minCompressBytes {
 		return plain, errors.Trace(err)
 	}
-	body, err := pack(plain)
+	body, err := compress(plain)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	data, err := json.Marshal(packedCommand{Packed: body})
+	data, err := json.Marshal(compressedCommand{Packed: body})
 	return data, errors.Trace(err)
 }
 
-// packFrom is the length in bytes from which a patch is worth compressing: below it
+// minCompressBytes is the length in bytes from which a patch is worth compressing: below it
 // the packets are few anyway.
-const packFrom = 2048
+const minCompressBytes = 2048
 
 // plainPatch has the fields of a Patch and the ordinary JSON form.
 type plainPatch Patch
 
 // UnmarshalJSON reads either form.
 func (p *Patch) UnmarshalJSON(data []byte) error {
-	var c packedCommand
+	var c compressedCommand
 	if err := json.Unmarshal(data, &c); err != nil {
 		return errors.Trace(err)
 	}
 	if len(c.Packed) > 0 {
-		plain, err := unpack(c.Packed)
+		plain, err := decompress(c.Packed)
 		if err != nil {
 			return errors.Trace(err)
 		}
--- a/internal/blackboard/patch_test.go
+++ b/internal/blackboard/patch_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// randomWhole returns a whole configuration that differs from others in some of
+// randomConfiguration returns a whole configuration that differs from others in some of
 // its rows.
-func randomWhole(r *rand.Rand, version uint64) *ReplaceConfiguration {
+func randomConfiguration(r *rand.Rand, version uint64) *ReplaceConfiguration {
 	c := &ReplaceConfiguration{Version: version, Document: []byte(fmt.Sprint("document ", version))}
 	c.Limits.MaxBodyBytes = int64(r.IntN(3))
 	for i := range 3 {
@@ -50,7 +50,7 @@
 		board, entry := New(), New().entryCopy()
 		var changes []Change
 		for version := uint64(1); version < 30; version++ {
-			command, err := Encode(randomWhole(r, version))
+			command, err := Encode(randomConfiguration(r, version))
 			assert.NilError(t, err)
 			if r.IntN(4) == 0 {
 				command, err = Encode(&PutEntry{Entry: Entry{ID: fmt.Sprint("e", version)}})
--- a/internal/blackboard/rate_limit.go
+++ b/internal/blackboard/rate_limit.go
@@ -13,21 +13,23 @@
 }
 
 const (
-	// rateLimitStep is the part by which a limit must differ from the one on the board to
+	// rateLimitTolerance is the part by which a limit must differ from the one on the board to
 	// be written before it is due to be confirmed.
-	rateLimitStep = 0.1
-	// confirmMillis is how much later a limit must have been heard to confirm the one on
+	rateLimitTolerance = 0.1
+	// confirmIntervalMillis is how much later a limit must have been heard to confirm the one on
 	// the board.
-	confirmMillis = 5000
+	confirmIntervalMillis = 5000
 )
 
 // Near tells whether two limits are so close that the board need not change.
 func (l RateLimit) Near(perSecond float64) bool {
-	return math.Abs(l.PerSecond-perSecond) <= rateLimitStep*max(l.PerSecond, perSecond)
+	return math.Abs(l.PerSecond-perSecond) <= rateLimitTolerance*max(l.PerSecond, perSecond)
 }
 
 // confirms tells whether l says nothing new but that it was heard later than o.
-func (l RateLimit) confirms(o RateLimit) bool { return l.HeardMillis-o.HeardMillis >= confirmMillis }
+func (l RateLimit) confirms(o RateLimit) bool {
+	return l.HeardMillis-o.HeardMillis >= confirmIntervalMillis
+}
 
 // NoteRateLimit records the limit of a backend server, or that it has none.
 type NoteRateLimit struct {
--- a/internal/blackboard/rate_limit_test.go
+++ b/internal/blackboard/rate_limit_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func applyTo(t *testing.T, b *Board, c Command) (*Board, Change) {
+func applyChange(t *testing.T, b *Board, c Command) (*Board, Change) {
 	t.Helper()
 	encoded, err := Encode(c)
 	assert.NilError(t, err)
@@ -20,32 +20,32 @@
 	limit := func(perSecond float64, heardMillis int64) *NoteRateLimit {
 		return &NoteRateLimit{Incarnation: "i", Limit: &RateLimit{PerSecond: perSecond, HeardMillis: heardMillis}}
 	}
-	b, change := applyTo(t, New(), limit(2, 1000))
+	b, change := applyChange(t, New(), limit(2, 1000))
 	assert.Assert(t, change.Concerns())
 	assert.Equal(t, b.Revision, uint64(1))
-	b, _ = applyTo(t, b, limit(2.1, 1000+confirmMillis-1))
+	b, _ = applyChange(t, b, limit(2.1, 1000+confirmIntervalMillis-1))
 	assert.Equal(t, b.Revision, uint64(1))
-	b, _ = applyTo(t, b, limit(2.1, 1000+confirmMillis))
+	b, _ = applyChange(t, b, limit(2.1, 1000+confirmIntervalMillis))
 	assert.Equal(t, b.Revision, uint64(2))
-	b, _ = applyTo(t, b, limit(1, 1000+confirmMillis))
+	b, _ = applyChange(t, b, limit(1, 1000+confirmIntervalMillis))
 	assert.Equal(t, b.RateLimits["i"].PerSecond, 1.0)
-	b, _ = applyTo(t, b, &NoteRateLimit{Incarnation: "i"})
+	b, _ = applyChange(t, b, &NoteRateLimit{Incarnation: "i"})
 	assert.Equal(t, len(b.RateLimits), 0)
 }
 
 // Guards against entries whose copy of the board lacks a limit, or keeps one that has ended.
 func TestRateLimitsReachEntries(t *testing.T) {
-	b, first := applyTo(t, New(), &NoteRateLimit{Incarnation: "i", Limit: &RateLimit{PerSecond: 2}})
+	b, first := applyChange(t, New(), &NoteRateLimit{Incarnation: "i", Limit: &RateLimit{PerSecond: 2}})
 	entry := patched(t, b, New().entryCopy(), []Change{first})
 	assert.DeepEqual(t, entry.RateLimits, b.RateLimits)
 
 	snapshot, err := b.EncodeForEntries()
 	assert.NilError(t, err)
-	whole, err := Decode(snapshot)
+	decoded, err := Decode(snapshot)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, whole.RateLimits, b.RateLimits)
+	assert.DeepEqual(t, decoded.RateLimits, b.RateLimits)
 
-	b, second := applyTo(t, b, &NoteRateLimit{Incarnation: "i"})
+	b, second := applyChange(t, b, &NoteRateLimit{Incarnation: "i"})
 	entry = patched(t, b, entry, []Change{second})
 	assert.Equal(t, len(entry.RateLimits), 0)
 }
--- a/internal/blackboard/replace_configuration.go
+++ b/internal/blackboard/replace_configuration.go
@@ -44,12 +44,12 @@
 // version wins in whichever order the log has them, and a resend changes
 // nothing.
 func (c ReplaceConfiguration) apply(d *draft) (any, bool) {
-	in := d.Config.Version
+	inForce := d.Config.Version
 	if e := c.Check(); e != nil {
-		return ReplaceOutcome{Version: in, Failure: e}, false
+		return ReplaceOutcome{Version: inForce, Failure: e}, false
 	}
-	if c.Version <= in {
-		return ReplaceOutcome{Version: in}, false
+	if c.Version <= inForce {
+		return ReplaceOutcome{Version: inForce}, false
 	}
 	next := d.Config.clone()
 	c.edit(&next)
@@ -64,26 +64,26 @@
 	if c.Version == 0 {
 		return failure.New(failure.TypeBadRequest, "a configuration needs a version over 0").WithDetail("version")
 	}
-	if e := c.checkPlaces(); e != nil {
+	if e := c.checkUniqueMatches(); e != nil {
 		return e
 	}
-	if e := c.checkKeys(); e != nil {
+	if e := c.checkUniqueKeys(); e != nil {
 		return e
 	}
-	whole := Configuration{}
-	c.edit(&whole)
-	if len(whole.Routes) != len(c.Routes) || len(whole.Services) != len(c.Services) || len(whole.Workspaces) != len(c.Workspaces) {
+	replaced := Configuration{}
+	c.edit(&replaced)
+	if len(replaced.Routes) != len(c.Routes) || len(replaced.Services) != len(c.Services) || len(replaced.Workspaces) != len(c.Workspaces) {
 		return failure.New(failure.TypeBadRequest, "a name of a route, service or workspace stands twice")
 	}
-	return whole.check()
+	return replaced.validate()
 }
 
-// checkPlaces refuses two routes for the same requests.
-func (c ReplaceConfiguration) checkPlaces() *failure.Error {
-	type place struct{ host, prefix string }
-	seen := make(map[place]string, len(c.Routes))
+// checkUniqueMatches refuses two routes for the same requests.
+func (c ReplaceConfiguration) checkUniqueMatches() *failure.Error {
+	type routeMatch struct{ host, prefix string }
+	seen := make(map[routeMatch]string, len(c.Routes))
 	for _, r := range c.Routes {
-		p := place{strings.ToLower(r.Host), r.PathPrefix}
+		p := routeMatch{strings.ToLower(r.Host), r.PathPrefix}
 		if other, taken := seen[p]; taken {
 			return failure.New(failure.TypeBadRequest, "routes "+other+" and "+r.Name+" have the same host and path prefix").
 				WithDetail("routes." + r.Name)
@@ -93,9 +93,9 @@
 	return nil
 }
 
-// checkKeys refuses a key that two workspaces share: nobody could tell whose
+// checkUniqueKeys refuses a key that two workspaces share: nobody could tell whose
 // request it is.
-func (c ReplaceConfiguration) checkKeys() *failure.Error {
+func (c ReplaceConfiguration) checkUniqueKeys() *failure.Error {
 	owner := make(map[string]string)
 	for _, w := range c.Workspaces {
 		for _, hash := range w.keyHashes() {
@@ -126,11 +126,11 @@
 	for _, s := range c.Services {
 		to.Services[s.Name] = s
 	}
-	to.Groups = groupsOf(to.Services)
+	to.Groups = groupSpecsOf(to.Services)
 }
 
-// groupsOf returns the serving groups that the models of all services ask for.
-func groupsOf(services map[string]ServiceSpec) map[string]GroupSpec {
+// groupSpecsOf returns the serving groups that the models of all services ask for.
+func groupSpecsOf(services map[string]ServiceSpec) map[string]GroupSpec {
 	groups := make(map[string]GroupSpec)
 	for _, name := range sortedKeys(services) {
 		for _, g := range services[name].groupSpecs() {
--- a/internal/blackboard/replace_configuration_test.go
+++ b/internal/blackboard/replace_configuration_test.go
@@ -12,7 +12,7 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-func goodConfiguration(version uint64) ReplaceConfiguration {
+func validConfiguration(version uint64) ReplaceConfiguration {
 	return ReplaceConfiguration{
 		Version: version,
 		Routes: []Route{{
@@ -39,13 +39,13 @@
 }
 
 func TestAWholeConfigurationReplacesAllItStates(t *testing.T) {
-	b, outcome := replace(t, New(), goodConfiguration(7))
+	b, outcome := replace(t, New(), validConfiguration(7))
 	assert.Assert(t, outcome.Replaced)
 	assert.Equal(t, b.Config.Version, uint64(7))
 	assert.Equal(t, b.Config.Groups["m"].Pool, "pool")
 	assert.Equal(t, string(b.Config.Document), "as sent")
 
-	second := goodConfiguration(9)
+	second := validConfiguration(9)
 	second.Routes[0].Name = "other"
 	b, _ = replace(t, b, second)
 	assert.Equal(t, len(b.Config.Routes), 1)
@@ -60,7 +60,7 @@
 		versions := rapid.SliceOfN(rapid.Uint64Range(1, 9), 1, 12).Draw(rt, "versions")
 		b, highest := New(), uint64(0)
 		for _, v := range versions {
-			c := goodConfiguration(v)
+			c := validConfiguration(v)
 			c.Document = []byte(fmt.Sprint("document ", v))
 			var outcome ReplaceOutcome
 			revision := b.Config.Revision
@@ -77,7 +77,7 @@
 // An operator sends a configuration that could not be carried out. It must be
 // refused whatever its version is, and change nothing.
 func TestAConfigurationThatCannotBeCarriedOutIsRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*ReplaceConfiguration){
+	for name, invalidate := range map[string]func(*ReplaceConfiguration){
 		"no version":      func(c *ReplaceConfiguration) { c.Version = 0 },
 		"unknown service": func(c *ReplaceConfiguration) { c.Routes[0].Backends[0].Service = "none" },
 		"weights of 0":    func(c *ReplaceConfiguration) { c.Routes[0].Backends[0].Weight = 0 },
@@ -97,8 +97,8 @@
 		"no hash": func(c *ReplaceConfiguration) { c.Workspaces[0].MoreKeysSHA256[0] = "short" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := goodConfiguration(7)
-			spoil(&c)
+			c := validConfiguration(7)
+			invalidate(&c)
 			b, outcome := replace(t, New(), c)
 			assert.Equal(t, outcome.Failure.Type, failure.TypeBadRequest)
 			assert.Equal(t, b.Config.Version, uint64(0))
@@ -109,7 +109,7 @@
 // A board with hundreds of routes goes to each entry at a restart of all. Its
 // snapshot and the command must be a fraction of their plain JSON.
 func TestConfigurationsTravelCompressed(t *testing.T) {
-	c := goodConfiguration(7)
+	c := validConfiguration(7)
 	for i := range 400 {
 		r := c.Routes[0]
 		r.Name, r.PathPrefix = fmt.Sprint("route-", i), fmt.Sprintf("/v1/%d/", i)
--- a/internal/blackboard/route.go
+++ b/internal/blackboard/route.go
@@ -81,34 +81,34 @@
 }
 
 // check refuses a route that could not be carried out.
-func (r Route) check(c *Configuration) *failure.Error {
-	bad := func(message string) *failure.Error {
+func (r Route) validate(c *Configuration) *failure.Error {
+	invalid := func(message string) *failure.Error {
 		return failure.New(failure.TypeBadRequest, message).WithDetail("routes." + r.Name)
 	}
 	switch {
 	case r.Name == "" || r.Host == "":
-		return bad("a route needs a name and a host")
+		return invalid("a route needs a name and a host")
 	case !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/"):
-		return bad("path_prefix begins and ends with a slash")
+		return invalid("path_prefix begins and ends with a slash")
 	case r.Kind != RouteIdempotent && r.Kind != RouteNonIdempotent && r.Kind != RouteStreaming:
-		return bad("kind is idempotent, non_idempotent or streaming, not " + strconv.Quote(string(r.Kind)))
+		return invalid("kind is idempotent, non_idempotent or streaming, not " + strconv.Quote(string(r.Kind)))
 	case r.TimeoutMillis <= 0:
-		return bad("timeout_ms is over 0")
+		return invalid("timeout_ms is over 0")
 	case r.MaxAttempts < 1:
-		return bad("max_attempts is 1 or more")
+		return invalid("max_attempts is 1 or more")
 	}
 	total := 0
 	for _, b := range r.Backends {
 		if _, known := c.Services[b.Service]; !known {
-			return bad("unknown service " + strconv.Quote(b.Service))
+			return invalid("unknown service " + strconv.Quote(b.Service))
 		}
 		if b.Weight < 0 {
-			return bad("a weight is 0 or more")
+			return invalid("a weight is 0 or more")
 		}
 		total += b.Weight
 	}
 	if total <= 0 {
-		return bad("the weights add up to 0")
+		return invalid("the weights add up to 0")
 	}
 	return nil
 }
--- a/internal/blackboard/service_spec.go
+++ b/internal/blackboard/service_spec.go
@@ -92,25 +92,25 @@
 }
 
 // check refuses figures that could not be carried out.
-func (s ServiceSpec) check() *failure.Error {
-	bad := func(message string) *failure.Error {
+func (s ServiceSpec) validate() *failure.Error {
+	invalid := func(message string) *failure.Error {
 		return failure.New(failure.TypeBadRequest, message).WithDetail("services." + s.Name)
 	}
 	if s.Name == "" {
-		return bad("a service needs a name")
+		return invalid("a service needs a name")
 	}
 	if s.ColdMillis < 0 || s.ColdPerSecond < 0 {
-		return bad("cold_ms and cold_per_second are 0 or more")
+		return invalid("cold_ms and cold_per_second are 0 or more")
 	}
 	if s.Engine == nil {
 		return nil
 	}
 	if s.Engine.Slots < 1 {
-		return bad("slots is 1 or more")
+		return invalid("slots is 1 or more")
 	}
 	for _, m := range s.Engine.Models {
 		if m.Name == "" || m.VMs < 1 || m.Share < 0 {
-			return bad("model " + strconv.Quote(m.Name) + " needs a name, vms of 1 or more and a share of 0 or more")
+			return invalid("model " + strconv.Quote(m.Name) + " needs a name, vms of 1 or more and a share of 0 or more")
 		}
 	}
 	return nil
--- a/internal/blackboard/suspect.go
+++ b/internal/blackboard/suspect.go
@@ -16,8 +16,8 @@
 // Convicted tells whether the request surely crashes backend servers: it did
 // so a second time, and that time nothing else was there to blame.
 func (s Suspect) Convicted() bool {
-	const most = 3
-	return (s.Alone >= 1 && s.Crashes >= 2) || s.Crashes >= most
+	const maxCrashes = 3
+	return (s.Alone >= 1 && s.Crashes >= 2) || s.Crashes >= maxCrashes
 }
 
 // maxSuspects bounds the table; the oldest goes first.
--- a/internal/blackboard/vm.go
+++ b/internal/blackboard/vm.go
@@ -49,13 +49,13 @@
 // Free tells whether the VM may go into a new group.
 func (v VM) Free() bool { return v.Group == "" }
 
-// flapMemoryMillis is how long a return counts towards Flaps: one hour, so that
+// flapWindowMillis is how long a return counts towards Flaps: one hour, so that
 // a VM restarted each day starts anew and one that restarts each minute doesn't.
-const flapMemoryMillis = 60 * 60 * 1000
+const flapWindowMillis = 60 * 60 * 1000
 
 // flap counts one return at nowMillis.
-func (v *VM) flap(nowMillis int64) {
-	if nowMillis-v.SinceMillis > flapMemoryMillis {
+func (v *VM) countReturn(nowMillis int64) {
+	if nowMillis-v.SinceMillis > flapWindowMillis {
 		v.Flaps = 0
 	}
 	v.Flaps++
@@ -63,7 +63,7 @@
 }
 
 // same tells whether two rows are equal.
-func (v VM) same(o VM) bool {
+func (v VM) equals(o VM) bool {
 	weights := slices.Equal(v.Weights, o.Weights)
 	v.Weights, o.Weights = nil, nil
 	return weights && reflect.DeepEqual(v, o)
@@ -87,14 +87,14 @@
 	} else if next.Liveness == "" {
 		next.Liveness = Alive
 	}
-	if known && old.same(next) {
+	if known && old.equals(next) {
 		return refused("no change")
 	}
 	if known && next.StartedMillis < old.StartedMillis {
 		return refused("an earlier incarnation")
 	}
 	if known && old.Incarnation != next.Incarnation {
-		next.flap(c.VM.SinceMillis)
+		next.countReturn(c.VM.SinceMillis)
 	}
 	d.putVM(next)
 	return applied()
@@ -119,7 +119,7 @@
 	}
 	v.Liveness = c.To
 	if c.Returned {
-		v.flap(c.NowMillis)
+		v.countReturn(c.NowMillis)
 	}
 	v.SinceMillis = c.NowMillis
 	d.putVM(v)
@@ -143,7 +143,7 @@
 	if !ok || v.Group != c.Group || v.Epoch != c.Epoch || v.Incarnation != c.Incarnation {
 		return refused("the VM holds another group, epoch or incarnation")
 	}
-	if g, ok := d.Groups[c.Group]; ok && g.Epoch == c.Epoch && g.State.holdsMembers() {
+	if g, ok := d.Groups[c.Group]; ok && g.Epoch == c.Epoch && g.State.requiresMembers() {
 		return refused("the group is " + string(g.State))
 	}
 	v.Group, v.Epoch = "", 0
@@ -168,7 +168,7 @@
 	if v.Liveness != Dead {
 		return refused("the VM is " + string(v.Liveness))
 	}
-	if g, ok := d.Groups[v.Group]; ok && g.Epoch == v.Epoch && g.State.holdsMembers() {
+	if g, ok := d.Groups[v.Group]; ok && g.Epoch == v.Epoch && g.State.requiresMembers() {
 		return refused("its group is " + string(g.State))
 	}
 	d.removeVM(c.VM)
