--- a/internal/blackboard/batch.go
+++ b/internal/blackboard/batch.go
@@ -6,18 +6,18 @@
 	"github.com/juju/errors"
 )
 
-// Batch applies several commands in order as one entry of the log. Each checks
-// its own preconditions; one that is refused leaves the others as they are.
+// Batch applies several commands in order as one log entry. Each command checks its own
+// preconditions. A refused command does not affect the others.
 //
-// It is for the start and for the loss of a fabric domain, when a controller
-// has dozens of commands at once: each entry of its own costs a sync on a
-// majority of the control VMs and a message to each entry.
+// A controller has dozens of commands at once at start-up and when a fabric domain is lost. A
+// log entry for each command would cost a sync on a majority of the control VMs and a message to
+// each Entry.
 type Batch struct {
 	Commands []json.RawMessage `json:"commands"`
 }
 
-// NewBatch returns one command that applies all of them. One command needs no
-// batch and is returned as it is.
+// NewBatch returns one command that applies all given commands. It returns a single command
+// unchanged.
 func NewBatch(commands []Command) (Command, error) {
 	if len(commands) == 1 {
 		return commands[0], nil
@@ -33,12 +33,12 @@
 	return batch, nil
 }
 
-// apply returns applied when any of the commands changed the board, and else
-// the last refusal.
+// apply returns the applied verdict if any command changed the board, and otherwise the result
+// of the last refused command.
 //
-// The commands share one draft. Should one of them break an invariant, which no
-// command that checks its preconditions does, all are applied anew with a draft
-// each, so that the one is left out and the others stay.
+// All commands share one draft. If the shared draft breaks an invariant, apply repeats the batch
+// with a separate draft for each command, so that only the faulty command is left out. A command
+// that checks its preconditions never breaks an invariant.
 func (c Batch) apply(d *draft) (any, bool) {
 	next := d.draft()
 	refusal, changed := c.applyAll(next, applyInPlace)
@@ -53,7 +53,8 @@
 	return applied()
 }
 
-// applyAll applies the commands in order. A command that is refused has changed nothing.
+// applyAll applies the commands in order with the given apply function. A refused command
+// changes nothing.
 func (c Batch) applyAll(d *draft, apply func(*draft, Command) (any, bool)) (refusal any, changed bool) {
 	refusal = Verdict{Reason: "empty batch"}
 	for _, encoded := range c.Commands {
@@ -72,11 +73,11 @@
 	return refusal, changed
 }
 
-// applyInPlace applies a command to the draft itself.
+// applyInPlace applies a command directly to the draft.
 func applyInPlace(d *draft, c Command) (any, bool) { return c.apply(d) }
 
-// applyIsolated applies a command to a draft of its own, and takes that over unless it
-// breaks an invariant.
+// applyIsolated applies a command to a separate draft and adopts that draft unless it breaks an
+// invariant.
 func applyIsolated(d *draft, c Command) (any, bool) {
 	next := d.draft()
 	result, changed := c.apply(next)
--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -1,11 +1,10 @@
-// Package blackboard holds the replicated tables through which controllers
-// and entries work together, and the typed commands that change them.
+// Package blackboard holds the replicated tables that controllers and entries share, and the
+// typed commands that change the tables.
 //
-// Each table is a file; its comment says who writes it and who reads it.
-// Commands come from the consensus log in one order and apply without clock,
-// randomness or I/O, so every replica and every entry that applies the same
-// commands holds the same Board. A Board that has been published is never
-// changed: applying copies what it touches, see draft.
+// The doc comment of each table's type names its writers and readers. The consensus log delivers
+// commands in one order. Commands use no clock, randomness or I/O, so all replicas and entries
+// that apply the same commands hold the same Board. A published Board is immutable: applying a
+// command copies the tables that the command changes, see draft.
 package blackboard
 
 import (
@@ -16,7 +15,7 @@
 
 // Board is one revision of all tables.
 type Board struct {
-	// Revision grows by one with each command that changed anything.
+	// Revision grows by one with each command that changes the board.
 	Revision uint64 `json:"revision"`
 	// ClusterID is set by the first command and never changes.
 	ClusterID string                     `json:"cluster_id"`
@@ -26,26 +25,26 @@
 	Services  map[string]ServiceInstance `json:"services"`
 	Entries   map[string]Entry           `json:"entries"`
 	Suspects  map[string]Suspect         `json:"suspects"`
-	// Quarantines are by pool: a model or a plain service.
+	// Quarantines are keyed by pool: a model or a plain service.
 	Quarantines map[string]Quarantine `json:"quarantines"`
-	// Waits is how long callers wait when they first ask, in milliseconds, by route.
+	// Waits maps a route to the timeout of its callers' first attempts, in milliseconds.
 	Waits map[string]int64 `json:"waits,omitempty"`
-	// RateLimits are those that backend servers name, by incarnation.
+	// RateLimits are the limits that backend servers state, keyed by incarnation.
 	RateLimits map[string]RateLimit `json:"rate_limits,omitempty"`
-	// Evacuations are by data centre, ColdServers by incarnation.
+	// Evacuations are keyed by data centre, ColdServers by incarnation.
 	Evacuations map[string]Evacuation `json:"evacuations,omitempty"`
 	ColdServers map[string]ColdServer `json:"cold_servers,omitempty"`
-	// CallersMillis is when callers first asked for anything, by an entry's clock; 0 if
-	// none has.
+	// CallersMillis is the time of the first request of any caller, by the clock of the entry
+	// that received it. It is 0 before the first request.
 	CallersMillis int64 `json:"callers_ms,omitempty"`
-	// TermBase is added to the consensus term in fencing tokens. It and the
-	// first epoch come from the clock at the founding, so that a cluster
-	// founded anew, after all control disks were lost, gives orders that
-	// engines take for newer than those of the cluster before.
+	// TermBase is added to the consensus term in fencing tokens. Found sets TermBase and the
+	// first epoch from the clock. If all control disks are lost and the cluster is founded
+	// again, engines therefore accept its orders as newer than those of the previous cluster.
 	TermBase uint64 `json:"term_base"`
-	// NextEpoch is the epoch that the next forming group gets.
+	// NextEpoch is the epoch that the next forming group receives.
 	NextEpoch uint64 `json:"next_epoch"`
-	// Changes keeps the answers of recent configuration changes by id.
+	// Changes keeps the outcomes of recent configuration changes by change ID. ChangeOrder lists
+	// the IDs from oldest to newest.
 	Changes     map[string]ChangeOutcome `json:"changes"`
 	ChangeOrder []string                 `json:"change_order"`
 }
@@ -57,7 +56,7 @@
 	return b
 }
 
-// fill makes each nil table an empty one, as a snapshot may leave it.
+// initTables replaces nil tables with empty ones. A snapshot may omit tables.
 func (b *Board) initTables() {
 	b.Config = b.Config.clone()
 	b.VMs = orEmpty(b.VMs)
@@ -80,7 +79,7 @@
 	return m
 }
 
-// Encode returns the board as a snapshot.
+// Encode returns the board as a compressed snapshot.
 func (b *Board) Encode() ([]byte, error) {
 	data, err := json.Marshal(b)
 	if err != nil {
@@ -90,7 +89,8 @@
 	return data, errors.Trace(err)
 }
 
-// Decode returns the board that a snapshot holds, be it whole or an entry's copy.
+// Decode returns the board of a complete snapshot or of an entry copy. It accepts compressed and
+// plain JSON. For other data it returns ErrMalformed.
 func Decode(snapshot []byte) (*Board, error) {
 	b := &Board{}
 	if isCompressed(snapshot) {
@@ -107,7 +107,8 @@
 	return b, nil
 }
 
-// DecodeWhole returns the board that a snapshot of all tables holds.
+// DecodeWhole returns the board of a complete snapshot. It returns ErrInconsistent if the
+// snapshot breaks an invariant, which an entry copy may do because it omits VMs.
 func DecodeWhole(snapshot []byte) (*Board, error) {
 	b, err := Decode(snapshot)
 	if err != nil {
@@ -119,14 +120,14 @@
 	return b, nil
 }
 
-// Apply returns the board after one command and the command's result as JSON.
-// A command that is refused, or changes nothing, returns the same board.
+// Apply returns the board after one command, and the command's result as JSON. If the command is
+// refused or changes nothing, Apply returns b itself.
 func (b *Board) Apply(encoded []byte) (*Board, []byte, error) {
 	next, result, _, err := b.ApplyChange(encoded)
 	return next, result, err
 }
 
-// ApplyChange is Apply, and tells what the command changed for entries.
+// ApplyChange is Apply, and also returns the rows of entry copies that the command changed.
 func (b *Board) ApplyChange(encoded []byte) (*Board, []byte, Change, error) {
 	command, err := decodeCommand(encoded)
 	if err != nil {
@@ -149,12 +150,12 @@
 	return &board, data, changeBetween(b, next), nil
 }
 
-// ApplyAll returns the board after commands that have each changed a board before,
-// as the log keeps them for those that follow it. It ends where Apply one by one
-// ends, but copies each table once.
+// ApplyAll returns the board after a sequence of commands, each of which changed the board when
+// the leader applied it. The result equals that of calling Apply for each command, but ApplyAll
+// copies each table at most once.
 //
-// Load: entries get the changes of some tenths of a second at once; with a copy for
-// each command the copies are most of the cost (BenchmarkFollow).
+// An entry receives the changes of several tenths of a second together. Copying the tables for
+// each command would dominate the cost (BenchmarkFollow).
 func (b *Board) ApplyAll(commands [][]byte) (*Board, error) {
 	if len(commands) == 0 {
 		return b, nil
@@ -176,6 +177,8 @@
 	return &board, nil
 }
 
+// recordOutcome stores the outcome of a configuration change, and drops the oldest outcomes
+// beyond maxRememberedChanges.
 func (b *Board) recordOutcome(id string, outcome ChangeOutcome) {
 	changes := cloneMap(b.Changes)
 	changes[id] = outcome
@@ -187,9 +190,9 @@
 	b.Changes, b.ChangeOrder = changes, order
 }
 
-// ErrMalformed is returned for bytes that are no command or snapshot.
+// ErrMalformed is returned for data that is neither a command nor a snapshot.
 const ErrMalformed = errors.ConstError("malformed blackboard data")
 
-// ErrInconsistent is returned for a command that would break an invariant;
-// the board stays as it was.
+// ErrInconsistent is returned for a command that would break an invariant. The board stays
+// unchanged.
 const ErrInconsistent = errors.ConstError("command would break an invariant of the blackboard")
--- a/internal/blackboard/command.go
+++ b/internal/blackboard/command.go
@@ -7,9 +7,9 @@
 	"github.com/juju/errors"
 )
 
-// Command is one typed change of the board. Its apply method writes VMs and groups
-// through the draft, and clones any other map before writing to it. It checks all
-// that it may refuse for before it writes.
+// Command is one typed change of the board. Its apply method checks all preconditions before it
+// writes. It writes VMs and groups through the draft, and clones any other map before it writes
+// to that map.
 type Command interface {
 	apply(d *draft) (result any, changed bool)
 }
@@ -17,9 +17,9 @@
 // Verdict is the result of a controller's command.
 type Verdict struct {
 	Applied bool `json:"applied"`
-	// Reason says which precondition did not hold.
+	// Reason names the precondition that did not hold.
 	Reason string `json:"reason,omitempty"`
-	// Epoch is the epoch given to a group that was formed.
+	// Epoch is the epoch of a newly formed group.
 	Epoch uint64 `json:"epoch,omitempty"`
 }
 
@@ -27,12 +27,13 @@
 
 func applied() (any, bool) { return Verdict{Applied: true}, true }
 
+// envelope is the encoded form of a command in the log.
 type envelope struct {
 	Type string          `json:"type"`
 	Body json.RawMessage `json:"body"`
 }
 
-// commandTypes maps the names in the log to commands. Names are never reused.
+// commandTypes maps type names in the log to constructors. A name is never reused.
 var commandTypes = map[string]func() Command{
 	"found":           func() Command { return &Found{} },
 	"config_change":   func() Command { return &ConfigChange{} },
@@ -74,7 +75,7 @@
 	return data, errors.Trace(err)
 }
 
-// commandNames are the names in the log by type.
+// commandNames maps command types to their names in the log.
 var commandNames = func() map[reflect.Type]string {
 	names := make(map[reflect.Type]string, len(commandTypes))
 	for name, build := range commandTypes {
@@ -110,12 +111,12 @@
 	return c, nil
 }
 
-// Found is the first command of a cluster.
+// Found bootstraps a cluster and is its first command.
 type Found struct {
 	ClusterID string `json:"cluster_id"`
-	// Initial is the configuration that the cluster starts with.
+	// Initial is the first configuration of the cluster.
 	Initial ConfigChange `json:"initial"`
-	// NowMillis is the founding process's clock.
+	// NowMillis is the wall-clock time of the process that founds the cluster.
 	NowMillis int64 `json:"now_ms"`
 }
 
--- a/internal/blackboard/compress.go
+++ b/internal/blackboard/compress.go
@@ -10,15 +10,15 @@
 	"github.com/juju/errors"
 )
 
-// maxUncompressedBytes bounds what a compressed part may unfold to, in bytes: a
-// board with thousands of routes takes a few megabytes.
+// maxUncompressedBytes bounds the decompressed size of a command or snapshot. A board with
+// thousands of routes takes a few megabytes.
 const maxUncompressedBytes = 64 << 20
 
-// gzipWriters are kept between uses: a new one takes most of a megabyte.
+// gzipWriters reuses writers, because a new writer allocates most of a megabyte.
 var gzipWriters = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
 
-// pack returns data compressed. Configurations repeat their field names and
-// take a tenth of their size, and each goes to every entry.
+// compress returns data as gzip. Configurations repeat their field names and shrink to a tenth,
+// which matters because each configuration is sent to every entry.
 func compress(data []byte) ([]byte, error) {
 	var b bytes.Buffer
 	z := gzipWriters.Get().(*gzip.Writer)
@@ -42,19 +42,18 @@
 	return out, errors.Trace(err)
 }
 
-// packed tells compressed data from JSON by its first bytes.
+// isCompressed distinguishes gzip from JSON by the first two bytes.
 func isCompressed(data []byte) bool { return len(data) > 2 && data[0] == 0x1f && data[1] == 0x8b }
 
-// compressedCommand is the compressed form of a long command.
+// compressedCommand is the encoded form of a compressed command.
 type compressedCommand struct {
 	Packed []byte `json:"packed"`
 }
 
-// plainConfiguration has the fields of a ReplaceConfiguration and the ordinary
-// JSON form.
+// plainConfiguration has the fields of ReplaceConfiguration and the default JSON encoding.
 type plainConfiguration ReplaceConfiguration
 
-// MarshalJSON writes the compressed form.
+// MarshalJSON returns the compressed form.
 func (c ReplaceConfiguration) MarshalJSON() ([]byte, error) {
 	plain, err := json.Marshal(plainConfiguration(c))
 	if err != nil {
@@ -68,7 +67,7 @@
 	return data, errors.Trace(err)
 }
 
-// UnmarshalJSON reads the compressed form.
+// UnmarshalJSON decodes the compressed form.
 func (c *ReplaceConfiguration) UnmarshalJSON(data []byte) error {
 	var p compressedCommand
 	if err := json.Unmarshal(data, &p); err != nil {
--- a/internal/blackboard/draft.go
+++ b/internal/blackboard/draft.go
@@ -6,28 +6,29 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// draft is the next board while commands are applied to it. The commands of one
-// batch share one draft, and so one copy of each table.
+// draft is the next revision of a board while commands are applied to it. All commands of a
+// batch share one draft, which copies each table at most once.
 //
-// Load: a pool of 1,095 VMs starts, or loses a fabric domain; one batch holds
-// hundreds of commands, and each replica and each entry applies it. With a copy of
-// all VMs for each command, the copies are most of the cost (BenchmarkApplyBatch).
+// When a pool of 1,095 VMs starts or loses a fabric domain, one batch holds hundreds of
+// commands, and each replica and each entry applies it. Copying all VMs for each command would
+// dominate the cost (BenchmarkApplyBatch).
 type draft struct {
 	Board
-	// ownVMs and ownGroups say that the table is a copy of this draft's own.
+	// ownVMs and ownGroups report whether the draft has its own copy of the table.
 	ownVMs, ownGroups bool
-	// affectedGroups names the groups whose rows, or whose members' rows, have changed.
+	// affectedGroups names the groups whose rows, or whose members' VM rows, have changed.
 	affectedGroups map[string]bool
-	// vms and groups name the rows that were written.
+	// writtenVMs and writtenGroups name the rows that have been written or removed.
 	writtenVMs, writtenGroups map[string]bool
 }
 
-// draft returns a draft that begins as a copy of the board.
+// draft returns a draft that starts as a copy of the board.
 func (b *Board) draft() *draft {
 	return &draft{Board: *b, affectedGroups: make(map[string]bool), writtenVMs: make(map[string]bool), writtenGroups: make(map[string]bool)}
 }
 
-// become takes over what a draft of this one has become.
+// replaceWith replaces d with next, a draft that was derived from d. It keeps the records of
+// changed rows of both.
 func (d *draft) replaceWith(next *draft) {
 	maps.Copy(next.affectedGroups, d.affectedGroups)
 	maps.Copy(next.writtenVMs, d.writtenVMs)
@@ -44,7 +45,7 @@
 	d.VMs[v.ID] = v
 }
 
-// removeVM drops the row of a VM.
+// removeVM deletes the row of a VM.
 func (d *draft) removeVM(id string) {
 	d.cloneVMsOnce()
 	d.affectedGroups[d.VMs[id].Group] = true
@@ -63,6 +64,7 @@
 	d.Groups[g.ID] = g
 }
 
+// cloneVMsOnce copies the VM table before the draft's first write to it.
 func (d *draft) cloneVMsOnce() {
 	if !d.ownVMs {
 		d.VMs = cloneMap(d.VMs)
@@ -70,9 +72,9 @@
 	}
 }
 
-// consistent asserts the invariant of members for the groups that the draft has
-// affectedGroups. The others keep theirs: a member's row names its group, so a change of
-// the row touches the group.
+// checkMembership checks the membership invariant for the affected groups only. Other groups
+// cannot have broken it: a member's row names its group, so a change of that row marks the group
+// as affected.
 func (d *draft) checkMembership() bool {
 	for id := range d.affectedGroups {
 		if g, ok := d.Groups[id]; ok && !d.membersHoldEpoch(g) {
@@ -82,7 +84,7 @@
 	return true
 }
 
-// consistent asserts the invariant of members for all groups.
+// checkMembership checks the membership invariant for all groups.
 func (b *Board) checkMembership() bool {
 	for _, g := range b.Groups {
 		if !b.membersHoldEpoch(g) {
@@ -92,9 +94,9 @@
 	return true
 }
 
-// membersHoldEpoch asserts that each member of a group that is not released or
-// broken up holds that group and epoch, so no VM is in two groups and no
-// group serves with a member missing from its row.
+// membersHoldEpoch checks that the row of each member of a forming, loading or serving group
+// names that group and epoch. Therefore no VM is in two groups, and no group serves with a
+// member whose row does not name it.
 func (b *Board) membersHoldEpoch(g Group) bool {
 	if !g.State.requiresMembers() {
 		return true
