--- a/internal/blackboard/config.go
+++ b/internal/blackboard/config.go
@@ -7,81 +7,83 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// Configuration is what operators set. Written by: the admin API, through
-// ConfigChange only. Read by: every entry and every controller.
+// Configuration is the part of the board that operators set. Written by: the admin API, through
+// ConfigChange and ReplaceConfiguration only. Read by: every entry and every controller.
 type Configuration struct {
-	// Revision grows by one with each accepted change and never goes back.
+	// Revision grows by one with each accepted change and never decreases.
 	Revision   uint64                  `json:"revision"`
 	Workspaces map[string]Workspace    `json:"workspaces"`
 	Classes    map[string]RequestClass `json:"classes"`
 	Groups     map[string]GroupSpec    `json:"groups"`
 	Presets    map[string]Preset       `json:"presets"`
-	// ActivePreset is the one preset in force. It is a single field, so no
-	// state with two presets or none can be written once the first is set.
+	// ActivePreset names the preset in force. Because it is a single field, at most one preset
+	// is in force. Once the first preset is set, exactly one is.
 	ActivePreset string `json:"active_preset"`
-	// DrainedVMs and DrainedGroups are kept out of service until undrained.
+	// DrainedVMs and DrainedGroups stay out of service until an operator undrains them.
 	DrainedVMs    map[string]bool `json:"drained_vms"`
 	DrainedGroups map[string]bool `json:"drained_groups"`
-	// Version is the operators' number of the whole configuration in force; 0
-	// while parts are changed one by one.
+	// Version is the version of the last accepted ReplaceConfiguration. It is 0 if the
+	// configuration has only been changed through ConfigChange.
 	Version  uint64                 `json:"version,omitempty"`
 	Routes   map[string]Route       `json:"routes,omitempty"`
 	Services map[string]ServiceSpec `json:"services,omitempty"`
 	Limits   CallerLimits           `json:"limits"`
-	// Document is the whole configuration as the operator sent it.
+	// Document is the configuration of Version as the operator sent it.
 	Document []byte `json:"document,omitempty"`
 }
 
-// Workspace is a customer: its key, its limits and its share.
+// Workspace is a customer with its keys, limits and share.
 type Workspace struct {
 	Name string `json:"name" toml:"name"`
-	// KeySHA256 is the hex SHA-256 of the workspace's key; the key itself is
-	// neither stored nor logged.
+	// KeySHA256 is the hex SHA-256 of the workspace's key. The key itself is neither stored nor
+	// logged.
 	KeySHA256 string `json:"key_sha256" toml:"key_sha256"`
-	// MoreKeysSHA256 are further keys, so that a key can be exchanged without
-	// a moment in which neither works.
+	// MoreKeysSHA256 are the hashes of further keys. During a key rotation both keys are valid,
+	// so the workspace always has a valid key.
 	MoreKeysSHA256 []string `json:"more_keys_sha256,omitempty" toml:"more_keys_sha256"`
-	// Priority ranks the workspace; 0 goes first. It comes before the priority
-	// of routes.
+	// Priority ranks the workspace; 0 is the highest priority. It takes precedence over the
+	// priority of routes.
 	Priority int `json:"priority,omitempty" toml:"priority"`
-	// Homes are the regions whose backend servers may take its requests; empty is any. Where
-	// a route has homes too, both bind.
+	// Homes are the regions whose backend servers may serve the workspace's requests; empty
+	// means any region. If the route also has homes, a backend server must satisfy both lists.
 	Homes []string `json:"homes,omitempty" toml:"homes"`
-	// Share weighs the workspace against others of equal worth; 0 means 1.
+	// Share is the workspace's weight among workspaces of equal worth; 0 means 1.
 	Share int `json:"share" toml:"share"`
-	// MaxOpen bounds the open requests of the workspace on one entry; 0 is
-	// the entry's own limit.
+	// MaxOpen bounds the workspace's open requests on one entry; 0 means the entry's own limit.
 	MaxOpen int `json:"max_open" toml:"max_open"`
 }
 
 // RequestClass is a kind of request, such as interactive or batch.
 type RequestClass struct {
 	Name string `json:"name" toml:"name"`
-	// Worth orders requests: higher goes first. A preset may override it.
+	// Worth is the priority of requests of this class; higher comes first. A preset may override
+	// it.
 	Worth int `json:"worth" toml:"worth"`
-	// TimeoutMillis is the deadline of a request that names none.
+	// TimeoutMillis is the timeout of a request that states none.
 	TimeoutMillis int64 `json:"timeout_ms" toml:"timeout_ms"`
 }
 
-// GroupSpec asks for Replicas serving groups of VMsPerReplica VMs each.
+// GroupSpec requests Replicas serving groups of VMsPerReplica VMs each.
 type GroupSpec struct {
 	Name          string `json:"name" toml:"name"`
 	Model         string `json:"model" toml:"model"`
 	Replicas      int    `json:"replicas" toml:"replicas"`
 	VMsPerReplica int    `json:"vms_per_replica" toml:"vms_per_replica"`
-	// Accelerators is how many each member VM must hold; 0 accepts any.
+	// Accelerators is the number of accelerators that each member VM must have; 0 accepts any
+	// number.
 	Accelerators int `json:"accelerators" toml:"accelerators"`
-	// Worth decides which group is repaired, loaded and kept first.
+	// Worth is the priority of the groups: groups of higher worth are repaired, loaded and kept
+	// first.
 	Worth int `json:"worth" toml:"worth"`
-	// FabricDomain pins the groups to one domain; empty leaves the choice.
+	// FabricDomain restricts the groups to one fabric domain; empty allows any.
 	FabricDomain string `json:"fabric_domain,omitempty" toml:"fabric_domain"`
-	// Pool names the engine pool that the groups are formed from. Engines of a
-	// pool form a group among themselves, and it serves only once its first
-	// member is told to open. Empty takes any VM, whose engine serves as soon
-	// as the group is loaded.
+	// Pool names the engine pool whose VMs form the groups. The engines of a pool form a group
+	// among themselves, and the group serves only after its head has been ordered to open. If
+	// Pool is empty, any VM can be a member, and the engine serves as soon as the group is
+	// loaded.
 	Pool string `json:"pool,omitempty" toml:"pool"`
-	// Share, if Pool is set, takes the place of Replicas: the part of the
-	// pool's VMs that the spec's groups are to hold.
+	// Share replaces Replicas if Pool is set: it is the fraction of the pool's VMs that the
+	// groups of the spec should use.
 	Share float64 `json:"share,omitempty" toml:"share"`
 }
 
@@ -100,27 +102,28 @@
 	}
 }
 
-// Preset is a named set of priorities, one of which is in force.
+// Preset is a named set of priorities. One preset is in force at a time.
 type Preset struct {
 	Name string `json:"name" toml:"name"`
-	// ClassWorth and WorkspaceWorth override or add worth by name.
+	// ClassWorth and WorkspaceWorth set or override the worth of classes and workspaces by name.
 	ClassWorth     map[string]int `json:"class_worth,omitempty" toml:"class_worth"`
 	WorkspaceWorth map[string]int `json:"workspace_worth,omitempty" toml:"workspace_worth"`
-	// GroupWorth and GroupReplicas override a GroupSpec while in force.
+	// GroupWorth and GroupReplicas override values of a GroupSpec while the preset is in force.
 	GroupWorth    map[string]int `json:"group_worth,omitempty" toml:"group_worth"`
 	GroupReplicas map[string]int `json:"group_replicas,omitempty" toml:"group_replicas"`
-	// DowntimeWeight and StrandedWeight weigh group downtime against
-	// stranded accelerators when a repair has to choose; 0 means 1.
+	// DowntimeWeight and StrandedWeight weigh group downtime against stranded accelerators when
+	// a repair has several options; 0 means 1.
 	DowntimeWeight float64 `json:"downtime_weight,omitempty" toml:"downtime_weight"`
 	StrandedWeight float64 `json:"stranded_weight,omitempty" toml:"stranded_weight"`
 }
 
-// ConfigChange is one operator's change. It applies whole or not at all.
+// ConfigChange is one change of the configuration by an operator. It applies completely or not
+// at all.
 type ConfigChange struct {
-	// ChangeID makes the change idempotent: the same id resent gets the
-	// answer of its first time.
+	// ChangeID makes the change idempotent: a resent change with the same ID receives the first
+	// outcome again.
 	ChangeID string `json:"change_id"`
-	// Expect is the configuration revision that the change was made against.
+	// Expect is the configuration revision that the change is based on.
 	Expect   uint64 `json:"expect"`
 	Operator string `json:"operator,omitempty"`
 
@@ -139,21 +142,21 @@
 	UndrainGroups    []string       `json:"undrain_groups,omitempty"`
 }
 
-// ChangeOutcome is the answer to a ConfigChange, kept for resends.
+// ChangeOutcome is the result of a ConfigChange. The board keeps it to answer resent changes.
 type ChangeOutcome struct {
 	Revision uint64         `json:"revision"`
 	Failure  *failure.Error `json:"failure,omitempty"`
 }
 
-// maxRememberedChanges bounds the outcomes kept for resends. At the target
-// size of 3,100 changes a day it holds more than a day.
+// maxRememberedChanges bounds the stored outcomes. At the target rate of 3,100 changes a day,
+// the table covers more than a day of resent changes.
 const maxRememberedChanges = 4096
 
-// Apply answers a resend with its first answer, refuses a change made against
-// another revision, and else applies it whole.
+// apply returns the stored outcome of a resent change. It refuses a change that expects another
+// revision, and otherwise applies the change completely.
 //
-// Two operators that race under one expected revision get one winner: the
-// log orders them, and the second finds the revision moved.
+// Of two operators that send changes with the same expected revision, one succeeds: the log
+// orders the changes, and the second receives a conflict.
 func (c ConfigChange) apply(d *draft) (any, bool) {
 	if c.ChangeID == "" {
 		return ChangeOutcome{d.Config.Revision, failure.New(failure.TypeBadRequest, "change_id is missing")}, false
@@ -166,6 +169,7 @@
 	return outcome, true
 }
 
+// decide applies the change to the board's configuration, or returns why it cannot.
 func (c ConfigChange) decide(b *Board) ChangeOutcome {
 	current := b.Config.Revision
 	if c.Expect != current {
@@ -221,7 +225,7 @@
 	}
 }
 
-// check refuses a configuration that could not be carried out.
+// validate returns an error for the first invalid value, and nil for a valid configuration.
 func (c *Configuration) validate() *failure.Error {
 	for _, name := range sortedKeys(c.Groups) {
 		g := c.Groups[name]
@@ -260,8 +264,8 @@
 
 const sha256HexLength = 64
 
-// hasValidKeys tells whether each key is a hash. A workspace of a whole
-// configuration may have lost all its keys; any other has one.
+// hasValidKeys reports whether each key hash has the length of a hex SHA-256. allowNone permits
+// a workspace without keys, which ReplaceConfiguration may contain.
 func (w Workspace) hasValidKeys(allowNone bool) bool {
 	hashes := w.keyHashes()
 	for _, hash := range hashes {
@@ -288,7 +292,7 @@
 	return c.Groups[group].Worth
 }
 
-// GroupReplicas returns how many replicas are wanted under the preset.
+// GroupReplicas returns the desired number of replicas under the preset in force.
 func (c *Configuration) GroupReplicas(group string) int {
 	if n, ok := c.Presets[c.ActivePreset].GroupReplicas[group]; ok {
 		return n
@@ -296,6 +300,7 @@
 	return c.Groups[group].Replicas
 }
 
+// clone copies the configuration and its maps, but not the contents of the map values.
 func (c *Configuration) clone() Configuration {
 	n := *c
 	n.Workspaces = cloneMap(c.Workspaces)
--- a/internal/blackboard/replace_configuration.go
+++ b/internal/blackboard/replace_configuration.go
@@ -7,22 +7,21 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// ReplaceConfiguration puts a whole configuration in the place of the present
-// one. The highest version ever accepted is in force.
+// ReplaceConfiguration replaces the complete configuration. The highest version ever accepted is
+// in force.
 type ReplaceConfiguration struct {
-	// Version is the operators' own number of this configuration.
+	// Version is the operators' version number of this configuration.
 	Version    uint64        `json:"version"`
 	Routes     []Route       `json:"routes"`
 	Services   []ServiceSpec `json:"services"`
 	Workspaces []Workspace   `json:"workspaces"`
 	Limits     CallerLimits  `json:"limits"`
-	// Document is the configuration as the operator sent it, kept for reading
-	// back.
+	// Document is the configuration as the operator sent it, for reading it back.
 	Document []byte `json:"document,omitempty"`
 }
 
-// CallerLimits bound what a caller may send, and how long it may take. Zero
-// fields leave the entry's own limits.
+// CallerLimits bounds the size and duration of callers' requests. A zero field leaves the
+// entry's own limit in force.
 type CallerLimits struct {
 	MaxHeaderBytes      int   `json:"max_header_bytes,omitempty" toml:"max_header_bytes"`
 	MaxBodyBytes        int64 `json:"max_body_bytes,omitempty" toml:"max_body_bytes"`
@@ -30,19 +29,18 @@
 	IdleTimeoutMillis   int64 `json:"idle_timeout_ms,omitempty" toml:"idle_timeout_ms"`
 }
 
-// ReplaceOutcome answers a ReplaceConfiguration.
+// ReplaceOutcome is the result of a ReplaceConfiguration.
 type ReplaceOutcome struct {
 	// Version is the version in force after the command.
 	Version uint64 `json:"version"`
-	// Replaced is false when a version at least as high was in force already.
+	// Replaced is false if an equal or higher version was already in force.
 	Replaced bool           `json:"replaced"`
 	Failure  *failure.Error `json:"failure,omitempty"`
 }
 
-// apply takes the configuration in if its version is higher than the one in
-// force. It needs no expected revision: of two operators that race, the higher
-// version wins in whichever order the log has them, and a resend changes
-// nothing.
+// apply replaces the configuration if the new version is higher than the version in force. An
+// expected revision is not needed: if two operators race, the higher version wins in any log
+// order, and a resent command changes nothing.
 func (c ReplaceConfiguration) apply(d *draft) (any, bool) {
 	inForce := d.Config.Version
 	if e := c.Check(); e != nil {
@@ -58,8 +56,8 @@
 	return ReplaceOutcome{Version: c.Version, Replaced: true}, true
 }
 
-// Check refuses a configuration that could not be carried out, whatever its
-// version.
+// Check returns an error if the configuration is invalid. It does not compare the version with
+// the version in force.
 func (c ReplaceConfiguration) Check() *failure.Error {
 	if c.Version == 0 {
 		return failure.New(failure.TypeBadRequest, "a configuration needs a version over 0").WithDetail("version")
@@ -78,7 +76,7 @@
 	return replaced.validate()
 }
 
-// checkUniqueMatches refuses two routes for the same requests.
+// checkUniqueMatches returns an error if two routes match the same host and path prefix.
 func (c ReplaceConfiguration) checkUniqueMatches() *failure.Error {
 	type routeMatch struct{ host, prefix string }
 	seen := make(map[routeMatch]string, len(c.Routes))
@@ -93,8 +91,8 @@
 	return nil
 }
 
-// checkUniqueKeys refuses a key that two workspaces share: nobody could tell whose
-// request it is.
+// checkUniqueKeys returns an error if two workspaces share a key, because requests with that key
+// could not be attributed to one workspace.
 func (c ReplaceConfiguration) checkUniqueKeys() *failure.Error {
 	owner := make(map[string]string)
 	for _, w := range c.Workspaces {
@@ -109,7 +107,7 @@
 	return nil
 }
 
-// edit replaces all that a whole configuration states.
+// edit replaces every part that a ReplaceConfiguration contains, and derives the groups.
 func (c ReplaceConfiguration) edit(to *Configuration) {
 	to.Version = c.Version
 	to.Limits = c.Limits
@@ -129,7 +127,7 @@
 	to.Groups = groupSpecsOf(to.Services)
 }
 
-// groupSpecsOf returns the serving groups that the models of all services ask for.
+// groupSpecsOf returns the group specs of the models of all services.
 func groupSpecsOf(services map[string]ServiceSpec) map[string]GroupSpec {
 	groups := make(map[string]GroupSpec)
 	for _, name := range sortedKeys(services) {
--- a/internal/blackboard/route.go
+++ b/internal/blackboard/route.go
@@ -7,64 +7,66 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// RouteKind says how often a request of a route may run.
+// RouteKind states how often a request of a route may run.
 type RouteKind string
 
 // The kinds of route.
 const (
 	// RouteIdempotent requests may run any number of times.
 	RouteIdempotent RouteKind = "idempotent"
-	// RouteNonIdempotent requests run at most once for each send of a caller.
+	// RouteNonIdempotent requests run at most once for each time that the caller sends them.
 	RouteNonIdempotent RouteKind = "non_idempotent"
-	// RouteStreaming requests are answered by a stream of events. They run at
-	// most once, unless the route is resumable.
+	// RouteStreaming requests are answered with a stream of events. They run at most once,
+	// unless the route is resumable.
 	RouteStreaming RouteKind = "streaming"
 )
 
-// Route leads callers' HTTP requests of one host and path prefix to services.
+// Route maps callers' HTTP requests with one host and path prefix to services.
 type Route struct {
 	Name string `json:"name" toml:"name"`
-	// Host is compared without its port and without regard to case.
+	// Host is compared without its port and case-insensitively.
 	Host string `json:"host" toml:"host"`
-	// PathPrefix begins and ends with a slash; the longest match wins.
+	// PathPrefix begins and ends with a slash. The longest matching prefix wins.
 	PathPrefix string    `json:"path_prefix" toml:"path_prefix"`
 	Kind       RouteKind `json:"kind" toml:"kind"`
-	// Resumable says that a stream may go on in another run, from the event
-	// after the last one that the caller has.
+	// Resumable states that another run of the request may continue the stream, from the event
+	// after the last one that the caller received.
 	Resumable bool `json:"resumable,omitempty" toml:"resumable"`
-	// Public routes need no workspace key.
+	// Public routes require no workspace key.
 	Public bool `json:"public,omitempty" toml:"public"`
-	// TimeoutMillis is the longest that a request may be kept waiting.
+	// TimeoutMillis is the longest time from the arrival of a request to its deadline. A request
+	// may state a shorter timeout.
 	TimeoutMillis int64 `json:"timeout_ms" toml:"timeout_ms"`
-	// ObjectiveMillis is the time to the answer, or to a stream's first event,
-	// that the operators aim at; 0 is none.
+	// ObjectiveMillis is the operators' objective for the time to the answer, or to the first
+	// event of a stream; 0 means none.
 	ObjectiveMillis int64 `json:"objective_ms,omitempty" toml:"objective_ms"`
-	// GapMillis is the longest pause between two events that they aim at.
+	// GapMillis is the operators' objective for the longest gap between two events.
 	GapMillis int64 `json:"gap_ms,omitempty" toml:"gap_ms"`
-	// MaxAttempts bounds the backend servers that one request is sent to.
+	// MaxAttempts bounds the number of backend servers that one request is sent to.
 	MaxAttempts int `json:"max_attempts" toml:"max_attempts"`
-	// Priority ranks the route; 0 goes first.
+	// Priority ranks the route; 0 is the highest priority.
 	Priority int `json:"priority" toml:"priority"`
-	// Homes are the regions whose backend servers may take its requests; empty is any.
+	// Homes are the regions whose backend servers may serve the route's requests; empty means
+	// any region.
 	Homes []string `json:"homes,omitempty" toml:"homes"`
 	// Backends are the services that share the route's requests by weight.
 	Backends []WeightedService `json:"backends" toml:"backends"`
 }
 
-// WeightedService is one service of a route and its part of the requests.
+// WeightedService is a service of a route with its share of the requests.
 type WeightedService struct {
 	Service string `json:"service" toml:"service"`
-	// Weight is relative to the route's other weights; 0 gets nothing.
+	// Weight is relative to the other weights of the route; 0 means no requests.
 	Weight int `json:"weight" toml:"weight"`
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r Route) Repeatable() bool {
 	return r.Kind == RouteIdempotent || (r.Kind == RouteStreaming && r.Resumable)
 }
 
-// ServiceFor returns the service that takes a request whose draw is in [0, 1),
-// each service getting the part of the range that its weight gives it.
+// ServiceFor returns the service for a request with the random number draw in [0, 1). Each
+// service owns a part of the range in proportion to its weight.
 func (r Route) ServiceFor(draw float64) string {
 	total := 0
 	for _, b := range r.Backends {
@@ -80,7 +82,7 @@
 	return ""
 }
 
-// check refuses a route that could not be carried out.
+// validate returns an error if the route is invalid or names a service that c does not contain.
 func (r Route) validate(c *Configuration) *failure.Error {
 	invalid := func(message string) *failure.Error {
 		return failure.New(failure.TypeBadRequest, message).WithDetail("routes." + r.Name)
@@ -113,14 +115,14 @@
 	return nil
 }
 
-// RouteIndex finds the route of a request. It is made once for each
-// configuration and safe for concurrent use.
+// RouteIndex finds the route of a request. It is immutable and safe for concurrent use. Entries
+// build one for each configuration.
 type RouteIndex struct {
-	// byHost maps a host to its prefixes, and these to the route.
+	// byHost maps a host and a path prefix to the route.
 	byHost map[string]map[string]Route
 }
 
-// NewRouteIndex returns the index of the routes.
+// NewRouteIndex returns an index of the routes.
 func NewRouteIndex(routes map[string]Route) *RouteIndex {
 	x := &RouteIndex{byHost: make(map[string]map[string]Route)}
 	for _, r := range routes {
@@ -133,8 +135,8 @@
 	return x
 }
 
-// Find returns the route of the host with the longest prefix of the path. Its
-// cost grows with the slashes of the path and not with the number of routes.
+// Find returns the route of the host with the longest matching path prefix. Its cost grows with
+// the number of slashes in the path, not with the number of routes.
 func (x *RouteIndex) Find(host, path string) (Route, bool) {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
--- a/internal/blackboard/service.go
+++ b/internal/blackboard/service.go
@@ -1,13 +1,12 @@
 package blackboard
 
-// ServiceInstance is one backend server of a plain service. Written by: the
-// announcement controller. Read by: entries.
+// ServiceInstance is one backend server of a plain service. Written by: the announcement
+// controller. Read by: entries.
 type ServiceInstance struct {
 	ID          string `json:"id"`
 	Service     string `json:"service"`
 	Incarnation string `json:"incarnation"`
-	// StartedMillis is when the incarnation started, by its host's clock; 0 is
-	// unknown.
+	// StartedMillis is the start time of the incarnation, by its host's clock; 0 means unknown.
 	StartedMillis int64    `json:"started_ms,omitempty"`
 	Address       string   `json:"address"`
 	DataCentre    string   `json:"data_centre"`
@@ -15,8 +14,8 @@
 	Leaving       bool     `json:"leaving,omitempty"`
 }
 
-// PutService records what a plain service's instance announced, or what the
-// liveness controller concluded of it.
+// PutService records what an instance of a plain service announced, or the liveness that the
+// liveness controller determined.
 type PutService struct {
 	Instance ServiceInstance `json:"instance"`
 }
@@ -33,7 +32,7 @@
 	return applied()
 }
 
-// RemoveService forgets an instance that has long been dead.
+// RemoveService removes an instance that has been dead for a long time.
 type RemoveService struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"incarnation"`
