--- a/internal/blackboard/group.go
+++ b/internal/blackboard/group.go
@@ -1,6 +1,6 @@
 package blackboard
 
-// GroupState is where a serving group stands.
+// GroupState is the state of a serving group.
 type GroupState string
 
 // The states of a serving group. Only Serving is routable.
@@ -13,15 +13,15 @@
 	Released GroupState = "released"
 )
 
-// Routable tells whether entries may send new work to the group.
+// Routable reports whether entries may send new requests to the group.
 func (s GroupState) Routable() bool { return s == Serving }
 
-// requiresMembers tells whether every member's row must name the group's epoch.
+// requiresMembers reports whether the row of every member must name the group's epoch.
 func (s GroupState) requiresMembers() bool {
 	return s == Forming || s == Loading || s == Serving
 }
 
-// transitions lists the states that may follow each state.
+// transitions lists the permitted next states of each state.
 var transitions = map[GroupState][]GroupState{
 	Forming:  {Loading, Broken, Released},
 	Loading:  {Serving, Broken, Released, Draining},
@@ -30,15 +30,15 @@
 	Broken:   {Released},
 }
 
-// GroupMember is one VM of a group, under the incarnation that joined.
+// GroupMember is one VM of a group, with the incarnation that joined.
 type GroupMember struct {
 	VM          string `json:"vm"`
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
 }
 
-// Group is one epoch of one replica of a GroupSpec. Written by: the group
-// controllers. Read by: entries, which route to it, and the admin API.
+// Group is one epoch of one replica of a GroupSpec. Written by: the group controllers. Read by:
+// entries, which route requests to it, and the admin API.
 type Group struct {
 	// ID is the spec's name and the replica's number, such as "demo-0".
 	ID           string     `json:"id"`
@@ -47,27 +47,28 @@
 	Epoch        uint64     `json:"epoch"`
 	State        GroupState `json:"state"`
 	FabricDomain string     `json:"fabric_domain"`
-	// DataCentre is that of the head, OtherDataCentres those of members elsewhere.
+	// DataCentre is the data centre of the head. OtherDataCentres are those of the other
+	// members, if they differ.
 	DataCentre       string        `json:"data_centre"`
 	OtherDataCentres []string      `json:"other_data_centres,omitempty"`
 	Members          []GroupMember `json:"members"`
 	Worth            int           `json:"worth"`
-	// Opens says that the group serves only while its first member, the head,
-	// is open; see GroupSpec.Pool.
+	// Opens states that the group serves only while its first member, the head, is open; see
+	// GroupSpec.Pool.
 	Opens bool `json:"opens,omitempty"`
-	// Reason says why the group is in its state.
+	// Reason explains why the group is in its state.
 	Reason      string `json:"reason,omitempty"`
 	SinceMillis int64  `json:"since_ms"`
 }
 
-// Phases of a member as group tables know them; package backend lists all.
+// The phases of a member that decide whether it is ready. Package backend defines all phases.
 const (
 	phaseReady = "ready"
 	phaseOpen  = "open"
 )
 
-// Ready tells whether a member that reports this phase is ready to serve: the
-// head of a group that opens must be open.
+// Ready reports whether a member in this phase is ready to serve. If Opens is set, the head must
+// be open.
 func (g Group) Ready(m GroupMember, phase string) bool {
 	if g.Opens && len(g.Members) > 0 && g.Members[0].VM == m.VM {
 		return phase == phaseOpen
@@ -75,7 +76,8 @@
 	return phase == phaseReady
 }
 
-// Head returns the member that takes the group's requests.
+// Head returns the member that receives the group's requests, or the zero value if the group has
+// no members.
 func (g Group) Head() GroupMember {
 	if len(g.Members) == 0 {
 		return GroupMember{}
@@ -89,8 +91,8 @@
 	NowMillis int64 `json:"now_ms"`
 }
 
-// apply checks and writes all member rows in one step, so two groups that
-// race for one VM get it one after the other or not at all.
+// apply checks all members before it writes any row. If two groups compete for a VM, only the
+// first can form while the VM belongs to that group.
 func (c FormGroup) apply(d *draft) (any, bool) {
 	g := c.Group
 	if old, ok := d.Groups[g.ID]; ok && old.State != Released {
@@ -115,7 +117,7 @@
 	return Verdict{Applied: true, Epoch: g.Epoch}, true
 }
 
-// joinRefusal returns why the members of a group that is to form can't all join it, or "".
+// joinRefusal returns the reason why the members cannot all join a new group, or "" if they can.
 func (b *Board) joinRefusal(g Group) string {
 	seen := make(map[string]bool, len(g.Members))
 	for _, m := range g.Members {
@@ -157,6 +159,7 @@
 	return applied()
 }
 
+// isTransition reports whether a group may move directly between the two states.
 func isTransition(from, to GroupState) bool {
 	for _, s := range transitions[from] {
 		if s == to {
@@ -166,7 +169,7 @@
 	return false
 }
 
-// holds tells whether any VM still holds the group's epoch.
+// anyMemberHolds reports whether the row of any member still names the group's epoch.
 func (b *Board) anyMemberHolds(g Group) bool {
 	for _, m := range g.Members {
 		if v, ok := b.VMs[m.VM]; ok && v.Group == g.ID && v.Epoch == g.Epoch {
--- a/internal/blackboard/vm.go
+++ b/internal/blackboard/vm.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Liveness is what the liveness controller has concluded of a backend server.
+// Liveness is the state of a backend server that the liveness controller has determined.
 type Liveness string
 
-// The states of liveness. A paused VM misses heartbeats but may come back
-// with its state; a dead one is given up. A straggler answers but is slow.
+// The liveness states. A paused VM misses heartbeats but may return with its state intact. A
+// dead VM is not expected to return. A straggler answers slowly.
 const (
 	Alive     Liveness = "alive"
 	Paused    Liveness = "paused"
@@ -17,43 +17,41 @@
 	Straggler Liveness = "straggler"
 )
 
-// VM is a backend server VM that runs one engine. Written by: the
-// announcement, liveness and group controllers. Read by: group controllers
-// and entries (addresses and epochs of members).
+// VM is a backend server VM that runs one engine. Written by: the announcement, liveness and
+// group controllers. Read by: the group controllers. Entries read only Leaving.
 type VM struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"incarnation"`
-	// StartedMillis is when the incarnation started, by its host's clock; 0 is
-	// unknown.
+	// StartedMillis is the start time of the incarnation, by its host's clock; 0 means unknown.
 	StartedMillis int64  `json:"started_ms,omitempty"`
 	Address       string `json:"address"`
 	DataCentre    string `json:"data_centre"`
 	FabricDomain  string `json:"fabric_domain"`
-	// Pool is the engine pool that the VM announced itself for, if any.
+	// Pool is the engine pool that the VM announced, if any.
 	Pool         string   `json:"pool,omitempty"`
 	Accelerators int      `json:"accelerators"`
 	Liveness     Liveness `json:"liveness"`
 	Leaving      bool     `json:"leaving,omitempty"`
-	// Weights lists the models whose weights the VM holds locally.
+	// Weights lists the models whose weights the VM stores locally.
 	Weights []string `json:"weights,omitempty"`
-	// Group and Epoch name the one serving group that the VM is part of, or
-	// may still be running. They are cleared by FreeVM alone.
+	// Group and Epoch name the serving group that the VM belongs to, or whose engine may still
+	// be running on it. Only FreeVM clears them.
 	Group string `json:"group,omitempty"`
 	Epoch uint64 `json:"epoch,omitempty"`
-	// SinceMillis is when Liveness last changed, leader's clock.
+	// SinceMillis is the time of the last change of Liveness, by the leader's clock.
 	SinceMillis int64 `json:"since_ms"`
-	// Flaps counts returns from paused or dead, for hysteresis.
+	// Flaps counts recent returns from paused or dead. It provides hysteresis.
 	Flaps int `json:"flaps,omitempty"`
 }
 
-// Free tells whether the VM may go into a new group.
+// Free reports whether the VM may join a new group.
 func (v VM) Free() bool { return v.Group == "" }
 
-// flapWindowMillis is how long a return counts towards Flaps: one hour, so that
-// a VM restarted each day starts anew and one that restarts each minute doesn't.
+// flapWindowMillis is the time after which Flaps restarts from zero. With one hour, a VM that
+// restarts daily is not penalised, and one that restarts every minute is.
 const flapWindowMillis = 60 * 60 * 1000
 
-// flap counts one return at nowMillis.
+// countReturn counts one return at nowMillis.
 func (v *VM) countReturn(nowMillis int64) {
 	if nowMillis-v.SinceMillis > flapWindowMillis {
 		v.Flaps = 0
@@ -62,18 +60,17 @@
 	v.SinceMillis = nowMillis
 }
 
-// same tells whether two rows are equal.
+// equals reports whether two rows are equal. Nil and empty weights are equal.
 func (v VM) equals(o VM) bool {
 	weights := slices.Equal(v.Weights, o.Weights)
 	v.Weights, o.Weights = nil, nil
 	return weights && reflect.DeepEqual(v, o)
 }
 
-// PutVM records what a VM announced. It touches neither group nor liveness of
-// a VM that it knows; a new incarnation is recorded, and the group that ran
-// under the old one stays until FreeVM names the new incarnation. One that
-// started before the known one is refused: it comes from a leader that heard of
-// it late.
+// PutVM records a VM's announcement. For a known VM it changes neither group nor liveness. A new
+// incarnation is recorded, but the VM keeps the group of the old incarnation until a FreeVM
+// names the new one. An incarnation that started before the known one is refused: the
+// announcement reached a leader late.
 type PutVM struct {
 	VM VM `json:"vm"`
 }
@@ -126,15 +123,15 @@
 	return applied()
 }
 
-// FreeVM takes a VM out of the group epoch that it held. The group controller
-// sends it only with proof that the old epoch no longer runs on the VM: the
-// engine confirmed its release, or announced an incarnation that started after
-// the one that held the group. Silence is no proof.
+// FreeVM removes a VM from the group epoch that it holds. The group controller sends FreeVM only
+// with proof that the old epoch no longer runs on the VM. The engine must have confirmed the
+// release, or announced an incarnation that started after the one that held the group. A missing
+// announcement is no proof.
 type FreeVM struct {
 	VM    string `json:"vm"`
 	Group string `json:"group"`
 	Epoch uint64 `json:"epoch"`
-	// Incarnation is the one that gave the proof.
+	// Incarnation is the incarnation that provided the proof.
 	Incarnation string `json:"incarnation"`
 }
 
@@ -151,10 +148,10 @@
 	return applied()
 }
 
-// RemoveVM forgets a VM that has long been dead, with the group epoch that it
-// still held, which can then be released. It frees nothing: should the VM come
-// back, it gets a new row, and goes into a group only when its engine itself
-// announces that it is idle.
+// RemoveVM removes a VM that has been dead for a long time, together with the group epoch that
+// its row still names. The epoch can then be released. RemoveVM does not make the VM available:
+// if the VM returns, it gets a new row, and joins a group only after its engine announces that
+// it is idle.
 type RemoveVM struct {
 	VM          string `json:"vm"`
 	Incarnation string `json:"incarnation"`
