--- a/internal/blackboard/entry_copy.go
+++ b/internal/blackboard/entry_copy.go
@@ -2,19 +2,18 @@
 
 import "github.com/juju/errors"
 
-// Entries go by a part of the board: the configuration, the groups that serve, the
-// plain services, the entries, the suspects, how long callers wait, the rate limits of
-// backend servers, those that are cold, and the data centres that are evacuated. Of VMs they
-// need to know which are leaving. What they hold is called the entry's copy here.
+// An entry copy is the part of the board that entries need: the configuration, the serving
+// groups, plain services, entries, suspects, quarantines, callers' first timeouts, rate limits,
+// cold backend servers and evacuated data centres. Of VMs, an entry copy only names those that
+// are leaving.
 //
-// Load: a pool of a thousand VMs starts, or loses a domain, and hundreds of entries follow
-// the board. Sent whole, each row of a VM goes to each of them over the leader's link, and
-// heartbeats of the consensus wait behind. The groups that serve are a small part of
-// it, sent once each.
+// When a pool of a thousand VMs starts or loses a domain, hundreds of entries follow the board.
+// With complete boards, each VM row would go to every entry over the leader's link and delay the
+// consensus heartbeats. The serving groups are a small part of the board, and each is sent once.
 
-// copied returns the row of a group in an entry's copy, and whether it has one.
-// Entries need the members of a group that serves alone, and of one that has ceased
-// to, why.
+// groupForEntries returns a group's row in entry copies, and whether entry copies contain the
+// group. Entries need the members of serving groups only. Of a group that has stopped serving,
+// they need the reason.
 func groupForEntries(g Group) (Group, bool) {
 	switch g.State {
 	case Serving:
@@ -26,7 +25,7 @@
 	return Group{}, false
 }
 
-// entryCopy returns the entry's copy of the board.
+// entryCopy returns the entry copy of the board.
 func (b *Board) entryCopy() *Board {
 	c := New()
 	c.Revision, c.ClusterID, c.Config = b.Revision, b.ClusterID, b.Config
@@ -47,10 +46,10 @@
 	return c
 }
 
-// leavingVMRow is the row of a leaving VM in an entry's copy.
+// leavingVMRow returns the row of a leaving VM in an entry copy.
 func leavingVMRow(id string) VM { return VM{ID: id, Leaving: true} }
 
-// EncodeForEntries returns the entry's copy of the board as a snapshot.
+// EncodeForEntries returns the entry copy of the board as a snapshot.
 func (b *Board) EncodeForEntries() ([]byte, error) {
 	data, err := b.entryCopy().Encode()
 	return data, errors.Trace(err)
--- a/internal/blackboard/patch.go
+++ b/internal/blackboard/patch.go
@@ -9,24 +9,25 @@
 	"github.com/juju/errors"
 )
 
-// Change names the rows of an entry's copy that one command changed.
+// Change names the rows of entry copies that one command changed.
 type Change struct {
 	groups, leavingVMs, services, entries, suspects, quarantines, waits    []string
 	rateLimits, evacuations, coldServers, routes, serviceSpecs, workspaces []string
-	// version says that the operators' whole configuration changed, parts that anything
-	// else of the configuration did, and callers that callers have come.
+	// versionChanged is set if ReplaceConfiguration changed the configuration,
+	// otherConfigChanged if another command did. callersChanged is set if the first request of
+	// any caller was recorded.
 	versionChanged, otherConfigChanged, callersChanged bool
 }
 
-// Concerns tells whether an entry's copy differs by the change in anything but its
-// revision.
+// Concerns reports whether the change affects an entry copy beyond its revision.
 func (c Change) Concerns() bool {
 	rows := len(c.groups) + len(c.leavingVMs) + len(c.services) + len(c.entries) + len(c.suspects) + len(c.quarantines) + len(c.waits) +
 		len(c.rateLimits) + len(c.evacuations) + len(c.coldServers)
 	return rows > 0 || c.versionChanged || c.otherConfigChanged || c.callersChanged
 }
 
-// changeBetween returns what a draft changed of the board that it began as.
+// changeBetween returns the difference between a draft and the board that the draft started
+// from.
 func changeBetween(before *Board, d *draft) Change {
 	c := Change{
 		services:       changedRows(before.Services, d.Services),
@@ -64,7 +65,7 @@
 	return c
 }
 
-// changedRows returns the names of the rows that are new, differ or are gone.
+// changedRows returns the names of rows that were added, modified or removed.
 func changedRows[V any](from, to map[string]V) []string {
 	if reflect.ValueOf(from).Pointer() == reflect.ValueOf(to).Pointer() {
 		return nil
@@ -84,15 +85,14 @@
 	return names
 }
 
-// Patch takes an entry's copy of the board to a later revision. It stands in no log:
-// the leader makes it of the rows that have changed since the entry's revision, as
-// they are now, so that a row that changed many times is sent once.
+// Patch brings an entry copy to a later revision. It is never written to the log: the leader
+// builds it from the current values of the rows that have changed since the entry's revision. A
+// row that changed several times is therefore sent once.
 //
-// Load: operators change one route of a thousand, several times a second. Sent
-// whole, the copies for all entries fill the leader's link, and heartbeats of the
-// consensus wait behind them.
+// Operators change one route of a thousand, several times a second. With complete copies, the
+// traffic to all entries would fill the leader's link and delay the consensus heartbeats.
 type Patch struct {
-	// Revision is that of the board that it leads to.
+	// Revision is the board revision after the patch.
 	Revision  uint64 `json:"revision"`
 	ClusterID string `json:"cluster_id"`
 
@@ -106,18 +106,18 @@
 	RateLimits  Rows[RateLimit]       `json:"rate_limits,omitzero"`
 	Evacuations Rows[Evacuation]      `json:"evacuations,omitzero"`
 	ColdServers Rows[ColdServer]      `json:"cold_servers,omitzero"`
-	// CallersMillis is the board's own.
+	// CallersMillis is the value of Board.CallersMillis.
 	CallersMillis int64 `json:"callers_ms,omitempty"`
 
-	// Version is set where the operators' whole configuration has changed, and
-	// Config in its place where other parts of it have.
+	// Version is set if ReplaceConfiguration changed the configuration. Config is set instead if
+	// other commands changed it.
 	Version *VersionPatch  `json:"version,omitempty"`
 	Config  *Configuration `json:"config,omitempty"`
 }
 
-// VersionPatch is what whole configurations have changed of an earlier one.
+// VersionPatch is the difference between two versions of the configuration.
 type VersionPatch struct {
-	// Revision is that of the configuration, Version the operators' number of it.
+	// Revision is the configuration revision, Version the operators' version number.
 	Revision   uint64            `json:"revision"`
 	Version    uint64            `json:"version"`
 	Limits     CallerLimits      `json:"limits"`
@@ -126,13 +126,13 @@
 	Workspaces Rows[Workspace]   `json:"workspaces,omitzero"`
 }
 
-// Rows are rows of one table that are put, and names of rows that are removed.
+// Rows holds the rows of a table to write, and the names of rows to remove.
 type Rows[V any] struct {
 	Put    map[string]V `json:"put,omitempty"`
 	Remove []string     `json:"remove,omitempty"`
 }
 
-// selectRows returns the named rows of a table.
+// selectRows returns the named rows of a table. Names without a row become removals.
 func selectRows[V any](table map[string]V, names map[string]bool) Rows[V] {
 	var rows Rows[V]
 	for name := range names {
@@ -150,7 +150,7 @@
 	return rows
 }
 
-// in returns the table with the rows taken in.
+// applyTo returns the table after the writes and removals. It does not modify its argument.
 func (r Rows[V]) applyTo(table map[string]V) map[string]V {
 	if len(r.Put) == 0 && len(r.Remove) == 0 {
 		return table
@@ -163,8 +163,8 @@
 	return table
 }
 
-// PatchFor returns the command that takes an entry's copy, which lacks the changes, to
-// the board's revision.
+// PatchFor returns the encoded Patch that brings an entry copy without the given changes to the
+// board's revision.
 func (b *Board) PatchFor(changes []Change) ([]byte, error) {
 	p := &Patch{Revision: b.Revision, ClusterID: b.ClusterID, CallersMillis: b.CallersMillis}
 	p.Groups = b.groupRows(unionNames(changes, func(c Change) []string { return c.groups }))
@@ -192,6 +192,7 @@
 	return data, nil
 }
 
+// unionNames returns the row names of one table in all changes.
 func unionNames(changes []Change, table func(Change) []string) map[string]bool {
 	names := make(map[string]bool)
 	for _, c := range changes {
@@ -202,6 +203,7 @@
 	return names
 }
 
+// groupRows returns the named groups as entry copies contain them.
 func (b *Board) groupRows(names map[string]bool) Rows[Group] {
 	table := make(map[string]Group, len(names))
 	for id := range names {
@@ -212,6 +214,7 @@
 	return selectRows(table, names)
 }
 
+// leavingVMRows returns the named VMs as entry copies contain them.
 func (b *Board) leavingVMRows(names map[string]bool) Rows[VM] {
 	table := make(map[string]VM, len(names))
 	for id := range names {
@@ -222,6 +225,7 @@
 	return selectRows(table, names)
 }
 
+// versionPatch returns the changed rows of the configuration with their current values.
 func (b *Board) versionPatch(changes []Change) *VersionPatch {
 	c := &b.Config
 	return &VersionPatch{
@@ -232,9 +236,9 @@
 	}
 }
 
-// apply takes the changes in. The document as the operator sent it is not among
-// them; only control processes keep it. The revision is left one short, as each
-// command adds one.
+// apply writes the rows of the patch. A patch omits Configuration.Document, which only control
+// processes keep. apply sets the revision to one less than the target, because the caller
+// increments it after each command.
 func (p Patch) apply(d *draft) (any, bool) {
 	d.ClusterID, d.Revision = p.ClusterID, p.Revision-1
 	d.Groups, d.VMs = p.Groups.applyTo(d.Groups), p.Leaving.applyTo(d.VMs)
@@ -252,7 +256,7 @@
 	return applied()
 }
 
-// in returns the configuration with the changes of a later version taken in.
+// applyTo returns the configuration after the patch.
 func (p VersionPatch) applyTo(c Configuration) Configuration {
 	next := c.clone()
 	next.Revision, next.Version, next.Limits, next.Document = p.Revision, p.Version, p.Limits, nil
@@ -263,8 +267,8 @@
 	return next
 }
 
-// MarshalJSON compresses a patch that is long: rows repeat their field names, and
-// each goes to many entries.
+// MarshalJSON compresses a long patch: rows repeat their field names, and each row goes to many
+// entries.
 func (p Patch) MarshalJSON() ([]byte, error) {
 	plain, err := json.Marshal(plainPatch(p))
 	if err != nil || len(plain) < minCompressBytes {
@@ -278,14 +282,14 @@
 	return data, errors.Trace(err)
 }
 
-// minCompressBytes is the length in bytes from which a patch is worth compressing: below it
-// the packets are few anyway.
+// minCompressBytes is the smallest size of a patch that is compressed. A smaller patch takes few
+// packets anyway.
 const minCompressBytes = 2048
 
-// plainPatch has the fields of a Patch and the ordinary JSON form.
+// plainPatch has the fields of Patch and the default JSON encoding.
 type plainPatch Patch
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON decodes the compressed and the plain form.
 func (p *Patch) UnmarshalJSON(data []byte) error {
 	var c compressedCommand
 	if err := json.Unmarshal(data, &c); err != nil {
