--- a/internal/blackboard/callers.go
+++ b/internal/blackboard/callers.go
@@ -1,8 +1,8 @@
 package blackboard
 
-// NoteCallers records that callers have begun to ask. Written by: the entry that gets the
-// first request. Read by: the controllers, which may load weights without regard to the
-// store's rate until then, and the other entries, which need not tell it again.
+// NoteCallers records that the first request of any caller has arrived. Written by: the entry
+// that receives the first request. Read by: the controllers, which may ignore the rate limit of
+// the weight store until then, and the other entries, which need not report it again.
 type NoteCallers struct {
 	NowMillis int64 `json:"now_ms"`
 }
--- a/internal/blackboard/cold_server.go
+++ b/internal/blackboard/cold_server.go
@@ -1,23 +1,23 @@
 package blackboard
 
-// ColdServer marks a backend server that bears fewer requests a second than usual, as it
-// started or stood idle not long ago. Written by: the group controllers, from what backend
-// servers announce, and the end of an evacuation. Read by: entries, which share out the rate
-// that its service states for cold instances.
+// ColdServer marks a backend server within its slow-start period: it sustains fewer requests a
+// second than usual because it started recently or was idle. Written by: the group controllers,
+// from the announcements of backend servers, and the end of an evacuation. Read by: entries,
+// which divide among themselves the rate that the service states for cold instances.
 type ColdServer struct {
 	// Service names the ServiceSpec that states the rate.
 	Service string `json:"service"`
 }
 
-// NoteCold marks a backend server as cold, or takes the mark off.
+// NoteCold marks a backend server as cold, or removes the mark.
 type NoteCold struct {
-	// Incarnation is the backend server's.
+	// Incarnation identifies the backend server.
 	Incarnation string `json:"incarnation"`
-	// Service is that of ColdServer; empty takes the mark off.
+	// Service is the value for ColdServer.Service; empty removes the mark.
 	Service string `json:"service,omitempty"`
 }
 
-// maxColdServers bounds the marks kept: more than the largest pools have VMs.
+// maxColdServers bounds the number of marks. It exceeds the number of VMs in the largest pools.
 const maxColdServers = 8192
 
 func (c NoteCold) apply(d *draft) (any, bool) {
@@ -37,12 +37,13 @@
 	return applied()
 }
 
-// presumeCold marks the backend servers of a data centre that take requests, where their
-// service states a rate for cold instances.
+// presumeCold marks the routable backend servers of a data centre as cold if their service
+// states a rate for cold instances.
 //
-// Failure: an evacuation ends, the backend servers have become cold meanwhile, and the entries
-// send them their whole part before any has announced it. The marks stand on the
-// very board that ends the evacuation, until announcements show who is not cold.
+// Without the marks, entries would send backend servers their full share at the end of an
+// evacuation, although the backend servers became cold during it and have not announced that
+// yet. The marks are part of the same board revision that ends the evacuation. They stay until
+// announcements show which backend servers are not cold.
 func (d *draft) presumeCold(dataCentre string) {
 	marks := make(map[string]ColdServer)
 	mark := func(incarnation, service string) {
--- a/internal/blackboard/entry.go
+++ b/internal/blackboard/entry.go
@@ -1,22 +1,22 @@
 package blackboard
 
-// Entry is a process that takes callers' requests. Written by: the control
-// server when an entry first watches. Read by: the leader, which counts a
-// configuration as in force only when each entry holds it or its lease has run
-// out, and entries, which exchange liveness evidence with each other.
+// Entry is a process that receives callers' requests. Written by: the control server when an
+// entry first watches the board. Read by: the leader and the other entries. The leader counts a
+// configuration as in force only when each entry holds it or the entry's lease has expired.
+// Entries exchange liveness evidence with each other.
 type Entry struct {
 	ID string `json:"id"`
-	// Address is where callers and backend servers reach the entry.
+	// Address is the address for callers and backend servers.
 	Address string `json:"address"`
-	// PeerAddress is where the system's own processes reach it.
+	// PeerAddress is the address for the system's own processes.
 	PeerAddress string `json:"peer_address"`
 	DataCentre  string `json:"data_centre"`
-	// Deaf says that the entry takes no announcements: it is no witness of
-	// backend servers, and nobody exchanges evidence with it.
+	// Deaf states that the entry receives no announcements. It therefore reports no stalls of
+	// backend servers, and other entries exchange no evidence with it.
 	Deaf bool `json:"deaf,omitempty"`
 }
 
-// PutEntry registers an entry, or its new address.
+// PutEntry adds or updates the row of an entry.
 type PutEntry struct {
 	Entry Entry `json:"entry"`
 }
@@ -30,7 +30,7 @@
 	return applied()
 }
 
-// RemoveEntry forgets an entry whose lease ran out long ago or that left.
+// RemoveEntry removes an entry that has left or whose lease expired long ago.
 type RemoveEntry struct {
 	ID string `json:"id"`
 }
--- a/internal/blackboard/evacuation.go
+++ b/internal/blackboard/evacuation.go
@@ -6,30 +6,30 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// Evacuation says that nothing more is to be sent to the backend servers of a data centre.
-// Written by: operators, through SetEvacuation. Read by: entries, which route elsewhere, and
-// the group controllers, which form groups elsewhere.
+// Evacuation is an order to send no new requests to the backend servers of a data centre.
+// Written by: operators, through SetEvacuation. Read by: entries, which route to other data
+// centres, and the group controllers, which form groups in other data centres.
 type Evacuation struct {
-	// Revision is that of the first board that holds it.
+	// Revision is the first board revision that contains the order.
 	Revision uint64 `json:"revision"`
-	// SinceMillis is when it was ordered, by the clock of the process that took the order.
+	// SinceMillis is the time of the order, by the clock of the process that received it.
 	SinceMillis int64 `json:"since_ms"`
 }
 
-// SetEvacuation orders the evacuation of a data centre, or ends it. Sent again, it changes
-// nothing and is answered alike.
+// SetEvacuation starts or ends the evacuation of a data centre. It is idempotent: a resent order
+// changes nothing and is not an error.
 type SetEvacuation struct {
 	DataCentre string `json:"data_centre"`
-	// End takes the order back.
+	// End ends the evacuation.
 	End       bool  `json:"end,omitempty"`
 	NowMillis int64 `json:"now_ms"`
 }
 
-// EvacuationOutcome answers a SetEvacuation.
+// EvacuationOutcome is the result of a SetEvacuation.
 type EvacuationOutcome struct {
-	// Revision is that of a board that holds the order.
+	// Revision is a board revision that contains the order.
 	Revision uint64 `json:"revision"`
-	// Changed is false when the order held already.
+	// Changed is false if the order was already in force.
 	Changed bool           `json:"changed"`
 	Failure *failure.Error `json:"failure,omitempty"`
 }
@@ -56,13 +56,13 @@
 	return EvacuationOutcome{Revision: next, Changed: true}, true
 }
 
-// Evacuated tells whether a data centre is evacuated.
+// Evacuated reports whether a data centre is being evacuated.
 func (b *Board) Evacuated(dataCentre string) bool {
 	_, evacuated := b.Evacuations[dataCentre]
 	return evacuated
 }
 
-// EvacuatesGroup tells whether a member of the group lies in a data centre that is
+// EvacuatesGroup reports whether any member of the group is in a data centre that is being
 // evacuated.
 func (b *Board) EvacuatesGroup(g Group) bool {
 	if len(b.Evacuations) == 0 {
@@ -71,8 +71,7 @@
 	return b.Evacuated(g.DataCentre) || slices.ContainsFunc(g.OtherDataCentres, b.Evacuated)
 }
 
-// DataCentres returns the data centres that the board knows, sorted: those of backend
-// servers and of entries.
+// DataCentres returns the sorted names of all data centres with backend servers or entries.
 func (b *Board) DataCentres() []string {
 	known := make(map[string]bool)
 	for _, v := range b.VMs {
--- a/internal/blackboard/quarantine.go
+++ b/internal/blackboard/quarantine.go
@@ -1,23 +1,24 @@
 package blackboard
 
-// Quarantine keeps one target of a model or plain service for a single
-// suspect request. Written by: entries, through TakeQuarantine and
-// EndQuarantine. Read by: entries, which send nothing else there.
+// Quarantine reserves one target of a model or plain service for a single suspect request.
+// Written by: entries, through TakeQuarantine and EndQuarantine. Read by: entries, which send no
+// other requests to the target.
 type Quarantine struct {
 	// Pool is the model or the plain service.
 	Pool string `json:"pool"`
-	// Target is the serving group or the instance.
+	// Target is the serving group or the service instance.
 	Target string `json:"target"`
 	Entry  string `json:"entry"`
-	// UntilMillis ends a quarantine whose entry is gone.
+	// UntilMillis is the expiry time, for the case that the entry disappears before it ends the
+	// quarantine.
 	UntilMillis int64 `json:"until_ms"`
 }
 
-// Holds tells whether the quarantine is in force at a time.
+// Holds reports whether the quarantine is in force at the given time.
 func (q Quarantine) Holds(nowMillis int64) bool { return nowMillis < q.UntilMillis }
 
-// TakeQuarantine asks for a pool's one quarantine. One at a time bounds what
-// suspects can take from a pool's capacity to one target.
+// TakeQuarantine requests the single quarantine of a pool. Suspects can therefore block at most
+// one target of the pool's capacity at a time.
 type TakeQuarantine struct {
 	Quarantine Quarantine `json:"quarantine"`
 	NowMillis  int64      `json:"now_ms"`
@@ -33,7 +34,7 @@
 	return applied()
 }
 
-// EndQuarantine gives the quarantine back.
+// EndQuarantine releases the quarantine of a pool.
 type EndQuarantine struct {
 	Pool  string `json:"pool"`
 	Entry string `json:"entry"`
--- a/internal/blackboard/rate_limit.go
+++ b/internal/blackboard/rate_limit.go
@@ -2,44 +2,46 @@
 
 import "math"
 
-// RateLimit is how many requests a second a backend server takes from all entries
-// together. Written by: entries, as the backend server names it in its answers, and the
-// leader, which ends those that no entry has confirmed for long. Read by: entries, which
-// share it out among themselves.
+// RateLimit is the number of requests a second that a backend server accepts from all entries
+// together. Written by: entries, when a backend server states the limit in an answer, and the
+// leader, which removes limits that no entry has confirmed for long. Read by: entries, which
+// divide the rate among themselves.
 type RateLimit struct {
 	PerSecond float64 `json:"per_second"`
-	// HeardMillis is when an answer last named it, by the entry's clock.
+	// HeardMillis is the time of the last answer that stated the limit, by the receiving entry's
+	// clock.
 	HeardMillis int64 `json:"heard_ms"`
 }
 
 const (
-	// rateLimitTolerance is the part by which a limit must differ from the one on the board to
-	// be written before it is due to be confirmed.
+	// rateLimitTolerance is the relative difference up to which a new limit counts as unchanged
+	// and is written only as a confirmation.
 	rateLimitTolerance = 0.1
-	// confirmIntervalMillis is how much later a limit must have been heard to confirm the one on
-	// the board.
+	// confirmIntervalMillis is the time that must pass before an unchanged limit is written
+	// again as a confirmation.
 	confirmIntervalMillis = 5000
 )
 
-// Near tells whether two limits are so close that the board need not change.
+// Near reports whether the rates are so close that the board need not change.
 func (l RateLimit) Near(perSecond float64) bool {
 	return math.Abs(l.PerSecond-perSecond) <= rateLimitTolerance*max(l.PerSecond, perSecond)
 }
 
-// confirms tells whether l says nothing new but that it was heard later than o.
+// confirms reports whether l was received long enough after o to be written as a confirmation of
+// o.
 func (l RateLimit) confirms(o RateLimit) bool {
 	return l.HeardMillis-o.HeardMillis >= confirmIntervalMillis
 }
 
-// NoteRateLimit records the limit of a backend server, or that it has none.
+// NoteRateLimit records or removes the limit of a backend server.
 type NoteRateLimit struct {
-	// Incarnation is the backend server's.
+	// Incarnation identifies the backend server.
 	Incarnation string `json:"incarnation"`
-	// Limit is nil for a backend server without one.
+	// Limit is nil if the backend server has no limit.
 	Limit *RateLimit `json:"limit,omitempty"`
 }
 
-// maxRateLimits bounds the limits kept: more than the largest pools have VMs.
+// maxRateLimits bounds the number of limits. It exceeds the number of VMs in the largest pools.
 const maxRateLimits = 8192
 
 func (c NoteRateLimit) apply(d *draft) (any, bool) {
--- a/internal/blackboard/suspect.go
+++ b/internal/blackboard/suspect.go
@@ -1,34 +1,35 @@
 package blackboard
 
-// Suspect is a request, by fingerprint, that was in flight on backend servers
-// when they crashed. Written by: entries through ReportCrash. Read by: entries,
-// which run a suspect alone and refuse it after its second crash alone.
+// Suspect is a request, identified by its fingerprint, that was in flight on backend servers
+// when they crashed. Written by: entries, through ReportCrash. Read by: entries, which run a
+// suspect alone and refuse it once Convicted reports true.
 type Suspect struct {
 	Fingerprint string `json:"fingerprint"`
-	// Crashes counts the distinct backend incarnations that died under it.
+	// Crashes counts the distinct backend server incarnations that crashed while the request was
+	// in flight.
 	Crashes int `json:"crashes"`
-	// Alone counts those that died while it ran alone.
+	// Alone counts those that crashed while no other request was in flight on them.
 	Alone        int      `json:"alone"`
 	Incarnations []string `json:"incarnations"`
 	LastMillis   int64    `json:"last_ms"`
 }
 
-// Convicted tells whether the request surely crashes backend servers: it did
-// so a second time, and that time nothing else was there to blame.
+// Convicted reports whether crashes are attributed to the request. The request must have been in
+// flight in two crashes, one of them without other requests, or in three crashes.
 func (s Suspect) Convicted() bool {
 	const maxCrashes = 3
 	return (s.Alone >= 1 && s.Crashes >= 2) || s.Crashes >= maxCrashes
 }
 
-// maxSuspects bounds the table; the oldest goes first.
+// maxSuspects bounds the table. The suspect whose last crash is the oldest is removed first.
 const maxSuspects = 2048
 
-// ReportCrash counts a crash against each request that was in flight.
+// ReportCrash counts one crash for each request that was in flight.
 type ReportCrash struct {
-	// Fingerprints of the requests that the reporting entry had in flight.
+	// Fingerprints identify the requests that the reporting entry had in flight.
 	Fingerprints []string `json:"fingerprints"`
 	Incarnation  string   `json:"incarnation"`
-	// Alone says that the one request had the backend server for itself.
+	// Alone states that a single request was in flight on the backend server.
 	Alone     bool  `json:"alone"`
 	NowMillis int64 `json:"now_ms"`
 }
@@ -80,7 +81,8 @@
 	return false
 }
 
-// ForgetSuspect clears a request that finished well alone, or is long past.
+// ForgetSuspect removes a suspect that finished successfully alone, or whose last crash was long
+// ago.
 type ForgetSuspect struct {
 	Fingerprint string `json:"fingerprint"`
 }
--- a/internal/blackboard/wait.go
+++ b/internal/blackboard/wait.go
@@ -1,15 +1,16 @@
 package blackboard
 
-// NoteWait records how long the callers of a route wait when they first ask, as an
-// entry has learned it. Written by: entries, when what they see differs from it. Read by:
-// entries that have just started, which would take later tries for new requests.
+// NoteWait records the timeout that callers of a route use for their first attempt, as an entry
+// has observed it. Written by: entries, when their observation differs from the board. Read by:
+// entries that have just started, which would otherwise mistake retries for new requests.
 type NoteWait struct {
 	Route string `json:"route"`
-	// LeastMillis is the time that nearly all callers give.
+	// LeastMillis is the timeout that nearly all callers grant at least.
 	LeastMillis int64 `json:"least_ms"`
 }
 
-// maxWaits bounds the routes kept: one more than a large configuration has.
+// maxWaits bounds the number of routes in the table. It exceeds the number of routes in a large
+// configuration.
 const maxWaits = 4096
 
 func (c NoteWait) apply(d *draft) (any, bool) {
