--- a/internal/blackboard/apply_bench_test.go
+++ b/internal/blackboard/apply_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkApply is one command of a controller on a board of the size of
-// docs/CAPACITY.md, as each replica and each entry applies it:
+// BenchmarkApply measures one controller command on a board of the size in docs/CAPACITY.md.
+// Each replica and each entry applies every command:
 //
 //	go test -run '^$' -bench BenchmarkApply -benchmem ./internal/blackboard
 func BenchmarkApply(b *testing.B) {
@@ -18,8 +18,8 @@
 	benchmarkApply(b, board, paused)
 }
 
-// BenchmarkApplyBatch is a batch of 256 commands on a board of 1,096 VMs, as a
-// lost fabric domain or a start brings them:
+// BenchmarkApplyBatch measures a batch of 256 commands on a board of 1,096 VMs, as a start or
+// the loss of a fabric domain causes:
 //
 //	go test -run '^$' -bench BenchmarkApplyBatch -benchmem ./internal/blackboard
 func BenchmarkApplyBatch(b *testing.B) {
@@ -41,7 +41,7 @@
 	benchmarkApply(b, board, encoded)
 }
 
-// BenchmarkFollow is 20 commands that an entry gets at once, on a board of 1,096 VMs:
+// BenchmarkFollow measures 20 commands that an entry receives together, on a board of 1,096 VMs:
 //
 //	go test -run '^$' -bench BenchmarkFollow -benchmem ./internal/blackboard
 func BenchmarkFollow(b *testing.B) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// servingBoard returns groups of eight VMs that all serve.
+// servingBoard returns a board with serving groups of eight VMs each.
 func servingBoard(groups int) *Board {
 	board := New()
 	for n := range groups {
--- a/internal/blackboard/command_test.go
+++ b/internal/blackboard/command_test.go
@@ -29,7 +29,7 @@
 	next, data := apply(t, b, c)
 	var v Verdict
 	assert.NilError(t, json.Unmarshal(data, &v))
-	assert.Equal(t, next.Revision > b.Revision, v.Applied, "the revision grows with each change")
+	assert.Equal(t, next.Revision > b.Revision, v.Applied, "the revision grows with each applied command")
 	return next, v
 }
 
@@ -51,7 +51,7 @@
 	return Group{ID: id, Spec: "demo", Model: "demo", FabricDomain: "d", Members: members}
 }
 
-// formed returns a board with VMs 1 to 4 and the group demo-0 of 1 and 2.
+// formed returns a board with VMs 1 to 4 and a forming group demo-0 of VMs 1 and 2.
 func formed(t testing.TB) *Board {
 	t.Helper()
 	b := New()
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestAGroupRunsThroughItsLife(t *testing.T) {
+func TestGroupPassesThroughItsStates(t *testing.T) {
 	b := move(t, formed(t), Loading, Serving, Draining)
 	for _, id := range []string{"1", "2"} {
 		var v Verdict
@@ -130,9 +130,10 @@
 	assert.Equal(t, v.Epoch, uint64(2), "a new epoch under the same name")
 }
 
-// A VM runs in two groups after it restarted: its row said free. A new
-// incarnation keeps the group that the old one held until it is freed by proof.
-func TestANewIncarnationKeepsItsGroupUntilFreed(t *testing.T) {
+// Guards against a VM that runs in two groups after a restart because its row is marked free too
+// early. A new incarnation keeps the group of the old one until FreeVM proves that the old one
+// has ended.
+func TestNewIncarnationKeepsItsGroupUntilFreed(t *testing.T) {
 	b := move(t, formed(t), Loading, Broken)
 	b, _ = verdict(t, b, PutVM{vm("1", "b")})
 	row := b.VMs["1"]
@@ -143,10 +144,10 @@
 	assert.Assert(t, b.VMs["1"].Free())
 }
 
-// A group stays broken for ever: its dead member was replaced under a new name
-// and never comes back to confirm. Removing the dead VM lets the group go, but
-// not while the group counts on it.
-func TestADeadVMIsRemovedWithItsHold(t *testing.T) {
+// Guards against a group that stays broken for ever. This happens if its dead member was
+// replaced under a new name and never returns to confirm its release. Removing the dead VM
+// permits the release, but is refused while the group still requires its members.
+func TestDeadVMIsRemovedWithItsGroupEpoch(t *testing.T) {
 	b, _ := verdict(t, move(t, formed(t), Loading), SetLiveness{VM: "1", Incarnation: "a", To: Dead})
 	b, v := verdict(t, b, RemoveVM{VM: "1", Incarnation: "a"})
 	assert.Equal(t, v.Reason, "its group is loading")
@@ -157,7 +158,7 @@
 	move(t, b, Released)
 }
 
-func TestFlapsAreForgottenAfterAnHour(t *testing.T) {
+func TestFlapCountRestartsAfterAnHour(t *testing.T) {
 	b := formed(t)
 	later := int64(0)
 	for i, to := range []Liveness{Paused, Alive, Paused, Alive, Paused, Alive} {
@@ -173,9 +174,9 @@
 	assert.Equal(t, b.VMs["1"].Flaps, 1)
 }
 
-// One operator's change is lost without a word when two race under one expected
-// revision. The log orders them; the second must get a typed conflict.
-func TestOperatorsRacingGetOneWinnerAndOneConflict(t *testing.T) {
+// Guards against a lost change when two operators send changes with the same expected revision.
+// The log orders the changes, and the second must receive a typed conflict.
+func TestConcurrentChangesGetOneWinnerAndOneConflict(t *testing.T) {
 	b, won := change(t, New(), ConfigChange{ChangeID: "1", Presets: []Preset{{Name: "day"}}})
 	assert.Equal(t, won.Revision, uint64(1))
 	assert.Assert(t, won.Failure == nil)
@@ -184,13 +185,13 @@
 	assert.Equal(t, lost.Failure.Revision, uint64(1))
 	assert.Equal(t, len(b.Config.Presets), 1)
 	_, resent := change(t, b, ConfigChange{ChangeID: "2", Expect: 1, Presets: []Preset{{Name: "night"}}})
-	assert.Equal(t, resent.Failure.Type, failure.TypeConflict, "an id keeps its first answer")
+	assert.Equal(t, resent.Failure.Type, failure.TypeConflict, "an ID keeps its first outcome")
 }
 
-// An operator sees a conflict with its own change: the answer was lost and the
-// change resent. The same id must get the first answer, also after others'
-// changes, and also after the change's neighbours have been forgotten.
-func TestAResendGetsTheFirstAnswer(t *testing.T) {
+// Guards against a conflict with the operator's own change, after the answer was lost and the
+// change was resent. The same ID must receive the first outcome, also after changes of other
+// operators.
+func TestResentChangeGetsTheFirstOutcome(t *testing.T) {
 	b, first := change(t, New(), ConfigChange{ChangeID: "mine", Presets: []Preset{{Name: "day"}}, UsePreset: "day"})
 	b, _ = change(t, b, ConfigChange{ChangeID: "theirs", Expect: 1, Presets: []Preset{{Name: "peak"}}, UsePreset: "peak"})
 	b, again := change(t, b, ConfigChange{ChangeID: "mine", Presets: []Preset{{Name: "day"}}, UsePreset: "day"})
@@ -208,7 +209,7 @@
 	assert.Equal(t, len(b.ChangeOrder), maxRememberedChanges)
 }
 
-func TestAChangeAppliesWholeOrNotAtAll(t *testing.T) {
+func TestConfigChangeAppliesCompletelyOrNotAtAll(t *testing.T) {
 	b, _ := change(t, New(), ConfigChange{ChangeID: "1", Presets: []Preset{{Name: "day"}}, UsePreset: "day"})
 	for _, c := range []ConfigChange{
 		{Groups: []GroupSpec{{Name: "g", Model: "m", Replicas: 1}}},
@@ -229,7 +230,7 @@
 	assert.Equal(t, o.Failure.Type, failure.TypeBadRequest, "no change id")
 }
 
-func TestMalformedBytesAreTyped(t *testing.T) {
+func TestMalformedDataReturnsErrMalformed(t *testing.T) {
 	for _, data := range []string{"", "{", `{"type":"none"}`, `{"type":"put_vm","body":[]}`} {
 		next, _, err := New().Apply([]byte(data))
 		assert.ErrorIs(t, err, ErrMalformed)
--- a/internal/blackboard/draft_test.go
+++ b/internal/blackboard/draft_test.go
@@ -11,10 +11,10 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// A process of an earlier version leads and tells its commands as they stand in the
-// log. An entry that was busy for half a second applies dozens of them together and
-// must come to the same board as one that applied each by itself.
-func TestCommandsAppliedTogetherLeadToTheSameBoard(t *testing.T) {
+// A leader of an earlier version sends its commands as they stand in the log. An entry that was
+// busy for half a second applies dozens of them together. It must reach the same board as a
+// process that applies each command separately.
+func TestApplyAllEqualsApplyingEachCommand(t *testing.T) {
 	assert.NilError(t, flag.Set("rapid.seed", "20261203"))
 	rapid.Check(t, func(t *rapid.T) {
 		leader, entry := New(), New()
@@ -37,17 +37,17 @@
 			}
 			kept = nil
 			if plain(t, entry) != plain(t, leader) {
-				t.Fatalf("the entry holds another board than the leader")
+				t.Fatalf("the entry's board differs from the leader's")
 			}
 		}
 	})
 }
 
-// Entries get only the rows that concern them, each once however often it changed
-// meanwhile. One that is left out, or stays though it is gone, would let an entry
-// route to a group that is broken, or serve under a configuration that nobody sent.
-// Each entry's copy must be what a snapshot of the leader's board gives.
-func TestPatchesLeadToTheCopyOfTheLeadersBoard(t *testing.T) {
+// Guards against patches that omit a changed row or keep a removed one. An entry could then
+// route to a broken group, or serve under a configuration that no operator sent. Patches contain
+// only rows that entries need, each once however often it changed. Each entry copy must equal
+// the copy from a snapshot of the leader's board.
+func TestPatchesLeadToTheLeadersEntryCopy(t *testing.T) {
 	assert.NilError(t, flag.Set("rapid.seed", "20261203"))
 	rapid.Check(t, func(t *rapid.T) {
 		leader, entry := New(), New().entryCopy()
@@ -67,13 +67,13 @@
 			entry = patched(t, leader, entry, changes)
 			changes = nil
 			if plain(t, entry) != plain(t, leader.entryCopy()) {
-				t.Fatalf("the entry holds another copy than a snapshot gives")
+				t.Fatalf("the entry copy differs from the copy in a snapshot")
 			}
 		}
 	})
 }
 
-// patched returns the entry's copy after the patch for some changes.
+// patched returns an entry copy after the patch for the given changes.
 func patched(t fataler, leader, entry *Board, changes []Change) *Board {
 	patch, err := leader.PatchFor(changes)
 	if err != nil {
@@ -86,10 +86,10 @@
 	return next
 }
 
-// fataler is a test of either kind.
+// fataler is the part of testing.TB that rapid.T also has.
 type fataler interface{ Fatal(args ...any) }
 
-// plain returns a board as text.
+// plain returns a board as uncompressed JSON.
 func plain(t *rapid.T, b *Board) string {
 	data, err := json.Marshal(b)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return string(data)
 }
 
-// drawBatch draws up to four commands as one entry of the log.
+// drawBatch draws up to four commands and encodes them as one log entry.
 func drawBatch(t *rapid.T, b *Board) []byte {
 	var commands []Command
 	for range rapid.IntRange(1, 4).Draw(t, "commands") {
@@ -115,7 +115,7 @@
 	return data
 }
 
-// breakInvariant gives a VM away that a group holds, which no real command does.
+// breakInvariant assigns a group's member to another group, which no real command does.
 type breakInvariant struct {
 	VM string `json:"vm"`
 }
@@ -127,9 +127,9 @@
 	return applied()
 }
 
-// A fault in one controller makes a command that would put a VM into two groups, and
-// it stands in one batch with the release of other VMs. The one command is left out,
-// the others take effect, and the tables that others read stay as they were.
+// Guards against a faulty controller command that would put a VM into two groups, in one batch
+// with a valid command for another VM. Only the faulty command must be left out. The valid one
+// must take effect, and the published board must stay unchanged.
 func TestCommandThatBreaksAnInvariantIsLeftOutOfItsBatch(t *testing.T) {
 	invariant.SetFatal(false)
 	defer invariant.SetFatal(true)
--- a/internal/blackboard/evacuation_test.go
+++ b/internal/blackboard/evacuation_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// twoDataCentres is a board with a group of a pool whose instances are cold after a start, and a
-// plain service, in each of two data centres.
+// twoDataCentres returns a board with two data centres. Each has a serving group of a pool with
+// a rate for cold instances, and an instance of a plain service.
 func twoDataCentres(t *testing.T) *Board {
 	t.Helper()
 	b := New()
@@ -48,8 +48,8 @@
 	return next, outcome
 }
 
-// Guards against an order that is refused, or takes effect anew, when it is sent again.
-func TestAnEvacuationOrderMayBeSentAgain(t *testing.T) {
+// Guards against a resent order that is refused or takes effect a second time.
+func TestResentEvacuationOrderChangesNothing(t *testing.T) {
 	b := twoDataCentres(t)
 	b, first := order(t, b, SetEvacuation{DataCentre: "east", NowMillis: 5})
 	assert.Assert(t, first.Changed)
@@ -71,8 +71,8 @@
 	assert.Assert(t, nameless.Failure != nil)
 }
 
-// Guards against backend servers that get their whole part on the end of an evacuation in
-// which they have become cold.
+// Guards against backend servers that become cold during an evacuation and receive their full
+// share when it ends.
 func TestBackendServersArePresumedColdWhenAnEvacuationEnds(t *testing.T) {
 	b := twoDataCentres(t)
 	b, _ = order(t, b, SetEvacuation{DataCentre: "east"})
@@ -81,7 +81,7 @@
 	assert.DeepEqual(t, b.ColdServers, map[string]ColdServer{"vm-east@1": {Service: "pool"}})
 }
 
-// Guards against an evacuation or a mark that a snapshot or a patch leaves out.
+// Guards against an evacuation or a cold mark that is missing from a snapshot or a patch.
 func TestEvacuationsAndColdServersReachCopies(t *testing.T) {
 	before := twoDataCentres(t)
 	data, err := Encode(&SetEvacuation{DataCentre: "west", NowMillis: 7})
--- a/internal/blackboard/invariants_test.go
+++ b/internal/blackboard/invariants_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawCommand draws from few names, so that commands often meet.
+// drawCommand draws from few names, so that commands often affect the same rows.
 func drawCommand(t *rapid.T, b *Board) Command {
 	id := rapid.SampledFrom([]string{"1", "2", "3", "4", "5"})
 	incarnation := rapid.SampledFrom([]string{"a", "b"})
@@ -54,7 +54,7 @@
 
 func checkInvariants(t *rapid.T, before, after *Board) {
 	if after.Config.Revision < before.Config.Revision || after.Revision < before.Revision {
-		t.Fatalf("a revision went back")
+		t.Fatalf("a revision decreased")
 	}
 	if before.Config.ActivePreset != "" {
 		if _, ok := after.Config.Presets[after.Config.ActivePreset]; !ok {
@@ -75,10 +75,10 @@
 	}
 }
 
-// A VM ends up in two groups, a revision goes back or no preset is in force
-// after commands that race. Any commands in any order keep the invariants; two
-// replicas that apply the same commands are equal, one of them restored from a
-// snapshot on the way; and a published board never changes.
+// Guards against racing commands that put a VM into two groups, decrease a revision or leave no
+// preset in force. Any commands in any order must keep the invariants. Two replicas that apply
+// the same commands must be equal, even if one of them is restored from snapshots on the way. A
+// published board must never change.
 func TestRandomCommandsKeepTheInvariants(t *testing.T) {
 	assert.NilError(t, flag.Set("rapid.seed", "20260301"))
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/blackboard/patch_test.go
+++ b/internal/blackboard/patch_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// randomConfiguration returns a whole configuration that differs from others in some of
-// its rows.
+// randomConfiguration returns a configuration with random rows, so that successive versions
+// differ in some of them.
 func randomConfiguration(r *rand.Rand, version uint64) *ReplaceConfiguration {
 	c := &ReplaceConfiguration{Version: version, Document: []byte(fmt.Sprint("document ", version))}
 	c.Limits.MaxBodyBytes = int64(r.IntN(3))
@@ -40,11 +40,10 @@
 	return c
 }
 
-// Operators replace the configuration again and again, and entries get only what
-// changed. A row that is left out, or stays though it was removed, would make an
-// entry serve under a configuration that nobody ever sent. Each entry's copy must
-// be the control processes' board but for the document.
-func TestEntriesThatGetChangesAloneHoldTheWholeConfiguration(t *testing.T) {
+// Guards against a patch that omits a changed row or keeps a removed one while operators replace
+// the configuration repeatedly. An entry would then serve under a configuration that no operator
+// sent. Each entry copy must equal the control processes' board except for the document.
+func TestPatchedEntryCopyEqualsSnapshot(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		board, entry := New(), New().entryCopy()
@@ -75,9 +74,9 @@
 	}
 }
 
-// One route of 1,480 changes. What each of the entries gets must not grow with
-// the routes that stay.
-func TestASmallChangeOfALargeConfigurationIsSmall(t *testing.T) {
+// Guards against patches whose size grows with the number of unchanged routes: one of 1,480
+// routes changes.
+func TestPatchOfALargeConfigurationIsSmall(t *testing.T) {
 	c := &ReplaceConfiguration{Version: 1, Services: []ServiceSpec{{Name: "s"}}}
 	for i := range 1480 {
 		c.Routes = append(c.Routes, Route{
@@ -98,5 +97,5 @@
 	assert.NilError(t, err)
 	assert.Assert(t, len(patch) < 600, "%d bytes", len(patch))
 	assert.Assert(t, len(second) > 10_000, "%d bytes", len(second))
-	t.Logf("whole %d bytes, patch %d bytes", len(second), len(patch))
+	t.Logf("configuration %d bytes, patch %d bytes", len(second), len(patch))
 }
--- a/internal/blackboard/rate_limit_test.go
+++ b/internal/blackboard/rate_limit_test.go
@@ -15,8 +15,8 @@
 	return next, change
 }
 
-// Guards against a revision of the board for each of the entries that hear the same limit.
-func TestARateLimitIsWrittenOnce(t *testing.T) {
+// Guards against one board revision for each entry that receives the same limit.
+func TestSameRateLimitIsWrittenOnce(t *testing.T) {
 	limit := func(perSecond float64, heardMillis int64) *NoteRateLimit {
 		return &NoteRateLimit{Incarnation: "i", Limit: &RateLimit{PerSecond: perSecond, HeardMillis: heardMillis}}
 	}
@@ -33,7 +33,7 @@
 	assert.Equal(t, len(b.RateLimits), 0)
 }
 
-// Guards against entries whose copy of the board lacks a limit, or keeps one that has ended.
+// Guards against entry copies that lack a limit or keep a removed one.
 func TestRateLimitsReachEntries(t *testing.T) {
 	b, first := applyChange(t, New(), &NoteRateLimit{Incarnation: "i", Limit: &RateLimit{PerSecond: 2}})
 	entry := patched(t, b, New().entryCopy(), []Change{first})
--- a/internal/blackboard/replace_configuration_test.go
+++ b/internal/blackboard/replace_configuration_test.go
@@ -38,7 +38,7 @@
 	return next, outcome
 }
 
-func TestAWholeConfigurationReplacesAllItStates(t *testing.T) {
+func TestReplaceConfigurationReplacesAllItsParts(t *testing.T) {
 	b, outcome := replace(t, New(), validConfiguration(7))
 	assert.Assert(t, outcome.Replaced)
 	assert.Equal(t, b.Config.Version, uint64(7))
@@ -52,10 +52,10 @@
 	assert.Equal(t, b.Config.Routes["other"].Name, "other")
 }
 
-// Two operators race: both changes are acknowledged, in either order, and on
-// every replica the higher version must be in force in the end; a resend of
-// the lower one after that must change nothing.
-func TestTheHighestVersionIsInForceInWhateverOrder(t *testing.T) {
+// Guards against a lower version in force after two operators race and both changes are
+// acknowledged. In any order and on every replica, the higher version must be in force in the
+// end. Resending the lower version after that must change nothing.
+func TestHighestVersionIsInForceInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		versions := rapid.SliceOfN(rapid.Uint64Range(1, 9), 1, 12).Draw(rt, "versions")
 		b, highest := New(), uint64(0)
@@ -74,18 +74,18 @@
 	})
 }
 
-// An operator sends a configuration that could not be carried out. It must be
-// refused whatever its version is, and change nothing.
-func TestAConfigurationThatCannotBeCarriedOutIsRefused(t *testing.T) {
+// Guards against an invalid configuration that takes effect. It must be refused whatever its
+// version is, and change nothing.
+func TestInvalidConfigurationIsRefused(t *testing.T) {
 	for name, invalidate := range map[string]func(*ReplaceConfiguration){
 		"no version":      func(c *ReplaceConfiguration) { c.Version = 0 },
 		"unknown service": func(c *ReplaceConfiguration) { c.Routes[0].Backends[0].Service = "none" },
 		"weights of 0":    func(c *ReplaceConfiguration) { c.Routes[0].Backends[0].Weight = 0 },
-		"a weight below":  func(c *ReplaceConfiguration) { c.Routes[0].Backends[0].Weight = -1 },
+		"negative weight": func(c *ReplaceConfiguration) { c.Routes[0].Backends[0].Weight = -1 },
 		"no timeout":      func(c *ReplaceConfiguration) { c.Routes[0].TimeoutMillis = 0 },
 		"unknown kind":    func(c *ReplaceConfiguration) { c.Routes[0].Kind = "twice" },
-		"prefix":          func(c *ReplaceConfiguration) { c.Routes[0].PathPrefix = "v1" },
-		"same place": func(c *ReplaceConfiguration) {
+		"invalid prefix":  func(c *ReplaceConfiguration) { c.Routes[0].PathPrefix = "v1" },
+		"same host and prefix": func(c *ReplaceConfiguration) {
 			second := c.Routes[0]
 			second.Name, second.Host = "second", "A.EXAMPLE"
 			c.Routes = append(c.Routes, second)
@@ -94,7 +94,7 @@
 		"shared key": func(c *ReplaceConfiguration) {
 			c.Workspaces = append(c.Workspaces, Workspace{Name: "x", MoreKeysSHA256: c.Workspaces[0].MoreKeysSHA256[:1]})
 		},
-		"no hash": func(c *ReplaceConfiguration) { c.Workspaces[0].MoreKeysSHA256[0] = "short" },
+		"invalid key hash": func(c *ReplaceConfiguration) { c.Workspaces[0].MoreKeysSHA256[0] = "short" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := validConfiguration(7)
@@ -106,9 +106,9 @@
 	}
 }
 
-// A board with hundreds of routes goes to each entry at a restart of all. Its
-// snapshot and the command must be a fraction of their plain JSON.
-func TestConfigurationsTravelCompressed(t *testing.T) {
+// Guards against large transfers: when all entries restart, each receives a board with hundreds
+// of routes. The snapshot and the command must be a fraction of the size of their plain JSON.
+func TestConfigurationsAreSentCompressed(t *testing.T) {
 	c := validConfiguration(7)
 	for i := range 400 {
 		r := c.Routes[0]
@@ -130,7 +130,7 @@
 	assert.DeepEqual(t, back.Config, b.Config)
 }
 
-func TestABatchAppliesWhatHoldsAndLeavesTheRest(t *testing.T) {
+func TestBatchAppliesAcceptedCommandsAndSkipsRefusedOnes(t *testing.T) {
 	batch, err := NewBatch([]Command{
 		&PutVM{VM: VM{ID: "a", Incarnation: "1", FabricDomain: "d"}},
 		&FormGroup{Group: Group{ID: "g", FabricDomain: "d", Members: []GroupMember{{VM: "missing", Incarnation: "1"}}}},
--- a/internal/blackboard/route_test.go
+++ b/internal/blackboard/route_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPathPrefixOfTheHostWins(t *testing.T) {
 	x := NewRouteIndex(map[string]Route{
 		"all":  {Name: "all", Host: "a.example", PathPrefix: "/"},
 		"deep": {Name: "deep", Host: "A.example", PathPrefix: "/v1/chat/"},
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestWeightsShareTheDraw(t *testing.T) {
+func TestServiceForFollowsWeights(t *testing.T) {
 	r := Route{Backends: []WeightedService{{"a", 90}, {"none", 0}, {"b", 10}}}
 	assert.Equal(t, r.ServiceFor(0), "a")
 	assert.Equal(t, r.ServiceFor(0.899), "a")
@@ -39,7 +39,7 @@
 	assert.Equal(t, Route{}.ServiceFor(0.5), "")
 }
 
-func TestWhatMayRunTwice(t *testing.T) {
+func TestRepeatableRoutes(t *testing.T) {
 	assert.Assert(t, Route{Kind: RouteIdempotent}.Repeatable())
 	assert.Assert(t, Route{Kind: RouteStreaming, Resumable: true}.Repeatable())
 	assert.Assert(t, !Route{Kind: RouteStreaming}.Repeatable())
