--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -13,38 +13,38 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-const scheme = "Bearer "
+const bearerPrefix = "Bearer "
 
-// FromHeader returns the bearer token of a request, or "".
+// FromHeader returns the bearer token of the Authorization header, or "" if it has none.
 func FromHeader(h http.Header) string {
 	value := h.Get("Authorization")
-	if len(value) < len(scheme) || !strings.EqualFold(value[:len(scheme)], scheme) {
+	if len(value) < len(bearerPrefix) || !strings.EqualFold(value[:len(bearerPrefix)], bearerPrefix) {
 		return ""
 	}
-	return value[len(scheme):]
+	return value[len(bearerPrefix):]
 }
 
-// Equal compares two tokens in a time that tells nothing of where they
-// differ, or of the length of either.
+// Equal compares two tokens in constant time. The duration reveals neither the position of the
+// first difference nor the length of either token.
 func Equal(a, b string) bool {
 	x, y := sha256.Sum256([]byte(a)), sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
 }
 
-// KeyHash returns the hex SHA-256 of a workspace key, as the configuration
-// holds it. Looking a key up by its hash leaks nothing of the key.
+// KeyHash returns the hex SHA-256 of a workspace key, as stored in the configuration. A lookup
+// by hash reveals nothing about the key.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Allowed tells whether a request carries the token. An empty token allows
-// any request: the settings leave it empty only where they say so.
+// Allowed reports whether a request carries the token. An empty token allows every request. Package
+// settings accepts an empty token only where the setting permits it.
 func Allowed(h http.Header, token string) bool {
 	return token == "" || Equal(FromHeader(h), token)
 }
 
-// Bearer refuses requests without the token.
+// Bearer returns middleware that refuses requests without the token.
 func Bearer(token string) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Handler refuses requests without the token before they reach h.
+// Handler returns a handler that refuses requests without the token and passes all others to h.
 func Handler(token string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !Allowed(r.Header, token) {
@@ -67,22 +67,23 @@
 	})
 }
 
-// Transport adds the token to each request that it sends.
+// Transport is an http.RoundTripper that adds the token to each request.
 type Transport struct {
 	Token string
 	Base  http.RoundTripper
 }
 
-// CloseIdleConnections closes those of Base; http.Client asks for it.
+// CloseIdleConnections closes the idle connections of Base. http.Client.CloseIdleConnections
+// calls it.
 func (t *Transport) CloseIdleConnections() {
 	if c, ok := t.Base.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
 	}
 }
 
-// RoundTrip sends the request with the token.
+// RoundTrip sends a copy of the request with the token.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c := r.Clone(r.Context())
-	c.Header.Set("Authorization", scheme+t.Token)
+	c.Header.Set("Authorization", bearerPrefix+t.Token)
 	return t.Base.RoundTrip(c)
 }
