--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,98 +1,98 @@
-// Package adminapi holds the types of the operators' API under /admin/v1/.
-// The daemon serves it on its admin address; cmd/citronstep uses nothing else.
-// Every refusal is a failure.Error as JSON.
+// Package adminapi holds the types of the operators' API under /admin/v1/. The daemon serves the
+// API on its admin address. cmd/citronstep uses no other API. Every refusal is a failure.Error
+// as JSON.
 package adminapi
 
 import "github.com/citronstep/citronstep/internal/blackboard"
 
-// The paths of the API. A control process that does not lead forwards to the
-// leader, so any control process answers.
+// The paths of the API. A control process that is not the leader forwards requests to the
+// leader, so any control process can serve them.
 const (
-	// PathStatus: GET, answers Status.
+	// PathStatus: GET returns Status.
 	PathStatus = "/admin/v1/status"
-	// PathInit: POST InitRequest, answers InitReply.
+	// PathInit: POST takes an InitRequest and returns InitReply.
 	PathInit = "/admin/v1/init"
-	// PathConfiguration: GET answers blackboard.Configuration; POST takes a
-	// blackboard.ConfigChange and answers ChangeReply.
+	// PathConfiguration: GET returns blackboard.Configuration. POST takes a
+	// blackboard.ConfigChange and returns ChangeReply.
 	PathConfiguration = "/admin/v1/configuration"
-	// PathWholeConfiguration: POST takes a blackboard.ReplaceConfiguration and
-	// answers ReplaceReply. It is safe to resend.
+	// PathWholeConfiguration: POST takes a blackboard.ReplaceConfiguration and returns
+	// ReplaceReply. It is safe to resend.
 	PathWholeConfiguration = "/admin/v1/whole-configuration"
-	// PathInForce: GET with ?revision=N, answers InForce.
+	// PathInForce: GET with ?revision=N returns InForce.
 	PathInForce = "/admin/v1/in-force"
-	// PathEvacuations: GET answers Evacuations. With a data centre as one more segment, POST
-	// orders its evacuation and DELETE ends it; both answer EvacuationReply and are safe to
-	// resend.
+	// PathEvacuations: GET returns Evacuations. With a data centre as an additional path
+	// segment, POST starts its evacuation and DELETE ends it. Both return EvacuationReply and
+	// are safe to resend.
 	PathEvacuations = "/admin/v1/evacuations"
-	// PathEvents: GET with ?after=SEQUENCE&wait_ms=N, answers Events.
+	// PathEvents: GET with ?after=SEQUENCE&wait_ms=N returns Events.
 	PathEvents = "/admin/v1/events"
 )
 
-// InitRequest founds a cluster. It is safe to resend.
+// InitRequest bootstraps a cluster. It is safe to resend.
 type InitRequest struct {
 	// Initial is the first configuration; its Expect is 0.
 	Initial blackboard.ConfigChange `json:"initial"`
 }
 
-// InitReply answers InitRequest.
+// InitReply is the answer to InitRequest.
 type InitReply struct {
 	ClusterID string `json:"cluster_id"`
 }
 
-// ChangeReply answers a configuration change.
+// ChangeReply is the answer to a blackboard.ConfigChange.
 type ChangeReply struct {
-	// Revision is the configuration revision that holds the change.
+	// Revision is the configuration revision that contains the change.
 	Revision uint64 `json:"revision"`
 }
 
-// ReplaceReply answers a whole configuration.
+// ReplaceReply is the answer to a blackboard.ReplaceConfiguration.
 type ReplaceReply struct {
-	// Version is the operators' number of the configuration that is accepted now,
-	// Revision its configuration revision.
+	// Version is the operators' version number of the configuration that is now accepted.
+	// Revision is its configuration revision.
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
-	// Replaced is false when a version at least as high was accepted before.
+	// Replaced is false if an equal or higher version had been accepted before.
 	Replaced bool `json:"replaced"`
 }
 
-// InForce says whether a configuration revision is in force everywhere: each
-// entry holds it, or its lease has run out and it admits nothing.
+// InForce states whether a configuration revision is in force everywhere: each entry either
+// holds it, or its lease has expired and the entry admits no requests.
 type InForce struct {
 	Revision uint64 `json:"revision"`
 	InForce  bool   `json:"in_force"`
-	// Pending lists the entries that hold neither.
+	// Pending lists the entries that neither hold the revision nor have an expired lease.
 	Pending []string `json:"pending,omitempty"`
 }
 
-// EvacuationReply answers an order to evacuate a data centre, or to end that.
+// EvacuationReply is the answer to an order that starts or ends an evacuation.
 type EvacuationReply struct {
-	// Revision is the board revision that holds the order.
+	// Revision is the board revision that contains the order.
 	Revision uint64 `json:"revision"`
-	// Changed is false when the order held already.
+	// Changed is false if the order was already in force.
 	Changed bool `json:"changed"`
 }
 
-// Evacuations are the data centres that are evacuated.
+// Evacuations lists the data centres that are being evacuated.
 type Evacuations struct {
 	Evacuations []Evacuation `json:"evacuations"`
 }
 
-// Evacuation is one data centre whose backend servers get nothing new.
+// Evacuation is a data centre whose backend servers receive no new requests.
 type Evacuation struct {
 	DataCentre  string `json:"data_centre"`
 	SinceMillis int64  `json:"since_ms"`
 	Revision    uint64 `json:"revision"`
-	// InForce says that each entry holds the order, or its lease has run out. Requests
-	// that it had sent before may still run.
+	// InForce states that each entry holds the order or has an expired lease. Requests that an
+	// entry sent before may still run.
 	InForce bool `json:"in_force"`
-	// Pending lists the entries that hold neither.
+	// Pending lists the entries that neither hold the order nor have an expired lease.
 	Pending []string `json:"pending,omitempty"`
-	// Groups and Services stand by in the data centre for its return.
+	// Groups and Services stay ready in the data centre for the end of the evacuation.
 	Groups   []string `json:"groups,omitempty"`
 	Services []string `json:"services,omitempty"`
 }
 
-// Status is the state of the whole system as the leader sees it.
+// Status is the state of the complete system as the leader knows it.
 type Status struct {
 	ClusterID      string                       `json:"cluster_id"`
 	Founded        bool                         `json:"founded"`
@@ -105,7 +105,8 @@
 	Groups         []blackboard.Group           `json:"groups"`
 	VMs            []blackboard.VM              `json:"vms"`
 	Services       []blackboard.ServiceInstance `json:"services"`
-	// Measures are the two of the brief.
+	// Measures are the two objectives of the system: little group downtime and few stranded
+	// accelerators.
 	Measures Measures `json:"measures"`
 }
 
@@ -119,27 +120,28 @@
 	Role string `json:"role"`
 }
 
-// EntryStatus is one entry and the configuration that it holds.
+// EntryStatus is an entry with the configuration revision that it holds.
 type EntryStatus struct {
 	blackboard.Entry
 	ConfigRevision uint64 `json:"config_revision"`
-	// LeaseMillis is what is left of its configuration lease; 0 is none.
+	// LeaseMillis is the remaining time of the entry's configuration lease; 0 means no lease.
 	LeaseMillis int64 `json:"lease_ms"`
 }
 
-// Measures are group downtime and stranded accelerators since the leader took
-// office, and their present values.
+// Measures are group downtime and stranded accelerators: their totals since the leader's term
+// began, and their present values.
 type Measures struct {
-	// GroupsDown counts wanted replicas that do not serve now.
+	// GroupsDown counts the desired replicas that are not serving now.
 	GroupsDown int `json:"groups_down"`
-	// GroupDowntimeSeconds adds up the time of each wanted replica not serving.
+	// GroupDowntimeSeconds is the sum, over all desired replicas, of the time in which each was
+	// not serving.
 	GroupDowntimeSeconds float64 `json:"group_downtime_seconds"`
-	// StrandedAccelerators counts accelerators of live VMs in no working group.
+	// StrandedAccelerators counts the accelerators of live VMs that are in no working group.
 	StrandedAccelerators       int     `json:"stranded_accelerators"`
 	StrandedAcceleratorSeconds float64 `json:"stranded_accelerator_seconds"`
 }
 
-// Event is one thing that happened, for operators.
+// Event is an event of interest to operators.
 type Event struct {
 	Sequence uint64 `json:"sequence"`
 	AtMillis int64  `json:"at_ms"`
@@ -149,8 +151,8 @@
 	Text    string `json:"text"`
 }
 
-// Events answers PathEvents. Sequence numbers restart with a new leader, which
-// Leader names.
+// Events is the answer to PathEvents. Sequence numbers restart when the leader changes. Leader
+// names the current leader.
 type Events struct {
 	Leader string  `json:"leader"`
 	Events []Event `json:"events"`
