--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,8 +1,7 @@
 // Package failure holds the typed errors that cross a process boundary.
 //
-// Every refusal that a caller, an operator or another process of the system
-// sees carries a Type, which programs compare, and a Ran, which says whether
-// the request may have run.
+// Every refusal that a caller, an operator or another process of the system receives carries a
+// Type for programs to compare. Its Ran field states whether the request may have run.
 package failure
 
 import (
@@ -11,10 +10,10 @@
 	"github.com/juju/errors"
 )
 
-// Type names a failure. Its value is part of the caller and admin APIs.
+// Type identifies a kind of failure. Its values are part of the caller and admin APIs.
 type Type string
 
-// The types that callers and operators see.
+// The failure types that callers and operators receive.
 const (
 	TypeBadRequest         Type = "bad_request"
 	TypeUnauthenticated    Type = "unauthenticated"
@@ -42,29 +41,30 @@
 	TypeInternal           Type = "internal"
 )
 
-// Ran says whether a refused request ran on a backend server.
+// Ran states whether a refused request ran on a backend server.
 type Ran string
 
-// RanNo is said only where nothing was sent to a backend server, or the
-// backend server itself said that it did not start the request.
+// RanNo is used only if nothing was sent to a backend server, or if the backend server stated
+// that it did not start the request.
 const (
 	RanNo      Ran = "no"
 	RanUnknown Ran = "unknown"
 	RanYes     Ran = "yes"
 )
 
-// Error is a typed failure. Its JSON form is the body of every refusal.
+// Error is a typed failure. Its JSON form is part of the body of every refusal, see Body.
 type Error struct {
 	Type    Type   `json:"type"`
 	Message string `json:"message"`
 	Ran     Ran    `json:"ran,omitempty"`
-	// RequestID is the id under which the system logged the request.
+	// RequestID is the ID of the request in the system's logs.
 	RequestID string `json:"request_id,omitempty"`
 	// Detail names the setting, key or revision at fault.
 	Detail string `json:"detail,omitempty"`
-	// Revision is the current revision, given with a conflict.
+	// Revision is the current revision; it is set for TypeConflict.
 	Revision uint64 `json:"revision,omitempty"`
-	// RetryAfter is when the caller should come back; zero means never.
+	// RetryAfter is the delay after which the caller should retry; zero means that no retry is
+	// advised.
 	RetryAfter time.Duration `json:"-"`
 }
 
@@ -73,35 +73,34 @@
 	return string(e.Type) + ": " + e.Message
 }
 
-// New returns a failure of type t. A failure that refuses a request also
-// needs WithRan.
+// New returns a failure of type t. A failure that refuses a request also needs WithRan.
 func New(t Type, message string) *Error {
 	return &Error{Type: t, Message: message}
 }
 
-// WithRan returns a copy of e that says whether the request ran.
+// WithRan returns a copy of e that states whether the request ran.
 func (e *Error) WithRan(r Ran) *Error {
 	c := *e
 	c.Ran = r
 	return &c
 }
 
-// WithRetryAfter returns a copy of e that tells the caller when to come back.
+// WithRetryAfter returns a copy of e with the delay after which the caller should retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// WithDetail returns a copy of e that names what is at fault.
+// WithDetail returns a copy of e that names the setting, key or revision at fault.
 func (e *Error) WithDetail(detail string) *Error {
 	c := *e
 	c.Detail = detail
 	return &c
 }
 
-// From returns the typed failure in err's chain, or one of TypeInternal that
-// carries err's text.
+// From returns the first typed failure in err's chain. If there is none, it returns a failure of
+// TypeInternal with err's text.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -110,7 +109,7 @@
 	return New(TypeInternal, err.Error())
 }
 
-// Is tells whether err's chain holds a failure of type t.
+// Is reports whether the first typed failure in err's chain has type t.
 func Is(err error, t Type) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Type == t
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFromFindsTheTypeThroughAnnotations(t *testing.T) {
+func TestFromFindsTheTypeInAnAnnotatedError(t *testing.T) {
 	base := New(TypeConflict, "revision 4 expected").WithRan(RanNo)
 	err := errors.Annotate(errors.Trace(base), "applying")
 	assert.Equal(t, From(err).Type, TypeConflict)
--- a/internal/failure/http.go
+++ b/internal/failure/http.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// statuses maps each type to the HTTP status that carries it.
+// statuses maps each type to its HTTP status.
 var statuses = map[Type]int{
 	TypeBadRequest:         http.StatusBadRequest,
 	TypeUnauthenticated:    http.StatusUnauthorized,
@@ -35,7 +35,7 @@
 	TypeInternal:           http.StatusInternalServerError,
 }
 
-// HTTPStatus returns the status that carries the failure.
+// HTTPStatus returns the HTTP status of the failure. An unknown type has the status 500.
 func (e *Error) HTTPStatus() int {
 	if s, ok := statuses[e.Type]; ok {
 		return s
@@ -43,24 +43,24 @@
 	return http.StatusInternalServerError
 }
 
-// Body is the JSON form of a refusal.
+// Body is the JSON body of a refusal.
 type Body struct {
 	Error *Error `json:"error"`
 }
 
-// Write answers a request with the failure: JSON, and Retry-After in whole
-// seconds, rounded up, where the failure says when to come back.
+// Write answers a request with the failure as JSON. If RetryAfter is set, Write adds a
+// Retry-After header in whole seconds, rounded up.
 func Write(w http.ResponseWriter, err error) {
 	e := From(err)
 	w.Header().Set("Content-Type", "application/json")
 	if e.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(ceilSeconds(e.RetryAfter)))
+		w.Header().Set("Retry-After", strconv.Itoa(roundUpSeconds(e.RetryAfter)))
 	}
 	w.WriteHeader(e.HTTPStatus())
-	// The caller may be gone; there is no one else to tell.
+	// The caller may have disconnected, so nobody can receive this error.
 	_ = json.NewEncoder(w).Encode(Body{Error: e})
 }
 
-func ceilSeconds(d time.Duration) int {
+func roundUpSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
