--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,8 +1,8 @@
-// Package invariant asserts, inside the program, what must always hold.
+// Package invariant checks invariants at run time.
 //
-// In tests a broken invariant ends the process, so that no later step hides
-// it. In production it is logged and counted, and the caller refuses the step
-// that would have broken it.
+// In tests a violation ends the process, so that no later step hides it. In production a
+// violation is logged and counted, and the caller of Check refuses the step that would have
+// broken the invariant.
 package invariant
 
 import (
@@ -11,49 +11,49 @@
 	"sync/atomic"
 )
 
-// Violation is the value of the panic that ends a process under test.
+// Violation is the panic value that ends a process under test.
 type Violation struct {
 	Name   string
 	Detail string
 }
 
-// Error returns the invariant's name and what broke it.
+// Error returns the name of the invariant and the detail of the violation.
 func (v Violation) Error() string {
 	return "invariant " + v.Name + " broken: " + v.Detail
 }
 
-// FatalVariable is the environment variable that makes a broken invariant
-// end the process. Tests set it.
+// FatalVariable names the environment variable that makes violations fatal if it is not empty.
+// Tests set it.
 const FatalVariable = "CITRONSTEP_INVARIANTS_FATAL"
 
 var (
-	fatal    atomic.Bool
-	broken   atomic.Uint64
-	reporter atomic.Pointer[func(Violation)]
+	fatal      atomic.Bool
+	violations atomic.Uint64
+	reporter   atomic.Pointer[func(Violation)]
 )
 
 func init() {
 	fatal.Store(os.Getenv(FatalVariable) != "")
 }
 
-// SetFatal makes a broken invariant end the process, as tests want it.
+// SetFatal sets whether a violation ends the process. Tests turn it on.
 func SetFatal(on bool) { fatal.Store(on) }
 
 // SetReporter sets the function that logs and counts each violation.
 func SetReporter(f func(Violation)) { reporter.Store(&f) }
 
-// Broken returns how many violations this process has seen.
-func Broken() uint64 { return broken.Load() }
+// Broken returns the number of violations in this process.
+func Broken() uint64 { return violations.Load() }
 
-// Check returns ok. When ok is false it reports the violation, and ends the
-// process if SetFatal or FatalVariable asks for that. The caller must refuse
-// the step when Check returns false.
+// Check returns ok. If ok is false, Check reports the violation, and panics if SetFatal or
+// FatalVariable makes violations fatal. The caller must refuse the step when Check returns
+// false.
 func Check(ok bool, name, format string, args ...any) bool {
 	if ok {
 		return true
 	}
 	v := Violation{Name: name, Detail: fmt.Sprintf(format, args...)}
-	broken.Add(1)
+	violations.Add(1)
 	if f := reporter.Load(); f != nil {
 		(*f)(v)
 	}
