--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -105,7 +105,7 @@
 	Groups         []blackboard.Group           `json:"groups"`
 	VMs            []blackboard.VM              `json:"vms"`
 	Services       []blackboard.ServiceInstance `json:"services"`
-	// Measures are the two objectives of the system: little group downtime and few stranded
+	// Measures are the two quantities that the system minimises: group downtime and stranded
 	// accelerators.
 	Measures Measures `json:"measures"`
 }
--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -152,7 +152,7 @@
 
 // ApplyAll returns the board after a sequence of commands, each of which changed the board when
 // the leader applied it. The result equals that of calling Apply for each command, but ApplyAll
-// copies each table at most once.
+// copies the VM and group tables at most once.
 //
 // An entry receives the changes of several tenths of a second together. Copying the tables for
 // each command would dominate the cost (BenchmarkFollow).
--- a/internal/blackboard/config.go
+++ b/internal/blackboard/config.go
@@ -164,13 +164,13 @@
 	if old, ok := d.Changes[c.ChangeID]; ok {
 		return old, false
 	}
-	outcome := c.decide(&d.Board)
+	outcome := c.applyToConfig(&d.Board)
 	d.recordOutcome(c.ChangeID, outcome)
 	return outcome, true
 }
 
-// decide applies the change to the board's configuration, or returns why it cannot.
-func (c ConfigChange) decide(b *Board) ChangeOutcome {
+// applyToConfig applies the change to the board's configuration, or returns why it cannot.
+func (c ConfigChange) applyToConfig(b *Board) ChangeOutcome {
 	current := b.Config.Revision
 	if c.Expect != current {
 		e := failure.New(failure.TypeConflict, "the configuration has changed since the expected revision")
@@ -187,6 +187,7 @@
 	return ChangeOutcome{Revision: next.Revision}
 }
 
+// edit writes the additions and removals to a configuration without validating it.
 func (c ConfigChange) edit(to *Configuration) {
 	for _, w := range c.Workspaces {
 		to.Workspaces[w.Name] = w
--- a/internal/blackboard/draft.go
+++ b/internal/blackboard/draft.go
@@ -7,7 +7,7 @@
 )
 
 // draft is the next revision of a board while commands are applied to it. All commands of a
-// batch share one draft, which copies each table at most once.
+// batch share one draft, which copies the VM and group tables at most once.
 //
 // When a pool of 1,095 VMs starts or loses a fabric domain, one batch holds hundreds of
 // commands, and each replica and each entry applies it. Copying all VMs for each command would
--- a/internal/blackboard/draft_test.go
+++ b/internal/blackboard/draft_test.go
@@ -11,7 +11,7 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// A leader of an earlier version sends its commands as they stand in the log. An entry that was
+// A leader of an earlier version sends its commands as encoded in the log. An entry that was
 // busy for half a second applies dozens of them together. It must reach the same board as a
 // process that applies each command separately.
 func TestApplyAllEqualsApplyingEachCommand(t *testing.T) {
--- a/internal/blackboard/group.go
+++ b/internal/blackboard/group.go
@@ -91,8 +91,8 @@
 	NowMillis int64 `json:"now_ms"`
 }
 
-// apply checks all members before it writes any row. If two groups compete for a VM, only the
-// first can form while the VM belongs to that group.
+// apply checks and writes all member rows in one step. If two groups race for a VM, the second
+// is refused until the VM is free again.
 func (c FormGroup) apply(d *draft) (any, bool) {
 	g := c.Group
 	if old, ok := d.Groups[g.ID]; ok && old.State != Released {
--- a/internal/blackboard/patch.go
+++ b/internal/blackboard/patch.go
@@ -163,8 +163,8 @@
 	return table
 }
 
-// PatchFor returns the encoded Patch that brings an entry copy without the given changes to the
-// board's revision.
+// PatchFor returns the encoded Patch that brings an entry copy that lacks the given changes to
+// the board's revision.
 func (b *Board) PatchFor(changes []Change) ([]byte, error) {
 	p := &Patch{Revision: b.Revision, ClusterID: b.ClusterID, CallersMillis: b.CallersMillis}
 	p.Groups = b.groupRows(unionNames(changes, func(c Change) []string { return c.groups }))
