--- a/internal/blackboard/draft.go
+++ b/internal/blackboard/draft.go
@@ -6,49 +6,50 @@
 	"github.com/citronstep/citronstep/internal/invariant"
 )
 
-// draft is the next board while commands are applied to it. The commands of one
-// batch share one draft, and so one copy of each table.
+// draft is the next revision of a board while commands are applied to it. All commands of a
+// batch share one draft, which copies the VM and group tables at most once.
 //
-// Load: a pool of 1,095 VMs starts, or loses a fabric domain; one batch holds
-// hundreds of commands, and each replica and each entry applies it. With a copy of
-// all VMs for each command, the copies are most of the cost (BenchmarkApplyBatch).
+// When a pool of 1,095 VMs starts or loses a fabric domain, one batch holds hundreds of
+// commands, and each replica and each entry applies it. Copying all VMs for each command would
+// dominate the cost (BenchmarkApplyBatch).
 type draft struct {
 	Board
-	// ownVMs and ownGroups say that the table is a copy of this draft's own.
+	// ownVMs and ownGroups report whether the draft has its own copy of the table.
 	ownVMs, ownGroups bool
-	// touched names the groups whose rows, or whose members' rows, have changed.
-	touched map[string]bool
-	// vms and groups name the rows that were written.
-	vms, groups map[string]bool
+	// affectedGroups names the groups whose rows, or whose members' VM rows, have changed.
+	affectedGroups map[string]bool
+	// writtenVMs and writtenGroups name the rows that have been written or removed.
+	writtenVMs, writtenGroups map[string]bool
 }
 
-// draft returns a draft that begins as a copy of the board.
+// draft returns a draft that starts as a copy of the board.
 func (b *Board) draft() *draft {
-	return &draft{Board: *b, touched: make(map[string]bool), vms: make(map[string]bool), groups: make(map[string]bool)}
+	return &draft{Board: *b, affectedGroups: make(map[string]bool), writtenVMs: make(map[string]bool), writtenGroups: make(map[string]bool)}
 }
 
-// become takes over what a draft of this one has become.
-func (d *draft) become(next *draft) {
-	maps.Copy(next.touched, d.touched)
-	maps.Copy(next.vms, d.vms)
-	maps.Copy(next.groups, d.groups)
+// replaceWith replaces d with next, a draft that was derived from d. It keeps the records of
+// changed rows of both.
+func (d *draft) replaceWith(next *draft) {
+	maps.Copy(next.affectedGroups, d.affectedGroups)
+	maps.Copy(next.writtenVMs, d.writtenVMs)
+	maps.Copy(next.writtenGroups, d.writtenGroups)
 	*d = *next
 }
 
 // putVM writes the row of a VM.
 func (d *draft) putVM(v VM) {
-	d.takeVMs()
-	d.touched[d.VMs[v.ID].Group] = true
-	d.touched[v.Group] = true
-	d.vms[v.ID] = true
+	d.cloneVMsOnce()
+	d.affectedGroups[d.VMs[v.ID].Group] = true
+	d.affectedGroups[v.Group] = true
+	d.writtenVMs[v.ID] = true
 	d.VMs[v.ID] = v
 }
 
-// removeVM drops the row of a VM.
+// removeVM deletes the row of a VM.
 func (d *draft) removeVM(id string) {
-	d.takeVMs()
-	d.touched[d.VMs[id].Group] = true
-	d.vms[id] = true
+	d.cloneVMsOnce()
+	d.affectedGroups[d.VMs[id].Group] = true
+	d.writtenVMs[id] = true
 	delete(d.VMs, id)
 }
 
@@ -58,45 +59,46 @@
 		d.Groups = cloneMap(d.Groups)
 		d.ownGroups = true
 	}
-	d.touched[g.ID] = true
-	d.groups[g.ID] = true
+	d.affectedGroups[g.ID] = true
+	d.writtenGroups[g.ID] = true
 	d.Groups[g.ID] = g
 }
 
-func (d *draft) takeVMs() {
+// cloneVMsOnce copies the VM table before the draft's first write to it.
+func (d *draft) cloneVMsOnce() {
 	if !d.ownVMs {
 		d.VMs = cloneMap(d.VMs)
 		d.ownVMs = true
 	}
 }
 
-// consistent asserts the invariant of members for the groups that the draft has
-// touched. The others keep theirs: a member's row names its group, so a change of
-// the row touches the group.
-func (d *draft) consistent() bool {
-	for id := range d.touched {
-		if g, ok := d.Groups[id]; ok && !d.holdsMembersOf(g) {
+// checkMembership checks the membership invariant for the affected groups only. Other groups
+// cannot have broken it: a member's row names its group, so a change of that row marks the group
+// as affected.
+func (d *draft) checkMembership() bool {
+	for id := range d.affectedGroups {
+		if g, ok := d.Groups[id]; ok && !d.membersHoldEpoch(g) {
 			return false
 		}
 	}
 	return true
 }
 
-// consistent asserts the invariant of members for all groups.
-func (b *Board) consistent() bool {
+// checkMembership checks the membership invariant for all groups.
+func (b *Board) checkMembership() bool {
 	for _, g := range b.Groups {
-		if !b.holdsMembersOf(g) {
+		if !b.membersHoldEpoch(g) {
 			return false
 		}
 	}
 	return true
 }
 
-// holdsMembersOf asserts that each member of a group that is not released or
-// broken up holds that group and epoch, so no VM is in two groups and no
-// group serves with a member missing from its row.
-func (b *Board) holdsMembersOf(g Group) bool {
-	if !g.State.holdsMembers() {
+// membersHoldEpoch checks that the row of each member of a forming, loading or serving group
+// names that group and epoch. Therefore no VM is in two groups, and no group serves with a
+// member whose row does not name it.
+func (b *Board) membersHoldEpoch(g Group) bool {
+	if !g.State.requiresMembers() {
 		return true
 	}
 	for _, m := range g.Members {
--- a/internal/blackboard/patch.go
+++ b/internal/blackboard/patch.go
@@ -9,62 +9,63 @@
 	"github.com/juju/errors"
 )
 
-// Change names the rows of an entry's copy that one command changed.
+// Change names the rows of entry copies that one command changed.
 type Change struct {
-	groups, leaving, services, entries, suspects, quarantines, waits []string
-	rateLimits, evacuations, cold, routes, configured, workspaces    []string
-	// version says that the operators' whole configuration changed, parts that anything
-	// else of the configuration did, and callers that callers have come.
-	version, parts, callers bool
+	groups, leavingVMs, services, entries, suspects, quarantines, waits    []string
+	rateLimits, evacuations, coldServers, routes, serviceSpecs, workspaces []string
+	// versionChanged is set if ReplaceConfiguration changed the configuration,
+	// otherConfigChanged if another command did. callersChanged is set if the first request of
+	// any caller was recorded.
+	versionChanged, otherConfigChanged, callersChanged bool
 }
 
-// Concerns tells whether an entry's copy differs by the change in anything but its
-// revision.
+// Concerns reports whether the change affects an entry copy beyond its revision.
 func (c Change) Concerns() bool {
-	rows := len(c.groups) + len(c.leaving) + len(c.services) + len(c.entries) + len(c.suspects) + len(c.quarantines) + len(c.waits) +
-		len(c.rateLimits) + len(c.evacuations) + len(c.cold)
-	return rows > 0 || c.version || c.parts || c.callers
+	rows := len(c.groups) + len(c.leavingVMs) + len(c.services) + len(c.entries) + len(c.suspects) + len(c.quarantines) + len(c.waits) +
+		len(c.rateLimits) + len(c.evacuations) + len(c.coldServers)
+	return rows > 0 || c.versionChanged || c.otherConfigChanged || c.callersChanged
 }
 
-// changeOf returns what a draft changed of the board that it began as.
-func changeOf(before *Board, d *draft) Change {
+// changeBetween returns the difference between a draft and the board that the draft started
+// from.
+func changeBetween(before *Board, d *draft) Change {
 	c := Change{
-		services:    changedRows(before.Services, d.Services),
-		entries:     changedRows(before.Entries, d.Entries),
-		suspects:    changedRows(before.Suspects, d.Suspects),
-		quarantines: changedRows(before.Quarantines, d.Quarantines),
-		waits:       changedRows(before.Waits, d.Waits),
-		rateLimits:  changedRows(before.RateLimits, d.RateLimits),
-		evacuations: changedRows(before.Evacuations, d.Evacuations),
-		cold:        changedRows(before.ColdServers, d.ColdServers),
-		callers:     before.CallersMillis != d.CallersMillis,
+		services:       changedRows(before.Services, d.Services),
+		entries:        changedRows(before.Entries, d.Entries),
+		suspects:       changedRows(before.Suspects, d.Suspects),
+		quarantines:    changedRows(before.Quarantines, d.Quarantines),
+		waits:          changedRows(before.Waits, d.Waits),
+		rateLimits:     changedRows(before.RateLimits, d.RateLimits),
+		evacuations:    changedRows(before.Evacuations, d.Evacuations),
+		coldServers:    changedRows(before.ColdServers, d.ColdServers),
+		callersChanged: before.CallersMillis != d.CallersMillis,
 	}
-	for id := range d.groups {
-		_, had := copied(before.Groups[id])
-		if _, has := copied(d.Groups[id]); had || has {
+	for id := range d.writtenGroups {
+		_, had := groupForEntries(before.Groups[id])
+		if _, has := groupForEntries(d.Groups[id]); had || has {
 			c.groups = append(c.groups, id)
 		}
 	}
-	for id := range d.vms {
+	for id := range d.writtenVMs {
 		if before.VMs[id].Leaving != d.VMs[id].Leaving {
-			c.leaving = append(c.leaving, id)
+			c.leavingVMs = append(c.leavingVMs, id)
 		}
 	}
 	from, to := &before.Config, &d.Config
 	switch {
 	case from.Revision == to.Revision:
 	case from.Version != to.Version:
-		c.version = true
+		c.versionChanged = true
 		c.routes = changedRows(from.Routes, to.Routes)
-		c.configured = changedRows(from.Services, to.Services)
+		c.serviceSpecs = changedRows(from.Services, to.Services)
 		c.workspaces = changedRows(from.Workspaces, to.Workspaces)
 	default:
-		c.parts = true
+		c.otherConfigChanged = true
 	}
 	return c
 }
 
-// changedRows returns the names of the rows that are new, differ or are gone.
+// changedRows returns the names of rows that were added, modified or removed.
 func changedRows[V any](from, to map[string]V) []string {
 	if reflect.ValueOf(from).Pointer() == reflect.ValueOf(to).Pointer() {
 		return nil
@@ -84,15 +85,14 @@
 	return names
 }
 
-// Patch takes an entry's copy of the board to a later revision. It stands in no log:
-// the leader makes it of the rows that have changed since the entry's revision, as
-// they are now, so that a row that changed many times is sent once.
+// Patch brings an entry copy to a later revision. It is never written to the log: the leader
+// builds it from the current values of the rows that have changed since the entry's revision. A
+// row that changed several times is therefore sent once.
 //
-// Load: operators change one route of a thousand, several times a second. Sent
-// whole, the copies for all entries fill the leader's link, and heartbeats of the
-// consensus wait behind them.
+// Operators change one route of a thousand, several times a second. With complete copies, the
+// traffic to all entries would fill the leader's link and delay the consensus heartbeats.
 type Patch struct {
-	// Revision is that of the board that it leads to.
+	// Revision is the board revision after the patch.
 	Revision  uint64 `json:"revision"`
 	ClusterID string `json:"cluster_id"`
 
@@ -106,18 +106,18 @@
 	RateLimits  Rows[RateLimit]       `json:"rate_limits,omitzero"`
 	Evacuations Rows[Evacuation]      `json:"evacuations,omitzero"`
 	ColdServers Rows[ColdServer]      `json:"cold_servers,omitzero"`
-	// CallersMillis is the board's own.
+	// CallersMillis is the value of Board.CallersMillis.
 	CallersMillis int64 `json:"callers_ms,omitempty"`
 
-	// Version is set where the operators' whole configuration has changed, and
-	// Config in its place where other parts of it have.
+	// Version is set if ReplaceConfiguration changed the configuration. Config is set instead if
+	// other commands changed it.
 	Version *VersionPatch  `json:"version,omitempty"`
 	Config  *Configuration `json:"config,omitempty"`
 }
 
-// VersionPatch is what whole configurations have changed of an earlier one.
+// VersionPatch is the difference between two versions of the configuration.
 type VersionPatch struct {
-	// Revision is that of the configuration, Version the operators' number of it.
+	// Revision is the configuration revision, Version the operators' version number.
 	Revision   uint64            `json:"revision"`
 	Version    uint64            `json:"version"`
 	Limits     CallerLimits      `json:"limits"`
@@ -126,14 +126,14 @@
 	Workspaces Rows[Workspace]   `json:"workspaces,omitzero"`
 }
 
-// Rows are rows of one table that are put, and names of rows that are removed.
+// Rows holds the rows of a table to write, and the names of rows to remove.
 type Rows[V any] struct {
 	Put    map[string]V `json:"put,omitempty"`
 	Remove []string     `json:"remove,omitempty"`
 }
 
-// rowsOf returns the named rows of a table.
-func rowsOf[V any](table map[string]V, names map[string]bool) Rows[V] {
+// selectRows returns the named rows of a table. Names without a row become removals.
+func selectRows[V any](table map[string]V, names map[string]bool) Rows[V] {
 	var rows Rows[V]
 	for name := range names {
 		row, known := table[name]
@@ -150,8 +150,8 @@
 	return rows
 }
 
-// in returns the table with the rows taken in.
-func (r Rows[V]) in(table map[string]V) map[string]V {
+// applyTo returns the table after the writes and removals. It does not modify its argument.
+func (r Rows[V]) applyTo(table map[string]V) map[string]V {
 	if len(r.Put) == 0 && len(r.Remove) == 0 {
 		return table
 	}
@@ -163,26 +163,26 @@
 	return table
 }
 
-// PatchFor returns the command that takes an entry's copy, which lacks the changes, to
+// PatchFor returns the encoded Patch that brings an entry copy that lacks the given changes to
 // the board's revision.
 func (b *Board) PatchFor(changes []Change) ([]byte, error) {
 	p := &Patch{Revision: b.Revision, ClusterID: b.ClusterID, CallersMillis: b.CallersMillis}
-	p.Groups = b.copiedGroups(named(changes, func(c Change) []string { return c.groups }))
-	p.Leaving = b.leavingRows(named(changes, func(c Change) []string { return c.leaving }))
-	p.Services = rowsOf(b.Services, named(changes, func(c Change) []string { return c.services }))
-	p.Entries = rowsOf(b.Entries, named(changes, func(c Change) []string { return c.entries }))
-	p.Suspects = rowsOf(b.Suspects, named(changes, func(c Change) []string { return c.suspects }))
-	p.Quarantines = rowsOf(b.Quarantines, named(changes, func(c Change) []string { return c.quarantines }))
-	p.Waits = rowsOf(b.Waits, named(changes, func(c Change) []string { return c.waits }))
-	p.RateLimits = rowsOf(b.RateLimits, named(changes, func(c Change) []string { return c.rateLimits }))
-	p.Evacuations = rowsOf(b.Evacuations, named(changes, func(c Change) []string { return c.evacuations }))
-	p.ColdServers = rowsOf(b.ColdServers, named(changes, func(c Change) []string { return c.cold }))
+	p.Groups = b.groupRows(unionNames(changes, func(c Change) []string { return c.groups }))
+	p.Leaving = b.leavingVMRows(unionNames(changes, func(c Change) []string { return c.leavingVMs }))
+	p.Services = selectRows(b.Services, unionNames(changes, func(c Change) []string { return c.services }))
+	p.Entries = selectRows(b.Entries, unionNames(changes, func(c Change) []string { return c.entries }))
+	p.Suspects = selectRows(b.Suspects, unionNames(changes, func(c Change) []string { return c.suspects }))
+	p.Quarantines = selectRows(b.Quarantines, unionNames(changes, func(c Change) []string { return c.quarantines }))
+	p.Waits = selectRows(b.Waits, unionNames(changes, func(c Change) []string { return c.waits }))
+	p.RateLimits = selectRows(b.RateLimits, unionNames(changes, func(c Change) []string { return c.rateLimits }))
+	p.Evacuations = selectRows(b.Evacuations, unionNames(changes, func(c Change) []string { return c.evacuations }))
+	p.ColdServers = selectRows(b.ColdServers, unionNames(changes, func(c Change) []string { return c.coldServers }))
 	switch {
-	case slices.ContainsFunc(changes, func(c Change) bool { return c.parts }):
+	case slices.ContainsFunc(changes, func(c Change) bool { return c.otherConfigChanged }):
 		config := b.Config
 		config.Document = nil
 		p.Config = &config
-	case slices.ContainsFunc(changes, func(c Change) bool { return c.version }):
+	case slices.ContainsFunc(changes, func(c Change) bool { return c.versionChanged }):
 		p.Version = b.versionPatch(changes)
 	}
 	data, err := Encode(p)
@@ -192,7 +192,8 @@
 	return data, nil
 }
 
-func named(changes []Change, table func(Change) []string) map[string]bool {
+// unionNames returns the row names of one table in all changes.
+func unionNames(changes []Change, table func(Change) []string) map[string]bool {
 	names := make(map[string]bool)
 	for _, c := range changes {
 		for _, name := range table(c) {
@@ -202,97 +203,100 @@
 	return names
 }
 
-func (b *Board) copiedGroups(names map[string]bool) Rows[Group] {
+// groupRows returns the named groups as entry copies contain them.
+func (b *Board) groupRows(names map[string]bool) Rows[Group] {
 	table := make(map[string]Group, len(names))
 	for id := range names {
-		if row, ok := copied(b.Groups[id]); ok {
+		if row, ok := groupForEntries(b.Groups[id]); ok {
 			table[id] = row
 		}
 	}
-	return rowsOf(table, names)
+	return selectRows(table, names)
 }
 
-func (b *Board) leavingRows(names map[string]bool) Rows[VM] {
+// leavingVMRows returns the named VMs as entry copies contain them.
+func (b *Board) leavingVMRows(names map[string]bool) Rows[VM] {
 	table := make(map[string]VM, len(names))
 	for id := range names {
 		if b.VMs[id].Leaving {
-			table[id] = leavingRow(id)
+			table[id] = leavingVMRow(id)
 		}
 	}
-	return rowsOf(table, names)
+	return selectRows(table, names)
 }
 
+// versionPatch returns the changed rows of the configuration with their current values.
 func (b *Board) versionPatch(changes []Change) *VersionPatch {
 	c := &b.Config
 	return &VersionPatch{
 		Revision: c.Revision, Version: c.Version, Limits: c.Limits,
-		Routes:     rowsOf(c.Routes, named(changes, func(c Change) []string { return c.routes })),
-		Services:   rowsOf(c.Services, named(changes, func(c Change) []string { return c.configured })),
-		Workspaces: rowsOf(c.Workspaces, named(changes, func(c Change) []string { return c.workspaces })),
+		Routes:     selectRows(c.Routes, unionNames(changes, func(c Change) []string { return c.routes })),
+		Services:   selectRows(c.Services, unionNames(changes, func(c Change) []string { return c.serviceSpecs })),
+		Workspaces: selectRows(c.Workspaces, unionNames(changes, func(c Change) []string { return c.workspaces })),
 	}
 }
 
-// apply takes the changes in. The document as the operator sent it is not among
-// them; only control processes keep it. The revision is left one short, as each
-// command adds one.
+// apply writes the rows of the patch. A patch omits Configuration.Document, which only control
+// processes keep. apply sets the revision to one less than the target, because the caller
+// increments it after each command.
 func (p Patch) apply(d *draft) (any, bool) {
 	d.ClusterID, d.Revision = p.ClusterID, p.Revision-1
-	d.Groups, d.VMs = p.Groups.in(d.Groups), p.Leaving.in(d.VMs)
-	d.Services, d.Entries = p.Services.in(d.Services), p.Entries.in(d.Entries)
-	d.Suspects, d.Quarantines = p.Suspects.in(d.Suspects), p.Quarantines.in(d.Quarantines)
-	d.Waits, d.RateLimits = p.Waits.in(d.Waits), p.RateLimits.in(d.RateLimits)
-	d.Evacuations, d.ColdServers = p.Evacuations.in(d.Evacuations), p.ColdServers.in(d.ColdServers)
+	d.Groups, d.VMs = p.Groups.applyTo(d.Groups), p.Leaving.applyTo(d.VMs)
+	d.Services, d.Entries = p.Services.applyTo(d.Services), p.Entries.applyTo(d.Entries)
+	d.Suspects, d.Quarantines = p.Suspects.applyTo(d.Suspects), p.Quarantines.applyTo(d.Quarantines)
+	d.Waits, d.RateLimits = p.Waits.applyTo(d.Waits), p.RateLimits.applyTo(d.RateLimits)
+	d.Evacuations, d.ColdServers = p.Evacuations.applyTo(d.Evacuations), p.ColdServers.applyTo(d.ColdServers)
 	d.CallersMillis = p.CallersMillis
 	if p.Config != nil {
 		d.Config = p.Config.clone()
 	}
 	if p.Version != nil {
-		d.Config = p.Version.in(d.Config)
+		d.Config = p.Version.applyTo(d.Config)
 	}
 	return applied()
 }
 
-// in returns the configuration with the changes of a later version taken in.
-func (p VersionPatch) in(c Configuration) Configuration {
+// applyTo returns the configuration after the patch.
+func (p VersionPatch) applyTo(c Configuration) Configuration {
 	next := c.clone()
 	next.Revision, next.Version, next.Limits, next.Document = p.Revision, p.Version, p.Limits, nil
-	next.Routes = p.Routes.in(next.Routes)
-	next.Services = p.Services.in(next.Services)
-	next.Workspaces = p.Workspaces.in(next.Workspaces)
-	next.Groups = groupsOf(next.Services)
+	next.Routes = p.Routes.applyTo(next.Routes)
+	next.Services = p.Services.applyTo(next.Services)
+	next.Workspaces = p.Workspaces.applyTo(next.Workspaces)
+	next.Groups = groupSpecsOf(next.Services)
 	return next
 }
 
-// MarshalJSON compresses a patch that is long: rows repeat their field names, and
-// each goes to many entries.
+// MarshalJSON compresses a long patch: rows repeat their field names, and each row goes to many
+// entries.
 func (p Patch) MarshalJSON() ([]byte, error) {
 	plain, err := json.Marshal(plainPatch(p))
-	if err != nil || len(plain) < packFrom {
+	if err != nil || len(plain) < minCompressBytes {
 		return plain, errors.Trace(err)
 	}
-	body, err := pack(plain)
+	body, err := compress(plain)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	data, err := json.Marshal(packedCommand{Packed: body})
+	data, err := json.Marshal(compressedCommand{Packed: body})
 	return data, errors.Trace(err)
 }
 
-// packFrom is the length in bytes from which a patch is worth compressing: below it
-// the packets are few anyway.
-const packFrom = 2048
+// minCompressBytes is the smallest size of a patch that is compressed. A smaller patch takes few
+// packets anyway.
+const minCompressBytes = 2048
 
-// plainPatch has the fields of a Patch and the ordinary JSON form.
+// plainPatch has the fields of Patch and the default JSON encoding.
 type plainPatch Patch
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON decodes the compressed and the plain form.
 func (p *Patch) UnmarshalJSON(data []byte) error {
-	var c packedCommand
+	var c compressedCommand
 	if err := json.Unmarshal(data, &c); err != nil {
 		return errors.Trace(err)
 	}
 	if len(c.Packed) > 0 {
-		plain, err := unpack(c.Packed)
+		plain, err := decompress(c.Packed)
 		if err != nil {
 			return errors.Trace(err)
 		}
--- a/internal/blackboard/replace.go
+++ b/internal/blackboard/replace_configuration.go
@@ -7,22 +7,21 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// ReplaceConfiguration puts a whole configuration in the place of the present
-// one. The highest version ever accepted is in force.
+// ReplaceConfiguration replaces the complete configuration. The highest version ever accepted is
+// in force.
 type ReplaceConfiguration struct {
-	// Version is the operators' own number of this configuration.
+	// Version is the operators' version number of this configuration.
 	Version    uint64        `json:"version"`
 	Routes     []Route       `json:"routes"`
 	Services   []ServiceSpec `json:"services"`
 	Workspaces []Workspace   `json:"workspaces"`
 	Limits     CallerLimits  `json:"limits"`
-	// Document is the configuration as the operator sent it, kept for reading
-	// back.
+	// Document is the configuration as the operator sent it, for reading it back.
 	Document []byte `json:"document,omitempty"`
 }
 
-// CallerLimits bound what a caller may send, and how long it may take. Zero
-// fields leave the entry's own limits.
+// CallerLimits bounds the size and duration of callers' requests. A zero field leaves the
+// entry's own limit in force.
 type CallerLimits struct {
 	MaxHeaderBytes      int   `json:"max_header_bytes,omitempty" toml:"max_header_bytes"`
 	MaxBodyBytes        int64 `json:"max_body_bytes,omitempty" toml:"max_body_bytes"`
@@ -30,26 +29,25 @@
 	IdleTimeoutMillis   int64 `json:"idle_timeout_ms,omitempty" toml:"idle_timeout_ms"`
 }
 
-// ReplaceOutcome answers a ReplaceConfiguration.
+// ReplaceOutcome is the result of a ReplaceConfiguration.
 type ReplaceOutcome struct {
 	// Version is the version in force after the command.
 	Version uint64 `json:"version"`
-	// Replaced is false when a version at least as high was in force already.
+	// Replaced is false if an equal or higher version was already in force.
 	Replaced bool           `json:"replaced"`
 	Failure  *failure.Error `json:"failure,omitempty"`
 }
 
-// apply takes the configuration in if its version is higher than the one in
-// force. It needs no expected revision: of two operators that race, the higher
-// version wins in whichever order the log has them, and a resend changes
-// nothing.
+// apply replaces the configuration if the new version is higher than the version in force. An
+// expected revision is not needed: if two operators race, the higher version wins in any log
+// order, and a resent command changes nothing.
 func (c ReplaceConfiguration) apply(d *draft) (any, bool) {
-	in := d.Config.Version
+	inForce := d.Config.Version
 	if e := c.Check(); e != nil {
-		return ReplaceOutcome{Version: in, Failure: e}, false
+		return ReplaceOutcome{Version: inForce, Failure: e}, false
 	}
-	if c.Version <= in {
-		return ReplaceOutcome{Version: in}, false
+	if c.Version <= inForce {
+		return ReplaceOutcome{Version: inForce}, false
 	}
 	next := d.Config.clone()
 	c.edit(&next)
@@ -58,32 +56,32 @@
 	return ReplaceOutcome{Version: c.Version, Replaced: true}, true
 }
 
-// Check refuses a configuration that could not be carried out, whatever its
-// version.
+// Check returns an error if the configuration is invalid. It does not compare the version with
+// the version in force.
 func (c ReplaceConfiguration) Check() *failure.Error {
 	if c.Version == 0 {
 		return failure.New(failure.TypeBadRequest, "a configuration needs a version over 0").WithDetail("version")
 	}
-	if e := c.checkPlaces(); e != nil {
+	if e := c.checkUniqueMatches(); e != nil {
 		return e
 	}
-	if e := c.checkKeys(); e != nil {
+	if e := c.checkUniqueKeys(); e != nil {
 		return e
 	}
-	whole := Configuration{}
-	c.edit(&whole)
-	if len(whole.Routes) != len(c.Routes) || len(whole.Services) != len(c.Services) || len(whole.Workspaces) != len(c.Workspaces) {
+	replaced := Configuration{}
+	c.edit(&replaced)
+	if len(replaced.Routes) != len(c.Routes) || len(replaced.Services) != len(c.Services) || len(replaced.Workspaces) != len(c.Workspaces) {
 		return failure.New(failure.TypeBadRequest, "a name of a route, service or workspace stands twice")
 	}
-	return whole.check()
+	return replaced.validate()
 }
 
-// checkPlaces refuses two routes for the same requests.
-func (c ReplaceConfiguration) checkPlaces() *failure.Error {
-	type place struct{ host, prefix string }
-	seen := make(map[place]string, len(c.Routes))
+// checkUniqueMatches returns an error if two routes match the same host and path prefix.
+func (c ReplaceConfiguration) checkUniqueMatches() *failure.Error {
+	type routeMatch struct{ host, prefix string }
+	seen := make(map[routeMatch]string, len(c.Routes))
 	for _, r := range c.Routes {
-		p := place{strings.ToLower(r.Host), r.PathPrefix}
+		p := routeMatch{strings.ToLower(r.Host), r.PathPrefix}
 		if other, taken := seen[p]; taken {
 			return failure.New(failure.TypeBadRequest, "routes "+other+" and "+r.Name+" have the same host and path prefix").
 				WithDetail("routes." + r.Name)
@@ -93,9 +91,9 @@
 	return nil
 }
 
-// checkKeys refuses a key that two workspaces share: nobody could tell whose
-// request it is.
-func (c ReplaceConfiguration) checkKeys() *failure.Error {
+// checkUniqueKeys returns an error if two workspaces share a key, because requests with that key
+// could not be attributed to one workspace.
+func (c ReplaceConfiguration) checkUniqueKeys() *failure.Error {
 	owner := make(map[string]string)
 	for _, w := range c.Workspaces {
 		for _, hash := range w.keyHashes() {
@@ -109,7 +107,7 @@
 	return nil
 }
 
-// edit replaces all that a whole configuration states.
+// edit replaces every part that a ReplaceConfiguration contains, and derives the groups.
 func (c ReplaceConfiguration) edit(to *Configuration) {
 	to.Version = c.Version
 	to.Limits = c.Limits
@@ -126,11 +124,11 @@
 	for _, s := range c.Services {
 		to.Services[s.Name] = s
 	}
-	to.Groups = groupsOf(to.Services)
+	to.Groups = groupSpecsOf(to.Services)
 }
 
-// groupsOf returns the serving groups that the models of all services ask for.
-func groupsOf(services map[string]ServiceSpec) map[string]GroupSpec {
+// groupSpecsOf returns the group specs of the models of all services.
+func groupSpecsOf(services map[string]ServiceSpec) map[string]GroupSpec {
 	groups := make(map[string]GroupSpec)
 	for _, name := range sortedKeys(services) {
 		for _, g := range services[name].groupSpecs() {
