--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -17,9 +17,9 @@
 
 	// maxBody keeps one caller from holding more memory than a small VM can
 	// spare; the limit is multiplied by the open requests.
-	maxBody = 64 << 20
+	maxBodyBytes = 64 << 20
 	// maxHeld is far past the memory of one small VM.
-	maxHeld = 16 << 30
+	maxHeldBytes = 16 << 30
 	// maxOpenRequests is far past what one small VM relays.
 	maxOpenRequests = 1 << 20
 	hourMillis      = 3_600_000
@@ -35,8 +35,8 @@
 
 func (s *Settings) check(d *tomlfile.Document) {
 	c := checker{d}
-	c.name("vm", s.VM)
-	c.name("data_centre", s.DataCentre)
+	c.checkName("vm", s.VM)
+	c.checkName("data_centre", s.DataCentre)
 	if !s.Entry.Enabled && !s.Control.Enabled && !c.Has("entry.enabled") && !c.Has("control.enabled") {
 		c.Fault("", "no role is enabled", allowedRole)
 	}
@@ -53,16 +53,16 @@
 }
 
 // adapters are the kinds of adapter.
-var adapters = []string{"", "platform"}
+var adapterKinds = []string{"", "platform"}
 
 func (s *Settings) checkAdapter(c checker) {
 	a := s.Adapter
-	if !c.Has("adapter.kind") && !slices.Contains(adapters, a.Kind) {
+	if !c.Has("adapter.kind") && !slices.Contains(adapterKinds, a.Kind) {
 		c.Fault("adapter.kind", quoted(a.Kind), "platform, or left out")
 	}
 	for key, value := range map[string]string{"callers": a.Callers, "ready": a.Ready, "control": a.Control} {
 		if value != "" {
-			c.address("adapter."+key, value)
+			c.checkAddress("adapter."+key, value)
 		}
 	}
 }
@@ -71,27 +71,27 @@
 	e := s.Entry
 	if e.Enabled {
 		if s.Adapter.Kind == "" || e.Listen != "" {
-			c.address("entry.listen", e.Listen)
+			c.checkAddress("entry.listen", e.Listen)
 		}
-		c.advertised("entry.advertise", e.Advertise, "entry.listen")
-	}
-	c.between("entry.max_body_bytes", e.MaxBodyBytes, 1, maxBody)
-	c.between("entry.max_held_bytes", e.MaxHeldBytes, 1, maxHeld)
-	c.between("entry.max_open", int64(e.MaxOpen), 1, maxOpenRequests)
-	c.between("entry.default_timeout_ms", e.DefaultTimeoutMillis, 1, hourMillis)
-	c.between("entry.header_timeout_ms", e.HeaderTimeoutMillis, 1, minuteMillis)
-	c.between("entry.first_token_timeout_ms", e.FirstTokenTimeoutMillis, 1, hourMillis)
-	c.between("entry.token_gap_ms", e.TokenGapMillis, 1, hourMillis)
-	c.between("entry.drain_ms", e.DrainMillis, 0, hourMillis)
-	c.between("entry.balancer_ms", e.BalancerMillis, 0, minuteMillis)
-	c.between("entry.ramp_ms", e.RampMillis, 1, minuteMillis)
+		c.checkAdvertised("entry.advertise", e.Advertise, "entry.listen")
+	}
+	c.checkRange("entry.max_body_bytes", e.MaxBodyBytes, 1, maxBodyBytes)
+	c.checkRange("entry.max_held_bytes", e.MaxHeldBytes, 1, maxHeldBytes)
+	c.checkRange("entry.max_open", int64(e.MaxOpen), 1, maxOpenRequests)
+	c.checkRange("entry.default_timeout_ms", e.DefaultTimeoutMillis, 1, hourMillis)
+	c.checkRange("entry.header_timeout_ms", e.HeaderTimeoutMillis, 1, minuteMillis)
+	c.checkRange("entry.first_token_timeout_ms", e.FirstTokenTimeoutMillis, 1, hourMillis)
+	c.checkRange("entry.token_gap_ms", e.TokenGapMillis, 1, hourMillis)
+	c.checkRange("entry.drain_ms", e.DrainMillis, 0, hourMillis)
+	c.checkRange("entry.balancer_ms", e.BalancerMillis, 0, minuteMillis)
+	c.checkRange("entry.ramp_ms", e.RampMillis, 1, minuteMillis)
 	if !c.Has("entry.retry_ratio") && (e.RetryRatio < 0 || e.RetryRatio > 1) {
 		c.Fault("entry.retry_ratio", quoted(strconv.FormatFloat(e.RetryRatio, 'g', -1, 64)), "0 to 1")
 	}
-	c.atLeast("entry.retry_slack", e.RetrySlack, 0)
-	c.between("entry.evacuate_ms", e.EvacuateMillis, 0, hourMillis)
-	c.atLeast("entry.cold_factor", e.ColdFactor, 1)
-	c.atLeast("entry.cold_slack", e.ColdSlack, 0)
+	c.checkMinimum("entry.retry_slack", e.RetrySlack, 0)
+	c.checkRange("entry.evacuate_ms", e.EvacuateMillis, 0, hourMillis)
+	c.checkMinimum("entry.cold_factor", e.ColdFactor, 1)
+	c.checkMinimum("entry.cold_slack", e.ColdSlack, 0)
 }
 
 func (s *Settings) checkControl(c checker) {
@@ -100,33 +100,33 @@
 		if k.DataFolder == "" && !c.Has("control.data_folder") {
 			c.Fault("control.data_folder", "is missing", "a folder on a disk that outlives the process")
 		}
-		c.address("admin.listen", s.Admin.Listen)
+		c.checkAddress("admin.listen", s.Admin.Listen)
 		if !s.Peers.Open {
-			c.tokenUnlessLoopback("admin.token_file", s.Admin.TokenFile, s.Admin.Listen)
+			c.requireTokenUnlessLoopback("admin.token_file", s.Admin.TokenFile, s.Admin.Listen)
 		}
 	}
 	if !c.Has("control.voters") && k.Voters != 1 && k.Voters != 3 && k.Voters != 5 {
 		c.Fault("control.voters", quoted(strconv.Itoa(k.Voters)), "1, 3 or 5")
 	}
-	c.between("control.min_disks", int64(k.MinDisks), 0, int64(k.Voters/2+1))
-	c.between("control.replace_after_ms", k.ReplaceAfterMillis, 1, hourMillis)
-	c.between("control.announce_ms", k.AnnounceMillis, 50, minuteMillis)
-	c.between("control.dead_ms", k.DeadMillis, k.AnnounceMillis, hourMillis)
-	c.between("control.stall_ms", k.StallMillis, 1, minuteMillis)
-	c.between("control.tick_ms", k.TickMillis, 5, 1000)
-	c.between("control.election_ticks", int64(k.ElectionTicks), 4, 100)
+	c.checkRange("control.min_disks", int64(k.MinDisks), 0, int64(k.Voters/2+1))
+	c.checkRange("control.replace_after_ms", k.ReplaceAfterMillis, 1, hourMillis)
+	c.checkRange("control.announce_ms", k.AnnounceMillis, 50, minuteMillis)
+	c.checkRange("control.dead_ms", k.DeadMillis, k.AnnounceMillis, hourMillis)
+	c.checkRange("control.stall_ms", k.StallMillis, 1, minuteMillis)
+	c.checkRange("control.tick_ms", k.TickMillis, 5, 1000)
+	c.checkRange("control.election_ticks", int64(k.ElectionTicks), 4, 100)
 	// A lease shorter than an election would close every entry at each change
 	// of leader; one over a minute would break "in force within seconds".
 	election := k.TickMillis * int64(k.ElectionTicks)
-	c.between("control.config_lease_ms", k.ConfigLeaseMillis, max(1, election), minuteMillis)
+	c.checkRange("control.config_lease_ms", k.ConfigLeaseMillis, max(1, election), minuteMillis)
 }
 
 func (s *Settings) checkPeers(c checker) {
 	p := s.Peers
-	c.address("peers.listen", p.Listen)
-	c.advertised("peers.advertise", p.Advertise, "peers.listen")
+	c.checkAddress("peers.listen", p.Listen)
+	c.checkAdvertised("peers.advertise", p.Advertise, "peers.listen")
 	if !p.Open {
-		c.tokenUnlessLoopback("peers.token_file", p.TokenFile, p.Listen)
+		c.requireTokenUnlessLoopback("peers.token_file", p.TokenFile, p.Listen)
 	}
 	if len(p.Control) == 0 && !c.Has("peers.control") {
 		c.Fault("peers.control", "is missing", "the peer address of each control process, as IP:port")
@@ -134,7 +134,7 @@
 	seen := map[string]bool{}
 	for i, address := range p.Control {
 		key := "peers.control[" + strconv.Itoa(i) + "]"
-		c.address(key, address)
+		c.checkAddress(key, address)
 		if address != "" && seen[address] {
 			c.Fault(key, quoted(address)+" stands twice", "each address once")
 		}
@@ -142,7 +142,7 @@
 	}
 }
 
-func (c checker) name(key, value string) {
+func (c checker) checkName(key, value string) {
 	switch {
 	case c.Has(key):
 	case value == "":
@@ -152,7 +152,7 @@
 	}
 }
 
-func (c checker) address(key, value string) {
+func (c checker) checkAddress(key, value string) {
 	switch {
 	case c.Has(key):
 	case value == "":
@@ -166,7 +166,7 @@
 
 // advertised checks an address that others are told. A listener may stand on
 // all interfaces (0.0.0.0), but nobody can call that address.
-func (c checker) advertised(key, value, listenKey string) {
+func (c checker) checkAdvertised(key, value, listenKey string) {
 	if c.Has(key) || c.Has(listenKey) {
 		return
 	}
@@ -181,7 +181,7 @@
 }
 
 // tokenUnlessLoopback asks for a token where other machines can connect.
-func (c checker) tokenUnlessLoopback(key, file, listen string) {
+func (c checker) requireTokenUnlessLoopback(key, file, listen string) {
 	address, err := netip.ParseAddrPort(listen)
 	if c.Has(key) || file != "" || err != nil || address.Addr().IsLoopback() {
 		return
@@ -189,7 +189,7 @@
 	c.Fault(key, "is missing", "a file with the secret; only a loopback address goes without")
 }
 
-func (c checker) between(key string, value, low, high int64) {
+func (c checker) checkRange(key string, value, low, high int64) {
 	if c.Has(key) || (value >= low && value <= high) {
 		return
 	}
@@ -197,7 +197,7 @@
 		strconv.FormatInt(low, 10)+" to "+strconv.FormatInt(high, 10))
 }
 
-func (c checker) atLeast(key string, value, low float64) {
+func (c checker) checkMinimum(key string, value, low float64) {
 	if c.Has(key) || value >= low {
 		return
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -19,7 +19,7 @@
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Faults{{File: path, Message: pathProblem(err), Allowed: "a readable settings file"}}
+		return nil, Faults{{File: path, Message: fileErrorText(err), Allowed: "a readable settings file"}}
 	}
 	s, document := decode(path, data)
 	if !document.SyntaxBroken() {
@@ -47,7 +47,7 @@
 	if document.SyntaxBroken() {
 		return s, document
 	}
-	s.derive(filepath.Dir(name))
+	s.fillDerived(filepath.Dir(name))
 	s.check(document)
 	return s, document
 }
@@ -55,16 +55,16 @@
 // derive fills what follows from other settings. Relative paths start from
 // the settings file's folder, so that the daemon's working folder is of no
 // account.
-func (s *Settings) derive(folder string) {
+func (s *Settings) fillDerived(folder string) {
 	if s.Entry.Advertise == "" {
 		s.Entry.Advertise = s.Entry.Listen
 	}
 	if s.Peers.Advertise == "" {
 		s.Peers.Advertise = s.Peers.Listen
 	}
-	s.fillTimes()
+	s.replaceZeroDurations()
 	if s.Peers.SamePort {
-		s.Peers.takeOwnPort()
+		s.Peers.applyOwnPort()
 	}
 	for _, path := range []*string{
 		&s.Control.DataFolder, &s.Admin.TokenFile, &s.Peers.TokenFile,
@@ -78,7 +78,7 @@
 
 // takeOwnPort gives each control address the port that this process listens on
 // for its peers. An address that is none stays as it is, for the check to name.
-func (p *Peers) takeOwnPort() {
+func (p *Peers) applyOwnPort() {
 	own, err := netip.ParseAddrPort(p.Listen)
 	if err != nil {
 		return
@@ -91,7 +91,7 @@
 }
 
 // fillTimes takes 0 for the default where 0 itself makes no sense.
-func (s *Settings) fillTimes() {
+func (s *Settings) replaceZeroDurations() {
 	for _, t := range []struct {
 		field *int64
 		value int64
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"github.com/citronstep/citronstep/internal/tomlfile"
 )
 
-const minimal = `
+const minimalSettings = `
 vm = "entry-1"
 data_centre = "cluj-a"
 
@@ -28,7 +28,7 @@
 `
 
 func TestParseAppliesDefaults(t *testing.T) {
-	s, err := Parse("/etc/citronstep/settings.toml", []byte(minimal))
+	s, err := Parse("/etc/citronstep/settings.toml", []byte(minimalSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Entry.MaxOpen, DefaultMaxOpen)
 	assert.Equal(t, s.Entry.Advertise, "10.0.0.1:8080")
@@ -93,7 +93,7 @@
 // A control VM without a disk folder would keep its votes nowhere and could
 // vote twice in one term after a restart; the daemon must not start.
 func TestControlNeedsDataFolderAndAdmin(t *testing.T) {
-	_, err := Parse("a.toml", []byte(minimal+"\n[control]\nenabled = true\n"))
+	_, err := Parse("a.toml", []byte(minimalSettings+"\n[control]\nenabled = true\n"))
 	assert.ErrorContains(t, err, "control.data_folder: is missing")
 	assert.ErrorContains(t, err, "admin.listen: is missing")
 }
@@ -101,7 +101,7 @@
 func TestLoadChecksTokenFiles(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "settings.toml")
-	assert.NilError(t, os.WriteFile(path, []byte(minimal), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(minimalSettings), 0o600))
 	token := filepath.Join(folder, "peers.token")
 
 	_, err := Load(path)
--- a/internal/settings/token.go
+++ b/internal/settings/token.go
@@ -19,7 +19,7 @@
 
 const (
 	allowedTokenFile = "a file with the token on its first line, readable by its owner or group only (chmod 600 FILE)"
-	worldReadable    = fs.FileMode(0o004)
+	worldReadableBit = fs.FileMode(0o004)
 )
 
 // ReadToken returns the token in the file at path, without the white space
@@ -33,7 +33,7 @@
 	if !info.Mode().IsRegular() {
 		return "", errors.Annotate(ErrTokenNotRegular, path)
 	}
-	if info.Mode().Perm()&worldReadable != 0 {
+	if info.Mode().Perm()&worldReadableBit != 0 {
 		return "", errors.Annotate(ErrTokenWorldReadable, path)
 	}
 	data, err := os.ReadFile(path)
@@ -59,13 +59,13 @@
 			continue
 		}
 		if _, err := ReadToken(f.path); err != nil {
-			d.Fault(f.key, f.path+": "+pathProblem(err), allowedTokenFile)
+			d.Fault(f.key, f.path+": "+fileErrorText(err), allowedTokenFile)
 		}
 	}
 }
 
 // pathProblem returns why a file could not be used, without its path.
-func pathProblem(err error) string {
+func fileErrorText(err error) string {
 	var path *fs.PathError
 	if errors.As(err, &path) {
 		return path.Err.Error()
