--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -13,9 +13,9 @@
 
 // Document is a decoded document, kept to name the place of later faults.
 type Document struct {
-	file   string
-	places *places
-	faults Faults
+	file      string
+	positions *positions
+	faults    Faults
 }
 
 // Decode fills into, a pointer to a struct with toml tags, from data. Values
@@ -25,11 +25,11 @@
 	d := &Document{file: file}
 	tree := map[string]any{}
 	if err := toml.Unmarshal(data, &tree); err != nil {
-		d.places = findPlaces(nil)
+		d.positions = findPositions(nil)
 		d.faults = Faults{syntaxFault(file, err)}
 		return d
 	}
-	d.places = findPlaces(data)
+	d.positions = findPositions(data)
 	d.fillStruct("", reflect.ValueOf(into).Elem(), tree)
 	return d
 }
@@ -46,7 +46,7 @@
 
 // Fault adds a fault at key, or at its nearest table when the key is absent.
 func (d *Document) Fault(key, message, allowed string) {
-	at := d.places.of(key)
+	at := d.positions.lookup(key)
 	d.faults = append(d.faults, Fault{
 		File: d.file, Line: at.line, Column: at.column, Key: key, Message: message, Allowed: allowed,
 	})
@@ -80,10 +80,10 @@
 	for _, key := range sortedKeys(tree) {
 		field, known := fields[key]
 		if !known {
-			d.Fault(join(table, key), "unknown key", strings.Join(sortedKeys(fields), ", "))
+			d.Fault(joinKey(table, key), "unknown key", strings.Join(sortedKeys(fields), ", "))
 			continue
 		}
-		d.fill(join(table, key), field, tree[key])
+		d.fill(joinKey(table, key), field, tree[key])
 	}
 }
 
@@ -119,7 +119,7 @@
 func (d *Document) fillSlice(key string, to reflect.Value, list []any) {
 	filled := reflect.MakeSlice(to.Type(), len(list), len(list))
 	for i, value := range list {
-		d.fill(element(key, i), filled.Index(i), value)
+		d.fill(elementKey(key, i), filled.Index(i), value)
 	}
 	to.Set(filled)
 }
@@ -128,7 +128,7 @@
 	filled := reflect.MakeMapWithSize(to.Type(), len(tree))
 	for _, name := range sortedKeys(tree) {
 		value := reflect.New(to.Type().Elem()).Elem()
-		d.fill(join(key, name), value, tree[name])
+		d.fill(joinKey(key, name), value, tree[name])
 		filled.SetMapIndex(reflect.ValueOf(name), value)
 	}
 	to.Set(filled)
--- a/internal/tomlfile/positions.go
+++ b/internal/tomlfile/positions.go
@@ -9,19 +9,19 @@
 )
 
 // place is a position in a document, counted from 1.
-type place struct{ line, column int }
+type position struct{ line, column int }
 
 // places maps each full key of a document to where it stands.
-type places struct {
+type positions struct {
 	document []byte
-	byKey    map[string]place
+	byKey    map[string]position
 	// arrays counts the elements seen of each array of tables.
-	arrays map[string]int
+	elementCounts map[string]int
 }
 
 // findPlaces reads the keys' positions from a document of valid syntax.
-func findPlaces(document []byte) *places {
-	p := &places{document: document, byKey: map[string]place{}, arrays: map[string]int{}}
+func findPositions(document []byte) *positions {
+	p := &positions{document: document, byKey: map[string]position{}, elementCounts: map[string]int{}}
 	parser := unstable.Parser{}
 	parser.Reset(document)
 	table := ""
@@ -39,20 +39,20 @@
 	return p
 }
 
-func (p *places) recordElement(node *unstable.Node) string {
+func (p *positions) recordElement(node *unstable.Node) string {
 	parts, offset := keyParts(node)
 	last := len(parts) - 1
-	array := join(p.resolve("", parts[:last]), parts[last])
-	p.arrays[array]++
-	key := element(array, p.arrays[array]-1)
-	p.byKey[key] = p.at(offset)
+	array := joinKey(p.resolve("", parts[:last]), parts[last])
+	p.elementCounts[array]++
+	key := elementKey(array, p.elementCounts[array]-1)
+	p.byKey[key] = p.positionAt(offset)
 	if _, seen := p.byKey[array]; !seen {
-		p.byKey[array] = p.at(offset)
+		p.byKey[array] = p.positionAt(offset)
 	}
 	return key
 }
 
-func (p *places) recordKeyValue(table string, node *unstable.Node) {
+func (p *positions) recordKeyValue(table string, node *unstable.Node) {
 	key := p.record(table, node)
 	value := node.Value()
 	if value.Kind != unstable.InlineTable {
@@ -65,13 +65,13 @@
 }
 
 // record notes the node's key, and each table on the way to it, under table.
-func (p *places) record(table string, node *unstable.Node) string {
+func (p *positions) record(table string, node *unstable.Node) string {
 	parts, offset := keyParts(node)
 	key := table
 	for i := range parts {
 		key = p.resolve(table, parts[:i+1])
 		if _, seen := p.byKey[key]; !seen {
-			p.byKey[key] = p.at(offset)
+			p.byKey[key] = p.positionAt(offset)
 		}
 	}
 	return key
@@ -79,19 +79,19 @@
 
 // resolve joins parts to table and names the last element of each array of
 // tables on the way, as TOML reads [a.b] after [[a]].
-func (p *places) resolve(table string, parts []string) string {
+func (p *positions) resolve(table string, parts []string) string {
 	key := table
 	for _, part := range parts {
-		key = join(key, part)
-		if n := p.arrays[key]; n > 0 {
-			key = element(key, n-1)
+		key = joinKey(key, part)
+		if n := p.elementCounts[key]; n > 0 {
+			key = elementKey(key, n-1)
 		}
 	}
 	return key
 }
 
 // of returns where key stands, or its nearest table when it is absent.
-func (p *places) of(key string) place {
+func (p *positions) lookup(key string) position {
 	for key != "" {
 		if at, ok := p.byKey[key]; ok {
 			return at
@@ -102,12 +102,12 @@
 		}
 		key = key[:cut]
 	}
-	return place{line: 1, column: 1}
+	return position{line: 1, column: 1}
 }
 
-func (p *places) at(offset int) place {
+func (p *positions) positionAt(offset int) position {
 	before := p.document[:offset]
-	return place{
+	return position{
 		line:   bytes.Count(before, []byte{'\n'}) + 1,
 		column: offset - bytes.LastIndexByte(before, '\n'),
 	}
@@ -125,13 +125,13 @@
 	return parts, offset
 }
 
-func join(table, key string) string {
+func joinKey(table, key string) string {
 	if table == "" {
 		return key
 	}
 	return table + "." + key
 }
 
-func element(array string, i int) string {
+func elementKey(array string, i int) string {
 	return array + "[" + strconv.Itoa(i) + "]"
 }
