--- a/cmd/citronstepd/dev.go
+++ b/cmd/citronstepd/dev.go
@@ -65,12 +65,12 @@
 			c()
 		}
 	}
-	if err := devFound(ctx, s); err != nil {
+	if err := bootstrapDevCluster(ctx, s); err != nil {
 		return closeAll, errors.Trace(err)
 	}
 	for i := range devEngines {
 		e, err := standin.StartEngine(ctx, standin.EngineOptions{
-			Common:        devCommon(s, fmt.Sprintf("engine-%d", i)),
+			Common:        devServerOptions(s, fmt.Sprintf("engine-%d", i)),
 			TokenInterval: devTokenInterval, LoadTime: devLoadTime,
 		})
 		if err != nil {
@@ -79,20 +79,20 @@
 		closers = append(closers, e.Close)
 	}
 	service, err := standin.StartService(ctx, standin.ServiceOptions{
-		Common: devCommon(s, devService+"-0"), Name: devService,
+		Common: devServerOptions(s, devService+"-0"), Name: devService,
 	})
 	if err != nil {
 		return closeAll, errors.Trace(err)
 	}
 	closers = append(closers, service.Close)
-	if err := devReady(ctx, s); err != nil {
+	if err := awaitDevGroups(ctx, s); err != nil {
 		return closeAll, errors.Trace(err)
 	}
 	_ = level.Info(logger).Log("event", "dev_ready", "callers", s.Entry.Listen, "admin", s.Admin.Listen, "key", devKey, "model", devModel)
 	return closeAll, nil
 }
 
-func devCommon(s *settings.Settings, id string) standin.Common {
+func devServerOptions(s *settings.Settings, id string) standin.Common {
 	return standin.Common{
 		ID: id, Entries: []string{s.Entry.Advertise}, DataCentre: s.DataCentre, FabricDomain: "dev-domain",
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-func devFound(ctx context.Context, s *settings.Settings) error {
+func bootstrapDevCluster(ctx context.Context, s *settings.Settings) error {
 	body, err := json.Marshal(adminapi.InitRequest{Initial: devConfiguration()})
 	if err != nil {
 		return errors.Trace(err)
@@ -140,27 +140,27 @@
 
 // Times of waiting for the first group.
 const (
-	devReadyPoll = 50 * time.Millisecond
-	devReadyWait = 20 * time.Second
+	devGroupPollInterval = 50 * time.Millisecond
+	devGroupTimeout      = 20 * time.Second
 )
 
 // devReady waits until all groups serve. The process serves meanwhile.
-func devReady(ctx context.Context, s *settings.Settings) error {
-	ctx, cancel := context.WithTimeout(ctx, devReadyWait)
+func awaitDevGroups(ctx context.Context, s *settings.Settings) error {
+	ctx, cancel := context.WithTimeout(ctx, devGroupTimeout)
 	defer cancel()
 	for {
-		if devServing(ctx, s) {
+		if devGroupsServing(ctx, s) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return errors.Trace(ctx.Err())
-		case <-time.After(devReadyPoll):
+		case <-time.After(devGroupPollInterval):
 		}
 	}
 }
 
-func devServing(ctx context.Context, s *settings.Settings) bool {
+func devGroupsServing(ctx context.Context, s *settings.Settings) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Admin.Listen+adminapi.PathStatus, nil)
 	if err != nil {
 		return false
--- a/cmd/citronstepd/main.go
+++ b/cmd/citronstepd/main.go
@@ -25,27 +25,27 @@
 
 // Exit codes.
 const (
-	exitFailure  = 1
-	exitUsage    = 2
-	exitCutShort = 3
+	exitFailure         = 1
+	exitUsage           = 2
+	exitDrainIncomplete = 3
 )
 
 // logs takes the log to standard output without ever waiting for its reader.
-var logs = logsink.New(os.Stdout)
+var logOutput = logsink.New(os.Stdout)
 
 // closeTimeout bounds the wait for a reader of the log at the end.
-const closeTimeout = time.Second
+const logFlushTimeout = time.Second
 
 func main() {
 	code := run()
 	closed := make(chan struct{})
 	go func() {
-		logs.Close()
+		logOutput.Close()
 		close(closed)
 	}()
 	select {
 	case <-closed:
-	case <-time.After(closeTimeout):
+	case <-time.After(logFlushTimeout):
 	}
 	os.Exit(code)
 }
@@ -92,18 +92,18 @@
 }
 
 func newLogger(name string) log.Logger {
-	logger := log.NewLogfmtLogger(logs)
+	logger := log.NewLogfmtLogger(logOutput)
 	logger = log.With(logger, "ts", log.DefaultTimestampUTC)
 	return level.NewFilter(logger, level.Allow(level.ParseDefault(name, level.InfoValue())))
 }
 
 // process is a running node and what ends it.
 type process struct {
-	node     *node.Node
-	settings *settings.Settings
-	logger   log.Logger
-	signals  chan os.Signal
-	reloads  chan os.Signal
+	node          *node.Node
+	settings      *settings.Settings
+	logger        log.Logger
+	stopSignals   chan os.Signal
+	reloadSignals chan os.Signal
 	// file is where the settings came from; empty for -dev.
 	file string
 	done chan error
@@ -122,10 +122,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p := &process{
 		node: n, settings: s, logger: logger, stop: stop,
-		signals: make(chan os.Signal, 2), reloads: make(chan os.Signal, 1), done: make(chan error, 1), file: file,
+		stopSignals: make(chan os.Signal, 2), reloadSignals: make(chan os.Signal, 1), done: make(chan error, 1), file: file,
 	}
-	signal.Notify(p.signals, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(p.reloads, syscall.SIGHUP)
+	signal.Notify(p.stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(p.reloadSignals, syscall.SIGHUP)
 	go p.reloadLoop(ctx)
 	go func() { p.done <- n.Run(ctx) }()
 	return p, nil
@@ -153,7 +153,7 @@
 func (p *process) serve() int {
 	code := 0
 	select {
-	case <-p.signals:
+	case <-p.stopSignals:
 		code = p.drain()
 		p.stop()
 		if err := <-p.done; err != nil {
@@ -178,14 +178,14 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-p.signals:
+		case <-p.stopSignals:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	if !p.node.Drain(ctx) {
 		_ = level.Warn(p.logger).Log("event", "drain_cut_short")
-		return exitCutShort
+		return exitDrainIncomplete
 	}
 	return 0
 }
--- a/cmd/citronstepd/reload.go
+++ b/cmd/citronstepd/reload.go
@@ -21,35 +21,35 @@
 	if p.file == "" {
 		return
 	}
-	held, err := os.ReadFile(p.file)
+	current, err := os.ReadFile(p.file)
 	if err != nil {
 		_ = level.Warn(p.logger).Log("event", "reload_failed", "err", err)
 	}
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
-		asked := false
+		isForced := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.reloads:
-			asked = true
+		case <-p.reloadSignals:
+			isForced = true
 		case <-ticker.C:
 		}
-		held = p.reload(held, asked)
+		current = p.reload(current, isForced)
 	}
 }
 
 // reload reads the file and returns what it holds. A file that is not good
 // changes nothing, and is read again when it changes.
-func (p *process) reload(held []byte, asked bool) []byte {
+func (p *process) reload(current []byte, isForced bool) []byte {
 	data, err := os.ReadFile(p.file)
 	if err != nil {
 		_ = level.Warn(p.logger).Log("event", "reload_failed", "err", err)
-		return held
+		return current
 	}
-	if !asked && bytes.Equal(data, held) {
-		return held
+	if !isForced && bytes.Equal(data, current) {
+		return current
 	}
 	s, err := settings.Load(p.file)
 	if err != nil {
