--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,10 @@
-// Package settings holds the daemon's settings: a TOML file read strictly.
+// Package settings reads and strictly checks the daemon's settings, a TOML file.
 package settings
 
-// Settings are one process's settings. They are read once, at start.
+// Settings holds the settings of one process. The process reads them at start,
+// and applies some of their changes while it runs.
 type Settings struct {
-	// VM is the stable name of this machine.
+	// VM is the stable name of the VM on which the process runs.
 	VM         string  `toml:"vm"`
 	DataCentre string  `toml:"data_centre"`
 	Entry      Entry   `toml:"entry"`
@@ -12,138 +13,145 @@
 	Peers      Peers   `toml:"peers"`
 	Log        Log     `toml:"log"`
 	Adapter    Adapter `toml:"adapter"`
-	// Regions names the region of each data centre.
+	// Regions maps each data centre to the name of its region.
 	Regions map[string]string `toml:"regions"`
 }
 
-// Entry are the settings of the entry role.
+// Entry holds the settings of the entry role.
 type Entry struct {
 	Enabled bool `toml:"enabled"`
-	// Listen is where callers and backend servers connect, as IP:port.
+	// Listen is the address for callers and backend servers, as IP:port.
 	Listen string `toml:"listen"`
-	// Advertise is the address given to backend servers; default Listen.
+	// Advertise is the address announced to backend servers; default Listen.
 	Advertise string `toml:"advertise"`
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes bounds the body of one request.
 	MaxBodyBytes int64 `toml:"max_body_bytes"`
-	// MaxHeldBytes bounds the request bodies and the answers that this entry holds for
-	// callers and backend servers that read or write slowly.
+	// MaxHeldBytes bounds the request bodies and answers that this entry buffers,
+	// in total, for callers and backend servers that read or write slowly.
 	MaxHeldBytes int64 `toml:"max_held_bytes"`
-	// MaxOpen bounds the open requests of this entry.
+	// MaxOpen bounds the number of open requests on this entry.
 	MaxOpen int `toml:"max_open"`
-	// DefaultTimeoutMillis is the deadline of a request whose header and
-	// class name none.
+	// DefaultTimeoutMillis is the timeout of a request for which neither its
+	// header nor its class gives one.
 	DefaultTimeoutMillis int64 `toml:"default_timeout_ms"`
-	// HeaderTimeoutMillis, FirstTokenTimeoutMillis and TokenGapMillis are the
-	// deadlines of progress on an attempt.
+	// HeaderTimeoutMillis, FirstTokenTimeoutMillis and TokenGapMillis bound the
+	// time that an attempt may go without progress: until the answer's header,
+	// until its first token, and between two tokens.
 	HeaderTimeoutMillis     int64 `toml:"header_timeout_ms"`
 	FirstTokenTimeoutMillis int64 `toml:"first_token_timeout_ms"`
 	TokenGapMillis          int64 `toml:"token_gap_ms"`
-	// DrainMillis bounds a graceful stop; BalancerMillis is how long the
-	// entry stays up, not ready, before it refuses new work.
+	// DrainMillis bounds a graceful stop. BalancerMillis is the time at its start
+	// in which the entry is not ready but still accepts requests, so that load
+	// balancers can react.
 	DrainMillis    int64 `toml:"drain_ms"`
 	BalancerMillis int64 `toml:"balancer_ms"`
-	// AnnounceTokenFile holds the token that backend servers announce with;
-	// empty accepts any announcement.
+	// AnnounceTokenFile names the file with the token that backend servers must
+	// send with announcements; if empty, the entry accepts any announcement.
 	AnnounceTokenFile string `toml:"announce_token_file"`
-	// BackendTokenFile holds the token that our calls to backend servers carry.
+	// BackendTokenFile names the file with the token that the entry sends with
+	// calls to backend servers.
 	BackendTokenFile string `toml:"backend_token_file"`
-	// Deaf takes no announcements of backend servers: the entry goes by what
-	// the leader concludes, and costs nothing for the exchange of evidence.
+	// Deaf makes the entry accept no announcements of backend servers. The entry
+	// relies on the leader's conclusions and takes no part in the exchange of
+	// evidence, which saves its cost.
 	Deaf bool `toml:"deaf"`
-	// ServeWithoutLease goes on under the last configuration known while the
-	// control processes can't be reached; docs/design/configuration.md weighs
-	// it.
+	// ServeWithoutLease lets the entry serve under its last known configuration
+	// while it can't reach the control processes. docs/design/configuration.md
+	// discusses the trade-off.
 	ServeWithoutLease bool `toml:"serve_without_lease"`
-	// RampMillis is how long a backend server that appears beside others takes
-	// until it gets its whole part of the work.
+	// RampMillis is the time over which a backend server that joins others is
+	// ramped up to its full share of the requests.
 	RampMillis int64 `toml:"ramp_ms"`
-	// RetryRatio and RetrySlack bound what retries of routes' requests add for each service
-	// in any ten seconds: a part of the requests, and a number for all entries together.
+	// RetryRatio and RetrySlack bound the retries of routes' requests for each
+	// service in any ten seconds: a fraction of the requests, plus a number of
+	// retries for all entries together.
 	RetryRatio float64 `toml:"retry_ratio"`
 	RetrySlack float64 `toml:"retry_slack"`
-	// EvacuateMillis is the time in which the evacuation of a data centre must be in force
-	// on all entries.
+	// EvacuateMillis is the time within which the evacuation of a data centre must
+	// be in force on all entries.
 	EvacuateMillis int64 `toml:"evacuate_ms"`
-	// ColdFactor and ColdSlack are what a cold backend server bears of all entries together
-	// in any second: a factor on the rate that its service states, and a number of requests
-	// beside it.
+	// ColdFactor and ColdSlack bound the requests that a cold backend server, one
+	// within its slow-start period, gets from all entries together in any second:
+	// a factor on the rate that its service gives, plus a number of requests.
 	ColdFactor float64 `toml:"cold_factor"`
 	ColdSlack  float64 `toml:"cold_slack"`
 }
 
-// Adapter are the settings of the interface to a platform, for processes that
+// Adapter holds the settings of the interface to a platform, for processes that
 // run on one.
 type Adapter struct {
-	// Kind names the adapter; empty is none.
+	// Kind names the adapter; empty means none.
 	Kind string `toml:"kind"`
-	// Callers, Ready and Control are where the adapter listens for callers'
-	// requests, for the balancer's question whether to send any, and for
+	// Callers, Ready and Control are the addresses at which the adapter listens
+	// for callers' requests, for the load balancer's readiness probe, and for
 	// operators and backend servers.
 	Callers string `toml:"callers"`
 	Ready   string `toml:"ready"`
 	Control string `toml:"control"`
 }
 
-// Control are the settings of the control role.
+// Control holds the settings of the control role.
 type Control struct {
 	Enabled bool `toml:"enabled"`
 	// DataFolder holds all durable state of the process.
 	DataFolder string `toml:"data_folder"`
-	// Voters is the wanted number of voting replicas: 1, 3 or 5.
+	// Voters is the target number of voting replicas: 1, 3 or 5.
 	Voters int `toml:"voters"`
-	// MinDisks is how many disks must hold a change before it is acknowledged;
-	// 0 leaves it to the majority of the voters.
+	// MinDisks is the number of disks that must hold a change before it is
+	// acknowledged; 0 requires only the majority of the voters.
 	MinDisks int `toml:"min_disks"`
-	// Found lets this process found the cluster when it is among peers.control
-	// and none of these belongs to one. True only at the first start of a whole
-	// system, with empty disks.
+	// Found lets this process found (bootstrap) the cluster if it is listed in
+	// peers.control and no process listed there belongs to a cluster. Set it only
+	// for the first start of a complete system, with empty disks.
 	Found bool `toml:"found"`
-	// ReplaceAfterMillis is after how long a silent voter gives its vote to a
-	// replica that stands by.
+	// ReplaceAfterMillis is the time without contact after which a standby replica
+	// replaces a voter.
 	ReplaceAfterMillis int64 `toml:"replace_after_ms"`
-	// AnnounceMillis is how often backend servers announce themselves; DeadMillis
-	// how long one must be silent to be given up; StallMillis how long the head
-	// of a group goes on after it has lost a member.
+	// AnnounceMillis is the interval between announcements of a backend server.
+	// DeadMillis is the silence after which a backend server counts as dead.
+	// StallMillis is how long the head of a group continues after the loss of a
+	// member.
 	AnnounceMillis int64 `toml:"announce_ms"`
 	DeadMillis     int64 `toml:"dead_ms"`
 	StallMillis    int64 `toml:"stall_ms"`
-	// TickMillis is the consensus tick; ElectionTicks the election timeout.
+	// TickMillis is the consensus tick; ElectionTicks is the election timeout in
+	// ticks.
 	TickMillis    int64 `toml:"tick_ms"`
 	ElectionTicks int   `toml:"election_ticks"`
-	// ConfigLeaseMillis is how long an entry may serve without hearing from
-	// the leader.
+	// ConfigLeaseMillis is how long an entry may serve without contact with the
+	// leader.
 	ConfigLeaseMillis int64 `toml:"config_lease_ms"`
 }
 
-// Admin are the settings of the admin API, served by control processes.
+// Admin holds the settings of the admin API, which control processes serve.
 type Admin struct {
 	Listen string `toml:"listen"`
-	// TokenFile holds the operators' bearer token.
+	// TokenFile names the file with the operators' bearer token.
 	TokenFile string `toml:"token_file"`
 }
 
-// Peers are the addresses and the secret of the system's own processes.
+// Peers holds the addresses and the secret of the system's own processes.
 type Peers struct {
-	// Listen is where this process takes calls of its peers, as IP:port.
+	// Listen is the address for calls from peers, as IP:port.
 	Listen string `toml:"listen"`
-	// Advertise is the address given to peers; default Listen.
+	// Advertise is the address announced to peers; default Listen.
 	Advertise string `toml:"advertise"`
 	// Control lists the peer addresses of all control processes.
 	Control []string `toml:"control"`
-	// TokenFile holds the secret between the system's own processes.
+	// TokenFile names the file with the secret that the system's own processes share.
 	TokenFile string `toml:"token_file"`
-	// Open runs without that secret on addresses that other machines reach.
+	// Open allows operation without that secret on addresses that other machines can reach.
 	Open bool `toml:"open"`
-	// SamePort takes only the hosts of Control and the port of Listen.
+	// SamePort replaces the port of each address in Control by the port of Listen.
 	SamePort bool `toml:"same_port"`
 }
 
-// Log are the settings of the log on standard output.
+// Log holds the settings of the log on standard output.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string `toml:"level"`
-	// Decisions writes a line for each routing and placement decision.
+	// Decisions enables a line for each routing and placement decision.
 	Decisions bool `toml:"decisions"`
-	// RequestLinesPerSecond bounds the lines about requests; 0 is no bound.
+	// RequestLinesPerSecond bounds the lines about requests; 0 means no limit.
 	RequestLinesPerSecond int `toml:"request_lines_per_second"`
 }
