--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -15,12 +15,12 @@
 	allowedAddress = "IP:port, such as 10.0.1.5:8080 or [fd00::5]:8080; names are not resolved"
 	allowedRole    = "entry.enabled = true, control.enabled = true, or both"
 
-	// maxBody keeps one caller from holding more memory than a small VM can
-	// spare; the limit is multiplied by the open requests.
+	// maxBodyBytes keeps one caller from using more memory than a small VM can
+	// spare: each open request may hold a body of that size.
 	maxBodyBytes = 64 << 20
-	// maxHeld is far past the memory of one small VM.
+	// maxHeldBytes is far above the memory of a small VM.
 	maxHeldBytes = 16 << 30
-	// maxOpenRequests is far past what one small VM relays.
+	// maxOpenRequests is far above what a small VM can relay.
 	maxOpenRequests = 1 << 20
 	hourMillis      = 3_600_000
 	minuteMillis    = 60_000
@@ -30,7 +30,8 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// checker notes the faults of settings that have the right types.
+// checker checks the values of settings that have the right types, and adds its
+// faults to the document. It skips a key that already has a fault.
 type checker struct{ *tomlfile.Document }
 
 func (s *Settings) check(d *tomlfile.Document) {
@@ -45,14 +46,14 @@
 	s.checkPeers(c)
 	s.checkAdapter(c)
 	if n := s.Log.RequestLinesPerSecond; n < 0 && !c.Has("log.request_lines_per_second") {
-		c.Fault("log.request_lines_per_second", strconv.Itoa(n), "0 or more; 0 is no bound")
+		c.Fault("log.request_lines_per_second", strconv.Itoa(n), "0 or more; 0 means no limit")
 	}
 	if level := s.Log.Level; !c.Has("log.level") && !slices.Contains(logLevels, level) {
 		c.Fault("log.level", quoted(level), strings.Join(logLevels, ", "))
 	}
 }
 
-// adapters are the kinds of adapter.
+// adapterKinds lists the values of adapter.kind.
 var adapterKinds = []string{"", "platform"}
 
 func (s *Settings) checkAdapter(c checker) {
@@ -98,7 +99,7 @@
 	k := s.Control
 	if k.Enabled {
 		if k.DataFolder == "" && !c.Has("control.data_folder") {
-			c.Fault("control.data_folder", "is missing", "a folder on a disk that outlives the process")
+			c.Fault("control.data_folder", "is missing", "a folder on a disk that keeps its data when the process ends")
 		}
 		c.checkAddress("admin.listen", s.Admin.Listen)
 		if !s.Peers.Open {
@@ -115,8 +116,9 @@
 	c.checkRange("control.stall_ms", k.StallMillis, 1, minuteMillis)
 	c.checkRange("control.tick_ms", k.TickMillis, 5, 1000)
 	c.checkRange("control.election_ticks", int64(k.ElectionTicks), 4, 100)
-	// A lease shorter than an election would close every entry at each change
-	// of leader; one over a minute would break "in force within seconds".
+	// With a lease shorter than an election, every entry would stop serving at
+	// each change of leader. With a lease over a minute, a change would no longer
+	// be in force within seconds.
 	election := k.TickMillis * int64(k.ElectionTicks)
 	c.checkRange("control.config_lease_ms", k.ConfigLeaseMillis, max(1, election), minuteMillis)
 }
@@ -136,7 +138,7 @@
 		key := "peers.control[" + strconv.Itoa(i) + "]"
 		c.checkAddress(key, address)
 		if address != "" && seen[address] {
-			c.Fault(key, quoted(address)+" stands twice", "each address once")
+			c.Fault(key, quoted(address)+" is listed twice", "each address once")
 		}
 		seen[address] = true
 	}
@@ -164,8 +166,9 @@
 	}
 }
 
-// advertised checks an address that others are told. A listener may stand on
-// all interfaces (0.0.0.0), but nobody can call that address.
+// checkAdvertised checks an address that this process announces to others. A
+// listener may use all interfaces (0.0.0.0), but no process can connect to that
+// address.
 func (c checker) checkAdvertised(key, value, listenKey string) {
 	if c.Has(key) || c.Has(listenKey) {
 		return
@@ -176,17 +179,17 @@
 	case err != nil:
 		c.Fault(key, quoted(value), allowedAddress)
 	case address.Addr().IsUnspecified():
-		c.Fault(key, quoted(value)+" can't be called by others", "the IP:port under which others reach "+listenKey)
+		c.Fault(key, quoted(value)+" can't be reached by other processes", "the IP:port at which other processes reach "+listenKey)
 	}
 }
 
-// tokenUnlessLoopback asks for a token where other machines can connect.
+// requireTokenUnlessLoopback requires a token file where other machines can connect.
 func (c checker) requireTokenUnlessLoopback(key, file, listen string) {
 	address, err := netip.ParseAddrPort(listen)
 	if c.Has(key) || file != "" || err != nil || address.Addr().IsLoopback() {
 		return
 	}
-	c.Fault(key, "is missing", "a file with the secret; only a loopback address goes without")
+	c.Fault(key, "is missing", "a file with the secret; only a loopback address needs none")
 }
 
 func (c checker) checkRange(key string, value, low, high int64) {
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -2,9 +2,9 @@
 
 import "path/filepath"
 
-// The defaults. Times are in milliseconds. The deadlines of progress are
-// several times what a healthy engine takes to answer, so that only a silent
-// one meets them.
+// The default values. The timeouts for the header, the first token and the token
+// gap are several times what a healthy engine needs, so that only an
+// unresponsive engine exceeds them.
 const (
 	DefaultMaxBodyBytes            = 1 << 20
 	DefaultMaxOpen                 = 4096
@@ -20,20 +20,22 @@
 	DefaultElectionTicks           = 10
 	DefaultConfigLeaseMillis       = 3_000
 	DefaultLogLevel                = "info"
-	// DefaultRequestLinesPerSecond is what 300 requests a second need with three
-	// lines each, a tenth of what a core writes in a second.
+	// DefaultRequestLinesPerSecond suffices for 300 requests per second with three
+	// lines each, and is a tenth of the lines that one core can write per second.
 	DefaultRequestLinesPerSecond = 1_000
 	DefaultRampMillis            = 10_000
 	DefaultReplaceAfterMillis    = 600_000
 	DefaultAnnounceMillis        = 400
 	DefaultDeadMillis            = 10_000
 	DefaultStallMillis           = 4_000
-	// DefaultRetryRatio bounds the load that retries add to a tenth.
+	// DefaultRetryRatio bounds the load that retries add to one tenth of the requests.
 	DefaultRetryRatio = 0.1
-	// DefaultRetrySlack lets an idle system retry at all.
+	// DefaultRetrySlack lets a system with few requests retry, where the ratio alone
+	// would allow none.
 	DefaultRetrySlack     = 50
 	DefaultEvacuateMillis = 5_000
-	// DefaultColdFactor leaves half of the stated rate for requests that come in bursts.
+	// DefaultColdFactor adds half of the service's rate for cold servers, to allow for
+	// bursts.
 	DefaultColdFactor = 1.5
 	DefaultColdSlack  = 1
 )
@@ -72,16 +74,16 @@
 	}
 }
 
-// The addresses of `citronstepd -dev`.
+// Addresses of `citronstepd -dev`.
 const (
 	DevCallers = "127.0.0.1:8080"
 	DevAdmin   = "127.0.0.1:8081"
 	DevPeers   = "127.0.0.1:8082"
 )
 
-// Dev returns the settings of one process that holds every role on the
-// loopback interface, with its state under folder. It needs no tokens, since
-// only programs of this machine reach it.
+// Dev returns the settings of one process that has every role, listens on the
+// loopback interface and keeps its state under folder. It needs no tokens,
+// because only programs on the same host can reach it.
 func Dev(folder string) *Settings {
 	s := defaults()
 	s.VM = "dev"
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -8,14 +8,14 @@
 	"github.com/citronstep/citronstep/internal/tomlfile"
 )
 
-// Fault is one thing wrong in a settings file.
+// Fault is one error in a settings file.
 type Fault = tomlfile.Fault
 
-// Faults are all the faults of a settings file.
+// Faults holds all errors in a settings file.
 type Faults = tomlfile.Faults
 
-// Load reads and checks the settings file at path and the token files that
-// it names. The error is of type Faults and holds every fault.
+// Load reads and checks the settings file at path and the token files that the
+// settings name. The error is of type Faults and holds every fault.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -31,8 +31,9 @@
 	return s, nil
 }
 
-// Parse checks settings without a look at the files that they name. name is
-// the file's name in faults; relative paths in data start from its folder.
+// Parse decodes and checks settings without access to the files that they name.
+// name is the file's name in faults. Relative paths in data are relative to the
+// folder of name. The error is of type Faults and holds every fault.
 func Parse(name string, data []byte) (*Settings, error) {
 	s, document := decode(name, data)
 	if faults := document.Faults(); len(faults) > 0 {
@@ -52,9 +53,9 @@
 	return s, document
 }
 
-// derive fills what follows from other settings. Relative paths start from
-// the settings file's folder, so that the daemon's working folder is of no
-// account.
+// fillDerived sets the settings whose values follow from others. It resolves
+// relative paths against the settings file's folder, so that the daemon's working
+// directory does not matter.
 func (s *Settings) fillDerived(folder string) {
 	if s.Entry.Advertise == "" {
 		s.Entry.Advertise = s.Entry.Listen
@@ -76,8 +77,9 @@
 	}
 }
 
-// takeOwnPort gives each control address the port that this process listens on
-// for its peers. An address that is none stays as it is, for the check to name.
+// applyOwnPort sets the port of each control address to the port at which this
+// process listens for its peers. It leaves an invalid address unchanged, so that
+// check reports it.
 func (p *Peers) applyOwnPort() {
 	own, err := netip.ParseAddrPort(p.Listen)
 	if err != nil {
@@ -90,7 +92,8 @@
 	}
 }
 
-// fillTimes takes 0 for the default where 0 itself makes no sense.
+// replaceZeroDurations replaces 0 by the default in the settings where a duration
+// of 0 makes no sense.
 func (s *Settings) replaceZeroDurations() {
 	for _, t := range []struct {
 		field *int64
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -37,9 +37,9 @@
 	assert.Equal(t, s.Peers.TokenFile, "/etc/citronstep/peers.token")
 }
 
-// An operator mends a file that has several faults. With one fault a run he
-// needs a run a fault; all of them, in the order of the file, need one.
-func TestEveryFaultAtOnce(t *testing.T) {
+// Guards against one fault reported per run: an operator would need a run for each fault
+// of a file. Parse must report all faults at once, in the order of the file.
+func TestParseReportsAllFaults(t *testing.T) {
 	const broken = `vm = "entry 1"
 speed = 3
 
@@ -84,14 +84,14 @@
 	})
 }
 
-func TestBrokenSyntaxNamesTheLine(t *testing.T) {
+func TestSyntaxErrorNamesTheLine(t *testing.T) {
 	_, err := Parse("a.toml", []byte("vm = \"x\"\ndata_centre = \n"))
 	assert.ErrorContains(t, err, "a.toml:2:")
 	assert.ErrorContains(t, err, "valid TOML")
 }
 
-// A control VM without a disk folder would keep its votes nowhere and could
-// vote twice in one term after a restart; the daemon must not start.
+// Guards against a control process that votes twice in one term after a restart, because
+// without a data folder it has not stored its votes. The daemon must not start.
 func TestControlNeedsDataFolderAndAdmin(t *testing.T) {
 	_, err := Parse("a.toml", []byte(minimalSettings+"\n[control]\nenabled = true\n"))
 	assert.ErrorContains(t, err, "control.data_folder: is missing")
@@ -125,7 +125,7 @@
 	assert.Equal(t, read, "secret")
 }
 
-func TestLoadOfAMissingFileIsAFault(t *testing.T) {
+func TestLoadReportsMissingFileAsFault(t *testing.T) {
 	_, err := Load(filepath.Join(t.TempDir(), "none.toml"))
 	var faults Faults
 	assert.Assert(t, errors.As(err, &faults))
--- a/internal/settings/token.go
+++ b/internal/settings/token.go
@@ -10,7 +10,7 @@
 	"github.com/citronstep/citronstep/internal/tomlfile"
 )
 
-// The ways in which a token file is refused.
+// Reasons to refuse a token file.
 const (
 	ErrTokenEmpty         = errors.ConstError("the file holds no token")
 	ErrTokenWorldReadable = errors.ConstError("the file can be read by every user of the machine")
@@ -22,9 +22,9 @@
 	worldReadableBit = fs.FileMode(0o004)
 )
 
-// ReadToken returns the token in the file at path, without the white space
-// around it. A file that every user of the machine can read is refused: its
-// token is no secret.
+// ReadToken returns the token on the first line of the file at path, without
+// surrounding white space. It refuses a file that every user of the machine can
+// read, because its token is not secret.
 func ReadToken(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -64,7 +64,8 @@
 	}
 }
 
-// pathProblem returns why a file could not be used, without its path.
+// fileErrorText returns the reason why a file could not be used, without the
+// file's path.
 func fileErrorText(err error) string {
 	var path *fs.PathError
 	if errors.As(err, &path) {
