--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -2,7 +2,7 @@
 package settings
 
 // Settings holds the settings of one process. The process reads them at start,
-// and applies some of their changes while it runs.
+// and applies changes of Peers.Control while it runs.
 type Settings struct {
 	// VM is the stable name of the VM on which the process runs.
 	VM         string  `toml:"vm"`
