--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -11,16 +11,18 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Document is a decoded document, kept to name the place of later faults.
+// Document is a decoded document. It keeps the positions of its keys, so that
+// faults found after decoding name a line and column.
 type Document struct {
 	file      string
 	positions *positions
 	faults    Faults
 }
 
-// Decode fills into, a pointer to a struct with toml tags, from data. Values
-// already in the struct are defaults. Keys that the struct lacks and values
-// of a wrong type are faults of the returned document.
+// Decode decodes data into the struct with toml tags that into points to. Values
+// already in the struct are defaults. file is the document's name in faults. A
+// syntax error, a key that the struct lacks and a value of a wrong type are faults
+// of the returned document.
 func Decode(file string, data []byte, into any) *Document {
 	d := &Document{file: file}
 	tree := map[string]any{}
@@ -44,7 +46,8 @@
 	return fault
 }
 
-// Fault adds a fault at key, or at its nearest table when the key is absent.
+// Fault adds a fault at the position of key, or of its nearest enclosing table if
+// the key is absent.
 func (d *Document) Fault(key, message, allowed string) {
 	at := d.positions.lookup(key)
 	d.faults = append(d.faults, Fault{
@@ -52,8 +55,8 @@
 	})
 }
 
-// Has tells whether a fault of this very key is noted already, so that a
-// value of a wrong type is not also reported as missing.
+// Has reports whether the document already has a fault for exactly this key. Checks
+// use it so that a value of a wrong type is not also reported as missing.
 func (d *Document) Has(key string) bool {
 	for _, f := range d.faults {
 		if f.Key == key {
@@ -63,18 +66,19 @@
 	return false
 }
 
-// SyntaxBroken tells whether the document is no TOML, so that its values say
-// nothing.
+// SyntaxBroken reports whether the document has a syntax error, so that none of its
+// values was decoded.
 func (d *Document) SyntaxBroken() bool {
 	return len(d.faults) == 1 && d.faults[0].Allowed == "valid TOML"
 }
 
-// Faults returns what was found so far, in the order of the file.
+// Faults returns the faults found so far, ordered by their position in the file.
 func (d *Document) Faults() Faults {
 	d.faults.Sort()
 	return d.faults
 }
 
+// fillStruct sets the fields of the struct to from tree, the table named table.
 func (d *Document) fillStruct(table string, to reflect.Value, tree map[string]any) {
 	fields := fieldsByKey(to)
 	for _, key := range sortedKeys(tree) {
@@ -87,6 +91,7 @@
 	}
 }
 
+// fill sets to from the decoded value of key, or adds a fault for a wrong type.
 func (d *Document) fill(key string, to reflect.Value, value any) {
 	switch to.Kind() {
 	case reflect.Pointer:
@@ -134,7 +139,7 @@
 	to.Set(filled)
 }
 
-// setScalar sets to from value and tells whether the type and range fit.
+// setScalar sets to from value, and reports whether the type and range match.
 func setScalar(to reflect.Value, value any) bool {
 	switch v := value.(type) {
 	case string:
@@ -169,6 +174,7 @@
 	return false
 }
 
+// kindName describes the TOML type that a field of type t accepts.
 func kindName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
@@ -191,7 +197,7 @@
 	}
 }
 
-// fieldsByKey returns the fields of a struct by their toml keys.
+// fieldsByKey maps the toml keys of a struct to its fields.
 func fieldsByKey(s reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value, s.NumField())
 	for i := range s.NumField() {
--- a/internal/tomlfile/fault.go
+++ b/internal/tomlfile/fault.go
@@ -1,9 +1,9 @@
-// Package tomlfile decodes TOML documents strictly and reports every fault of
-// a document at once, each with file, line, key and what is allowed.
+// Package tomlfile decodes TOML documents strictly and reports all faults of a
+// document at once, each with its file, line, key and the allowed values.
 //
-// The TOML library stops at the first value of a wrong type. An operator who
-// mends a file wants all of them, so the values are matched to the Go type
-// here; syntax is the library's.
+// The TOML library stops at the first value of a wrong type, but an operator who
+// corrects a file needs all faults. The library therefore parses only the syntax,
+// and this package matches the values to the Go types.
 package tomlfile
 
 import (
@@ -12,20 +12,20 @@
 	"strings"
 )
 
-// Fault is one thing wrong in a document.
+// Fault is one error in a document.
 type Fault struct {
 	File string
-	// Line and Column count from 1; 0 means that the fault has no place in
-	// the file, as a missing file has none.
+	// Line and Column count from 1. They are 0 if the fault has no position, as
+	// for a missing file.
 	Line, Column int
 	// Key is the full key, such as "entry.listen" or "workspace[1].name".
 	Key     string
 	Message string
-	// Allowed says what the key takes.
+	// Allowed describes the values that the key accepts.
 	Allowed string
 }
 
-// Error returns the fault as one line, file and line first.
+// Error returns the fault as one line that begins with the file and position.
 func (f Fault) Error() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -43,10 +43,10 @@
 	return b.String()
 }
 
-// Faults are all faults of one document. Only a non-empty list is an error.
+// Faults holds all faults of one document. Only a non-empty list is an error; see OrNil.
 type Faults []Fault
 
-// Error returns one line a fault.
+// Error returns one line per fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -55,7 +55,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// OrNil returns f as an error, or nil when there is no fault.
+// OrNil returns f as an error, or nil if there is no fault.
 func (f Faults) OrNil() error {
 	if len(f) == 0 {
 		return nil
@@ -63,7 +63,7 @@
 	return f
 }
 
-// Sort orders the faults by their place in the file.
+// Sort sorts the faults by their position in the file.
 func (f Faults) Sort() {
 	sort.SliceStable(f, func(i, j int) bool {
 		if f[i].Line != f[j].Line {
--- a/internal/tomlfile/positions.go
+++ b/internal/tomlfile/positions.go
@@ -8,18 +8,18 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// place is a position in a document, counted from 1.
+// position is a line and column in a document, both counted from 1.
 type position struct{ line, column int }
 
-// places maps each full key of a document to where it stands.
+// positions maps each full key of a document to its position.
 type positions struct {
 	document []byte
 	byKey    map[string]position
-	// arrays counts the elements seen of each array of tables.
+	// elementCounts counts the elements read so far of each array of tables.
 	elementCounts map[string]int
 }
 
-// findPlaces reads the keys' positions from a document of valid syntax.
+// findPositions returns the positions of all keys of a document with valid syntax.
 func findPositions(document []byte) *positions {
 	p := &positions{document: document, byKey: map[string]position{}, elementCounts: map[string]int{}}
 	parser := unstable.Parser{}
@@ -39,6 +39,8 @@
 	return p
 }
 
+// recordElement records the header of an element of an array of tables, and returns
+// the element's full key.
 func (p *positions) recordElement(node *unstable.Node) string {
 	parts, offset := keyParts(node)
 	last := len(parts) - 1
@@ -52,6 +54,7 @@
 	return key
 }
 
+// recordKeyValue records a key under table, and the keys of its inline table, if any.
 func (p *positions) recordKeyValue(table string, node *unstable.Node) {
 	key := p.record(table, node)
 	value := node.Value()
@@ -64,7 +67,8 @@
 	}
 }
 
-// record notes the node's key, and each table on the way to it, under table.
+// record records the node's key, and each table in its dotted path, under table. It
+// returns the full key.
 func (p *positions) record(table string, node *unstable.Node) string {
 	parts, offset := keyParts(node)
 	key := table
@@ -77,8 +81,8 @@
 	return key
 }
 
-// resolve joins parts to table and names the last element of each array of
-// tables on the way, as TOML reads [a.b] after [[a]].
+// resolve returns the full key of parts under table. For each array of tables in the
+// path it takes the last element, as TOML interprets [a.b] after [[a]].
 func (p *positions) resolve(table string, parts []string) string {
 	key := table
 	for _, part := range parts {
@@ -90,7 +94,8 @@
 	return key
 }
 
-// of returns where key stands, or its nearest table when it is absent.
+// lookup returns the position of key, or of its nearest enclosing table if the key is
+// absent. Without either, it returns the beginning of the document.
 func (p *positions) lookup(key string) position {
 	for key != "" {
 		if at, ok := p.byKey[key]; ok {
@@ -105,6 +110,7 @@
 	return position{line: 1, column: 1}
 }
 
+// positionAt converts a byte offset to a position.
 func (p *positions) positionAt(offset int) position {
 	before := p.document[:offset]
 	return position{
@@ -113,7 +119,7 @@
 	}
 }
 
-// keyParts returns the parts of the node's dotted key and its offset.
+// keyParts returns the parts of the node's dotted key and the key's byte offset.
 func keyParts(node *unstable.Node) (parts []string, offset int) {
 	keys := node.Key()
 	for keys.Next() {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -23,7 +23,7 @@
 	Worth map[string]int `toml:"worth"`
 }
 
-func TestValuesReachTheirFields(t *testing.T) {
+func TestDecodeSetsFields(t *testing.T) {
 	s := sample{Count: 7}
 	d := Decode("f", []byte(`
 name = "a"
@@ -44,9 +44,9 @@
 	assert.Equal(t, s.Rows[1].Worth["high"], 9)
 }
 
-// An operator is told a line and looks there. A fault in the second of two
-// tables of one name must not point at the first, nor one in an inline table
-// at the end of the file.
+// Guards against faults that lead an operator to a wrong line. A fault in the second of
+// two tables with one name must not point at the first table, and a fault in an inline
+// table must not point at the end of the file.
 func TestFaultsPointAtTheirKeys(t *testing.T) {
 	cases := map[string]string{
 		"count = \"1\"":                                           "f:1:1: count: wrong type; allowed: a whole number",
@@ -72,7 +72,8 @@
 	}
 }
 
-func TestAnyBytesGiveFaultsAndNoPanic(t *testing.T) {
+// Guards against a panic on an invalid document, cut or altered at any byte.
+func TestDecodeNeverPanics(t *testing.T) {
 	const text = "name = \"a\"\n[[row]]\nworth = { a = 1 }\n[sub]\nx = 1\n"
 	for cut := range len(text) {
 		for _, b := range []byte{0, '[', ']', '"', '=', '{', '\n', 0xff} {
