--- a/cmd/citronstep/main.go
+++ b/cmd/citronstep/main.go
@@ -1,5 +1,5 @@
-// Command citronstep is the operators' tool. It speaks to the admin API of the
-// control processes and, for `load`, to the entries; it keeps no state.
+// Command citronstep is the operators' command-line tool. It calls the admin API of
+// the control processes and, for `load`, the entries. It keeps no state.
 package main
 
 import (
--- a/cmd/citronstepd/dev.go
+++ b/cmd/citronstepd/dev.go
@@ -21,7 +21,7 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// What -dev starts.
+// The backend servers, models and keys that -dev starts with.
 const (
 	devEngines       = 4
 	devVMsPerReplica = 2
@@ -32,8 +32,8 @@
 	devLoadTime      = 100 * time.Millisecond
 )
 
-// runDev runs all roles and stand-in backend servers in one process, with its
-// state in a folder that goes when it ends.
+// runDev runs all roles and stand-in backend servers in one process. The process
+// keeps its state in a temporary folder and removes the folder when it ends.
 func runDev() int {
 	folder, err := os.MkdirTemp("", "citronstep-dev-")
 	if err != nil {
@@ -56,8 +56,8 @@
 	return p.serve()
 }
 
-// startDev founds the cluster, starts the stand-ins and waits until the first
-// group serves.
+// startDev bootstraps the cluster, starts the stand-ins and waits until all groups
+// serve. It returns a function that closes the stand-ins, also with an error.
 func startDev(ctx context.Context, s *settings.Settings, logger log.Logger) (func(), error) {
 	var closers []func()
 	closeAll := func() {
@@ -92,12 +92,14 @@
 	return closeAll, nil
 }
 
+// devServerOptions returns the options that all stand-in backend servers share.
 func devServerOptions(s *settings.Settings, id string) standin.Common {
 	return standin.Common{
 		ID: id, Entries: []string{s.Entry.Advertise}, DataCentre: s.DataCentre, FabricDomain: "dev-domain",
 	}
 }
 
+// devConfiguration returns the initial configuration of the development cluster.
 func devConfiguration() blackboard.ConfigChange {
 	return blackboard.ConfigChange{
 		ChangeID:   "dev",
@@ -114,6 +116,7 @@
 	}
 }
 
+// bootstrapDevCluster bootstraps the cluster through the admin API.
 func bootstrapDevCluster(ctx context.Context, s *settings.Settings) error {
 	body, err := json.Marshal(adminapi.InitRequest{Initial: devConfiguration()})
 	if err != nil {
@@ -138,13 +141,14 @@
 	return refused.Error
 }
 
-// Times of waiting for the first group.
+// The interval and limit of the wait for all groups.
 const (
 	devGroupPollInterval = 50 * time.Millisecond
 	devGroupTimeout      = 20 * time.Second
 )
 
-// devReady waits until all groups serve. The process serves meanwhile.
+// awaitDevGroups waits until all groups serve, for at most devGroupTimeout. The
+// process already serves calls during the wait.
 func awaitDevGroups(ctx context.Context, s *settings.Settings) error {
 	ctx, cancel := context.WithTimeout(ctx, devGroupTimeout)
 	defer cancel()
@@ -160,6 +164,7 @@
 	}
 }
 
+// devGroupsServing reports whether all groups are routable according to the admin API.
 func devGroupsServing(ctx context.Context, s *settings.Settings) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Admin.Listen+adminapi.PathStatus, nil)
 	if err != nil {
--- a/cmd/citronstepd/main.go
+++ b/cmd/citronstepd/main.go
@@ -1,5 +1,5 @@
-// Command citronstepd is the daemon of citronstep. One settings file says
-// which roles the process has; -dev runs them all, with stand-ins, in one
+// Command citronstepd is the daemon of citronstep. A settings file selects the roles
+// of the process. With -dev it runs all roles and stand-in backend servers in one
 // process.
 package main
 
@@ -30,10 +30,11 @@
 	exitDrainIncomplete = 3
 )
 
-// logs takes the log to standard output without ever waiting for its reader.
+// logOutput writes the log to standard output. A slow reader of the log never blocks
+// the process.
 var logOutput = logsink.New(os.Stdout)
 
-// closeTimeout bounds the wait for a reader of the log at the end.
+// logFlushTimeout bounds the wait for the reader of the log at exit.
 const logFlushTimeout = time.Second
 
 func main() {
@@ -53,14 +54,14 @@
 func run() int {
 	file := flag.String("settings", "", "TOML `file` with the settings of this process")
 	check := flag.Bool("check", false, "check the settings and exit")
-	recoverState := flag.Bool("recover", false, "make the data folder of this stopped control process the start of a new cluster, and exit; a last resort (docs/operators/quorum-lost.md)")
+	recoverState := flag.Bool("recover", false, "bootstrap a new cluster from the data folder of this stopped control process, and exit; a last resort (docs/operators/quorum-lost.md)")
 	dev := flag.Bool("dev", false, "run all roles and stand-in backend servers in this process")
 	flag.Parse()
 	switch {
 	case *dev:
 		return runDev()
 	case *file == "":
-		fmt.Fprintln(os.Stderr, "citronstepd: -settings FILE or -dev is needed")
+		fmt.Fprintln(os.Stderr, "citronstepd: -settings FILE or -dev is required")
 		flag.Usage()
 		return exitUsage
 	}
@@ -79,7 +80,8 @@
 	return runNode(s, *file)
 }
 
-// recoverFolder is for the loss of a majority of the control disks.
+// recoverFolder bootstraps a new cluster from this process's data folder, after the
+// loss of a majority of the control disks. It returns the exit code.
 func recoverFolder(s *settings.Settings) int {
 	r, err := node.Recover(s)
 	if err != nil {
@@ -97,20 +99,20 @@
 	return level.NewFilter(logger, level.Allow(level.ParseDefault(name, level.InfoValue())))
 }
 
-// process is a running node and what ends it.
+// process is a running node, with the signals and functions that stop it.
 type process struct {
 	node          *node.Node
 	settings      *settings.Settings
 	logger        log.Logger
 	stopSignals   chan os.Signal
 	reloadSignals chan os.Signal
-	// file is where the settings came from; empty for -dev.
+	// file is the path of the settings file; empty for -dev.
 	file string
 	done chan error
 	stop context.CancelFunc
 }
 
-// startNode makes the node of the settings and runs it.
+// startNode creates a node with these settings and starts it.
 func startNode(s *settings.Settings, file string) (*process, error) {
 	logger := log.With(newLogger(s.Log.Level), "vm", s.VM)
 	reportInvariants(logger)
@@ -131,7 +133,7 @@
 	return p, nil
 }
 
-// adapterOf returns the adapter that the settings name.
+// adapterOf returns the adapter that the settings name, or a zero Adapter for none.
 func adapterOf(s *settings.Settings) node.Adapter {
 	if s.Adapter.Kind == platform.Kind {
 		return platform.Adapter()
@@ -139,8 +141,9 @@
 	return node.Adapter{}
 }
 
-// runNode serves until a signal. The first SIGTERM or SIGINT stops gracefully;
-// a second one, or the settings' limit, ends the process at once.
+// runNode serves until a signal and returns the exit code. The first SIGTERM or
+// SIGINT starts a graceful stop. A second signal, or the time limit in the settings,
+// ends the process at once.
 func runNode(s *settings.Settings, file string) int {
 	p, err := startNode(s, file)
 	if err != nil {
@@ -149,7 +152,7 @@
 	return p.serve()
 }
 
-// serve waits for a signal or a failure and ends the node.
+// serve waits for a signal or a failure, stops the node and returns the exit code.
 func (p *process) serve() int {
 	code := 0
 	select {
@@ -171,6 +174,8 @@
 	return code
 }
 
+// drain stops the node gracefully, until entry.drain_ms or a second signal, and
+// returns the exit code.
 func (p *process) drain() int {
 	_ = level.Info(p.logger).Log("event", "drain", "limit_ms", p.settings.Entry.DrainMillis)
 	limit := time.Duration(p.settings.Entry.DrainMillis) * time.Millisecond
@@ -190,6 +195,7 @@
 	return 0
 }
 
+// reportInvariants makes broken invariants appear in the log.
 func reportInvariants(logger log.Logger) {
 	invariant.SetReporter(func(v invariant.Violation) {
 		_ = level.Error(logger).Log("event", "invariant_broken", "name", v.Name, "detail", v.Detail)
--- a/cmd/citronstepd/reload.go
+++ b/cmd/citronstepd/reload.go
@@ -11,12 +11,13 @@
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
-// reloadInterval is how often the settings file is looked at: platforms may
-// change it without a signal.
+// reloadInterval is the interval at which the settings file is checked for changes,
+// because platforms may change it without a signal.
 const reloadInterval = 2 * time.Second
 
-// reloadLoop takes in changes of the settings file, on SIGHUP at once. Only
-// what can change in a running process is taken; the rest waits for a restart.
+// reloadLoop applies changes of the settings file: every reloadInterval, and at once
+// on SIGHUP. It applies only settings that a running process can change; the others
+// take effect at the next restart.
 func (p *process) reloadLoop(ctx context.Context) {
 	if p.file == "" {
 		return
@@ -40,8 +41,9 @@
 	}
 }
 
-// reload reads the file and returns what it holds. A file that is not good
-// changes nothing, and is read again when it changes.
+// reload reads the settings file, applies it if it has changed or isForced is set,
+// and returns the file's content. An invalid file changes nothing; reload tries again
+// after its next change. If the file can't be read, reload returns current.
 func (p *process) reload(current []byte, isForced bool) []byte {
 	data, err := os.ReadFile(p.file)
 	if err != nil {
