--- a/cmd/citronstepd/dev.go
+++ b/cmd/citronstepd/dev.go
@@ -21,7 +21,7 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// What -dev starts.
+// The backend servers, models and keys that -dev starts with.
 const (
 	devEngines       = 4
 	devVMsPerReplica = 2
@@ -32,8 +32,8 @@
 	devLoadTime      = 100 * time.Millisecond
 )
 
-// runDev runs all roles and stand-in backend servers in one process, with its
-// state in a folder that goes when it ends.
+// runDev runs all roles and stand-in backend servers in one process. The process
+// keeps its state in a temporary folder and removes the folder when it ends.
 func runDev() int {
 	folder, err := os.MkdirTemp("", "citronstep-dev-")
 	if err != nil {
@@ -56,8 +56,8 @@
 	return p.serve()
 }
 
-// startDev founds the cluster, starts the stand-ins and waits until the first
-// group serves.
+// startDev bootstraps the cluster, starts the stand-ins and waits until all groups
+// serve. It returns a function that closes the stand-ins, also with an error.
 func startDev(ctx context.Context, s *settings.Settings, logger log.Logger) (func(), error) {
 	var closers []func()
 	closeAll := func() {
@@ -65,12 +65,12 @@
 			c()
 		}
 	}
-	if err := devFound(ctx, s); err != nil {
+	if err := bootstrapDevCluster(ctx, s); err != nil {
 		return closeAll, errors.Trace(err)
 	}
 	for i := range devEngines {
 		e, err := standin.StartEngine(ctx, standin.EngineOptions{
-			Common:        devCommon(s, fmt.Sprintf("engine-%d", i)),
+			Common:        devServerOptions(s, fmt.Sprintf("engine-%d", i)),
 			TokenInterval: devTokenInterval, LoadTime: devLoadTime,
 		})
 		if err != nil {
@@ -79,25 +79,27 @@
 		closers = append(closers, e.Close)
 	}
 	service, err := standin.StartService(ctx, standin.ServiceOptions{
-		Common: devCommon(s, devService+"-0"), Name: devService,
+		Common: devServerOptions(s, devService+"-0"), Name: devService,
 	})
 	if err != nil {
 		return closeAll, errors.Trace(err)
 	}
 	closers = append(closers, service.Close)
-	if err := devReady(ctx, s); err != nil {
+	if err := awaitDevGroups(ctx, s); err != nil {
 		return closeAll, errors.Trace(err)
 	}
 	_ = level.Info(logger).Log("event", "dev_ready", "callers", s.Entry.Listen, "admin", s.Admin.Listen, "key", devKey, "model", devModel)
 	return closeAll, nil
 }
 
-func devCommon(s *settings.Settings, id string) standin.Common {
+// devServerOptions returns the options that all stand-in backend servers share.
+func devServerOptions(s *settings.Settings, id string) standin.Common {
 	return standin.Common{
 		ID: id, Entries: []string{s.Entry.Advertise}, DataCentre: s.DataCentre, FabricDomain: "dev-domain",
 	}
 }
 
+// devConfiguration returns the initial configuration of the development cluster.
 func devConfiguration() blackboard.ConfigChange {
 	return blackboard.ConfigChange{
 		ChangeID:   "dev",
@@ -114,7 +116,8 @@
 	}
 }
 
-func devFound(ctx context.Context, s *settings.Settings) error {
+// bootstrapDevCluster bootstraps the cluster through the admin API.
+func bootstrapDevCluster(ctx context.Context, s *settings.Settings) error {
 	body, err := json.Marshal(adminapi.InitRequest{Initial: devConfiguration()})
 	if err != nil {
 		return errors.Trace(err)
@@ -138,29 +141,31 @@
 	return refused.Error
 }
 
-// Times of waiting for the first group.
+// The interval and limit of the wait for all groups.
 const (
-	devReadyPoll = 50 * time.Millisecond
-	devReadyWait = 20 * time.Second
+	devGroupPollInterval = 50 * time.Millisecond
+	devGroupTimeout      = 20 * time.Second
 )
 
-// devReady waits until all groups serve. The process serves meanwhile.
-func devReady(ctx context.Context, s *settings.Settings) error {
-	ctx, cancel := context.WithTimeout(ctx, devReadyWait)
+// awaitDevGroups waits until all groups serve, for at most devGroupTimeout. The
+// process already serves calls during the wait.
+func awaitDevGroups(ctx context.Context, s *settings.Settings) error {
+	ctx, cancel := context.WithTimeout(ctx, devGroupTimeout)
 	defer cancel()
 	for {
-		if devServing(ctx, s) {
+		if devGroupsServing(ctx, s) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return errors.Trace(ctx.Err())
-		case <-time.After(devReadyPoll):
+		case <-time.After(devGroupPollInterval):
 		}
 	}
 }
 
-func devServing(ctx context.Context, s *settings.Settings) bool {
+// devGroupsServing reports whether all groups are routable according to the admin API.
+func devGroupsServing(ctx context.Context, s *settings.Settings) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Admin.Listen+adminapi.PathStatus, nil)
 	if err != nil {
 		return false
--- a/cmd/citronstepd/main.go
+++ b/cmd/citronstepd/main.go
@@ -1,5 +1,5 @@
-// Command citronstepd is the daemon of citronstep. One settings file says
-// which roles the process has; -dev runs them all, with stand-ins, in one
+// Command citronstepd is the daemon of citronstep. A settings file selects the roles
+// of the process. With -dev it runs all roles and stand-in backend servers in one
 // process.
 package main
 
@@ -25,27 +25,28 @@
 
 // Exit codes.
 const (
-	exitFailure  = 1
-	exitUsage    = 2
-	exitCutShort = 3
+	exitFailure         = 1
+	exitUsage           = 2
+	exitDrainIncomplete = 3
 )
 
-// logs takes the log to standard output without ever waiting for its reader.
-var logs = logsink.New(os.Stdout)
+// logOutput writes the log to standard output. A slow reader of the log never blocks
+// the process.
+var logOutput = logsink.New(os.Stdout)
 
-// closeTimeout bounds the wait for a reader of the log at the end.
-const closeTimeout = time.Second
+// logFlushTimeout bounds the wait for the reader of the log at exit.
+const logFlushTimeout = time.Second
 
 func main() {
 	code := run()
 	closed := make(chan struct{})
 	go func() {
-		logs.Close()
+		logOutput.Close()
 		close(closed)
 	}()
 	select {
 	case <-closed:
-	case <-time.After(closeTimeout):
+	case <-time.After(logFlushTimeout):
 	}
 	os.Exit(code)
 }
@@ -53,14 +54,14 @@
 func run() int {
 	file := flag.String("settings", "", "TOML `file` with the settings of this process")
 	check := flag.Bool("check", false, "check the settings and exit")
-	recoverState := flag.Bool("recover", false, "make the data folder of this stopped control process the start of a new cluster, and exit; a last resort (docs/operators/quorum-lost.md)")
+	recoverState := flag.Bool("recover", false, "bootstrap a new cluster from the data folder of this stopped control process, and exit; a last resort (docs/operators/quorum-lost.md)")
 	dev := flag.Bool("dev", false, "run all roles and stand-in backend servers in this process")
 	flag.Parse()
 	switch {
 	case *dev:
 		return runDev()
 	case *file == "":
-		fmt.Fprintln(os.Stderr, "citronstepd: -settings FILE or -dev is needed")
+		fmt.Fprintln(os.Stderr, "citronstepd: -settings FILE or -dev is required")
 		flag.Usage()
 		return exitUsage
 	}
@@ -79,7 +80,8 @@
 	return runNode(s, *file)
 }
 
-// recoverFolder is for the loss of a majority of the control disks.
+// recoverFolder bootstraps a new cluster from this process's data folder, after the
+// loss of a majority of the control disks. It returns the exit code.
 func recoverFolder(s *settings.Settings) int {
 	r, err := node.Recover(s)
 	if err != nil {
@@ -92,25 +94,25 @@
 }
 
 func newLogger(name string) log.Logger {
-	logger := log.NewLogfmtLogger(logs)
+	logger := log.NewLogfmtLogger(logOutput)
 	logger = log.With(logger, "ts", log.DefaultTimestampUTC)
 	return level.NewFilter(logger, level.Allow(level.ParseDefault(name, level.InfoValue())))
 }
 
-// process is a running node and what ends it.
+// process is a running node, with the signals and functions that stop it.
 type process struct {
-	node     *node.Node
-	settings *settings.Settings
-	logger   log.Logger
-	signals  chan os.Signal
-	reloads  chan os.Signal
-	// file is where the settings came from; empty for -dev.
+	node          *node.Node
+	settings      *settings.Settings
+	logger        log.Logger
+	stopSignals   chan os.Signal
+	reloadSignals chan os.Signal
+	// file is the path of the settings file; empty for -dev.
 	file string
 	done chan error
 	stop context.CancelFunc
 }
 
-// startNode makes the node of the settings and runs it.
+// startNode creates a node with these settings and starts it.
 func startNode(s *settings.Settings, file string) (*process, error) {
 	logger := log.With(newLogger(s.Log.Level), "vm", s.VM)
 	reportInvariants(logger)
@@ -122,16 +124,16 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p := &process{
 		node: n, settings: s, logger: logger, stop: stop,
-		signals: make(chan os.Signal, 2), reloads: make(chan os.Signal, 1), done: make(chan error, 1), file: file,
+		stopSignals: make(chan os.Signal, 2), reloadSignals: make(chan os.Signal, 1), done: make(chan error, 1), file: file,
 	}
-	signal.Notify(p.signals, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(p.reloads, syscall.SIGHUP)
+	signal.Notify(p.stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(p.reloadSignals, syscall.SIGHUP)
 	go p.reloadLoop(ctx)
 	go func() { p.done <- n.Run(ctx) }()
 	return p, nil
 }
 
-// adapterOf returns the adapter that the settings name.
+// adapterOf returns the adapter that the settings name, or a zero Adapter for none.
 func adapterOf(s *settings.Settings) node.Adapter {
 	if s.Adapter.Kind == platform.Kind {
 		return platform.Adapter()
@@ -139,8 +141,9 @@
 	return node.Adapter{}
 }
 
-// runNode serves until a signal. The first SIGTERM or SIGINT stops gracefully;
-// a second one, or the settings' limit, ends the process at once.
+// runNode serves until a signal and returns the exit code. The first SIGTERM or
+// SIGINT starts a graceful stop. A second signal, or the time limit in the settings,
+// ends the process at once.
 func runNode(s *settings.Settings, file string) int {
 	p, err := startNode(s, file)
 	if err != nil {
@@ -149,11 +152,11 @@
 	return p.serve()
 }
 
-// serve waits for a signal or a failure and ends the node.
+// serve waits for a signal or a failure, stops the node and returns the exit code.
 func (p *process) serve() int {
 	code := 0
 	select {
-	case <-p.signals:
+	case <-p.stopSignals:
 		code = p.drain()
 		p.stop()
 		if err := <-p.done; err != nil {
@@ -171,6 +174,8 @@
 	return code
 }
 
+// drain stops the node gracefully, until entry.drain_ms or a second signal, and
+// returns the exit code.
 func (p *process) drain() int {
 	_ = level.Info(p.logger).Log("event", "drain", "limit_ms", p.settings.Entry.DrainMillis)
 	limit := time.Duration(p.settings.Entry.DrainMillis) * time.Millisecond
@@ -178,18 +183,19 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-p.signals:
+		case <-p.stopSignals:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	if !p.node.Drain(ctx) {
 		_ = level.Warn(p.logger).Log("event", "drain_cut_short")
-		return exitCutShort
+		return exitDrainIncomplete
 	}
 	return 0
 }
 
+// reportInvariants makes broken invariants appear in the log.
 func reportInvariants(logger log.Logger) {
 	invariant.SetReporter(func(v invariant.Violation) {
 		_ = level.Error(logger).Log("event", "invariant_broken", "name", v.Name, "detail", v.Detail)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -8,18 +8,18 @@
 	"github.com/citronstep/citronstep/internal/tomlfile"
 )
 
-// Fault is one thing wrong in a settings file.
+// Fault is one error in a settings file.
 type Fault = tomlfile.Fault
 
-// Faults are all the faults of a settings file.
+// Faults holds all errors in a settings file.
 type Faults = tomlfile.Faults
 
-// Load reads and checks the settings file at path and the token files that
-// it names. The error is of type Faults and holds every fault.
+// Load reads and checks the settings file at path and the token files that the
+// settings name. The error is of type Faults and holds every fault.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Faults{{File: path, Message: pathProblem(err), Allowed: "a readable settings file"}}
+		return nil, Faults{{File: path, Message: fileErrorText(err), Allowed: "a readable settings file"}}
 	}
 	s, document := decode(path, data)
 	if !document.SyntaxBroken() {
@@ -31,8 +31,9 @@
 	return s, nil
 }
 
-// Parse checks settings without a look at the files that they name. name is
-// the file's name in faults; relative paths in data start from its folder.
+// Parse decodes and checks settings without access to the files that they name.
+// name is the file's name in faults. Relative paths in data are relative to the
+// folder of name. The error is of type Faults and holds every fault.
 func Parse(name string, data []byte) (*Settings, error) {
 	s, document := decode(name, data)
 	if faults := document.Faults(); len(faults) > 0 {
@@ -47,24 +48,24 @@
 	if document.SyntaxBroken() {
 		return s, document
 	}
-	s.derive(filepath.Dir(name))
+	s.fillDerived(filepath.Dir(name))
 	s.check(document)
 	return s, document
 }
 
-// derive fills what follows from other settings. Relative paths start from
-// the settings file's folder, so that the daemon's working folder is of no
-// account.
-func (s *Settings) derive(folder string) {
+// fillDerived sets the settings whose values follow from others. It resolves
+// relative paths against the settings file's folder, so that the daemon's working
+// directory does not matter.
+func (s *Settings) fillDerived(folder string) {
 	if s.Entry.Advertise == "" {
 		s.Entry.Advertise = s.Entry.Listen
 	}
 	if s.Peers.Advertise == "" {
 		s.Peers.Advertise = s.Peers.Listen
 	}
-	s.fillTimes()
+	s.replaceZeroDurations()
 	if s.Peers.SamePort {
-		s.Peers.takeOwnPort()
+		s.Peers.applyOwnPort()
 	}
 	for _, path := range []*string{
 		&s.Control.DataFolder, &s.Admin.TokenFile, &s.Peers.TokenFile,
@@ -76,9 +77,10 @@
 	}
 }
 
-// takeOwnPort gives each control address the port that this process listens on
-// for its peers. An address that is none stays as it is, for the check to name.
-func (p *Peers) takeOwnPort() {
+// applyOwnPort sets the port of each control address to the port at which this
+// process listens for its peers. It leaves an invalid address unchanged, so that
+// check reports it.
+func (p *Peers) applyOwnPort() {
 	own, err := netip.ParseAddrPort(p.Listen)
 	if err != nil {
 		return
@@ -90,8 +92,9 @@
 	}
 }
 
-// fillTimes takes 0 for the default where 0 itself makes no sense.
-func (s *Settings) fillTimes() {
+// replaceZeroDurations replaces 0 by the default in the settings where a duration
+// of 0 makes no sense.
+func (s *Settings) replaceZeroDurations() {
 	for _, t := range []struct {
 		field *int64
 		value int64
--- a/internal/settings/token.go
+++ b/internal/settings/token.go
@@ -10,7 +10,7 @@
 	"github.com/citronstep/citronstep/internal/tomlfile"
 )
 
-// The ways in which a token file is refused.
+// Reasons to refuse a token file.
 const (
 	ErrTokenEmpty         = errors.ConstError("the file holds no token")
 	ErrTokenWorldReadable = errors.ConstError("the file can be read by every user of the machine")
@@ -19,12 +19,12 @@
 
 const (
 	allowedTokenFile = "a file with the token on its first line, readable by its owner or group only (chmod 600 FILE)"
-	worldReadable    = fs.FileMode(0o004)
+	worldReadableBit = fs.FileMode(0o004)
 )
 
-// ReadToken returns the token in the file at path, without the white space
-// around it. A file that every user of the machine can read is refused: its
-// token is no secret.
+// ReadToken returns the token on the first line of the file at path, without
+// surrounding white space. It refuses a file that every user of the machine can
+// read, because its token is not secret.
 func ReadToken(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -33,7 +33,7 @@
 	if !info.Mode().IsRegular() {
 		return "", errors.Annotate(ErrTokenNotRegular, path)
 	}
-	if info.Mode().Perm()&worldReadable != 0 {
+	if info.Mode().Perm()&worldReadableBit != 0 {
 		return "", errors.Annotate(ErrTokenWorldReadable, path)
 	}
 	data, err := os.ReadFile(path)
@@ -59,13 +59,14 @@
 			continue
 		}
 		if _, err := ReadToken(f.path); err != nil {
-			d.Fault(f.key, f.path+": "+pathProblem(err), allowedTokenFile)
+			d.Fault(f.key, f.path+": "+fileErrorText(err), allowedTokenFile)
 		}
 	}
 }
 
-// pathProblem returns why a file could not be used, without its path.
-func pathProblem(err error) string {
+// fileErrorText returns the reason why a file could not be used, without the
+// file's path.
+func fileErrorText(err error) string {
 	var path *fs.PathError
 	if errors.As(err, &path) {
 		return path.Err.Error()
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -11,25 +11,27 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Document is a decoded document, kept to name the place of later faults.
+// Document is a decoded document. It keeps the positions of its keys, so that
+// faults found after decoding name a line and column.
 type Document struct {
-	file   string
-	places *places
-	faults Faults
+	file      string
+	positions *positions
+	faults    Faults
 }
 
-// Decode fills into, a pointer to a struct with toml tags, from data. Values
-// already in the struct are defaults. Keys that the struct lacks and values
-// of a wrong type are faults of the returned document.
+// Decode decodes data into the struct with toml tags that into points to. Values
+// already in the struct are defaults. file is the document's name in faults. A
+// syntax error, a key that the struct lacks and a value of a wrong type are faults
+// of the returned document.
 func Decode(file string, data []byte, into any) *Document {
 	d := &Document{file: file}
 	tree := map[string]any{}
 	if err := toml.Unmarshal(data, &tree); err != nil {
-		d.places = findPlaces(nil)
+		d.positions = findPositions(nil)
 		d.faults = Faults{syntaxFault(file, err)}
 		return d
 	}
-	d.places = findPlaces(data)
+	d.positions = findPositions(data)
 	d.fillStruct("", reflect.ValueOf(into).Elem(), tree)
 	return d
 }
@@ -44,16 +46,17 @@
 	return fault
 }
 
-// Fault adds a fault at key, or at its nearest table when the key is absent.
+// Fault adds a fault at the position of key, or of its nearest enclosing table if
+// the key is absent.
 func (d *Document) Fault(key, message, allowed string) {
-	at := d.places.of(key)
+	at := d.positions.lookup(key)
 	d.faults = append(d.faults, Fault{
 		File: d.file, Line: at.line, Column: at.column, Key: key, Message: message, Allowed: allowed,
 	})
 }
 
-// Has tells whether a fault of this very key is noted already, so that a
-// value of a wrong type is not also reported as missing.
+// Has reports whether the document already has a fault for exactly this key. Checks
+// use it so that a value of a wrong type is not also reported as missing.
 func (d *Document) Has(key string) bool {
 	for _, f := range d.faults {
 		if f.Key == key {
@@ -63,30 +66,32 @@
 	return false
 }
 
-// SyntaxBroken tells whether the document is no TOML, so that its values say
-// nothing.
+// SyntaxBroken reports whether the document has a syntax error, so that none of its
+// values was decoded.
 func (d *Document) SyntaxBroken() bool {
 	return len(d.faults) == 1 && d.faults[0].Allowed == "valid TOML"
 }
 
-// Faults returns what was found so far, in the order of the file.
+// Faults returns the faults found so far, ordered by their position in the file.
 func (d *Document) Faults() Faults {
 	d.faults.Sort()
 	return d.faults
 }
 
+// fillStruct sets the fields of the struct to from tree, the table named table.
 func (d *Document) fillStruct(table string, to reflect.Value, tree map[string]any) {
 	fields := fieldsByKey(to)
 	for _, key := range sortedKeys(tree) {
 		field, known := fields[key]
 		if !known {
-			d.Fault(join(table, key), "unknown key", strings.Join(sortedKeys(fields), ", "))
+			d.Fault(joinKey(table, key), "unknown key", strings.Join(sortedKeys(fields), ", "))
 			continue
 		}
-		d.fill(join(table, key), field, tree[key])
+		d.fill(joinKey(table, key), field, tree[key])
 	}
 }
 
+// fill sets to from the decoded value of key, or adds a fault for a wrong type.
 func (d *Document) fill(key string, to reflect.Value, value any) {
 	switch to.Kind() {
 	case reflect.Pointer:
@@ -119,7 +124,7 @@
 func (d *Document) fillSlice(key string, to reflect.Value, list []any) {
 	filled := reflect.MakeSlice(to.Type(), len(list), len(list))
 	for i, value := range list {
-		d.fill(element(key, i), filled.Index(i), value)
+		d.fill(elementKey(key, i), filled.Index(i), value)
 	}
 	to.Set(filled)
 }
@@ -128,13 +133,13 @@
 	filled := reflect.MakeMapWithSize(to.Type(), len(tree))
 	for _, name := range sortedKeys(tree) {
 		value := reflect.New(to.Type().Elem()).Elem()
-		d.fill(join(key, name), value, tree[name])
+		d.fill(joinKey(key, name), value, tree[name])
 		filled.SetMapIndex(reflect.ValueOf(name), value)
 	}
 	to.Set(filled)
 }
 
-// setScalar sets to from value and tells whether the type and range fit.
+// setScalar sets to from value, and reports whether the type and range match.
 func setScalar(to reflect.Value, value any) bool {
 	switch v := value.(type) {
 	case string:
@@ -169,6 +174,7 @@
 	return false
 }
 
+// kindName describes the TOML type that a field of type t accepts.
 func kindName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
@@ -191,7 +197,7 @@
 	}
 }
 
-// fieldsByKey returns the fields of a struct by their toml keys.
+// fieldsByKey maps the toml keys of a struct to its fields.
 func fieldsByKey(s reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value, s.NumField())
 	for i := range s.NumField() {
