--- a/internal/hearing/connection.go
+++ b/internal/announcement/connection.go
@@ -1,4 +1,4 @@
-package hearing
+package announcement
 
 import (
 	"bufio"
@@ -33,10 +33,10 @@
 
 // connection is one end of a connection to another entry.
 type connection struct {
-	hearing *Hearing
-	peer    string
-	conn    net.Conn
-	reader  *bufio.Reader
+	receiver *Receiver
+	peer     string
+	conn     net.Conn
+	reader   *bufio.Reader
 	// firstFrame is signalled when the first frame has arrived. Lines can be sent
 	// from then on.
 	firstFrame chan struct{}
@@ -48,9 +48,9 @@
 	cursor  evidence.Cursor
 }
 
-func (h *Hearing) newConnection(peer string, conn net.Conn, reader *bufio.Reader) *connection {
+func (h *Receiver) newConnection(peer string, conn net.Conn, reader *bufio.Reader) *connection {
 	return &connection{
-		hearing: h, peer: peer, conn: conn, reader: reader,
+		receiver: h, peer: peer, conn: conn, reader: reader,
 		firstFrame: make(chan struct{}, 1), flush: make(chan struct{}, 1), session: wire.NewSession(),
 	}
 }
@@ -127,7 +127,7 @@
 	var lines []evidence.Heard
 	now := time.Now()
 	if c.session.CanDate() {
-		c.hearing.With(func(t *evidence.Table) {
+		c.receiver.With(func(t *evidence.Table) {
 			now = time.Now()
 			lines, c.cursor = t.Digest(now, c.cursor)
 		})
@@ -146,7 +146,7 @@
 			return errors.Trace(err)
 		}
 		if err := c.receive(body); err != nil {
-			_ = level.Warn(c.hearing.o.Logger).Log("event", "evidence_malformed", "peer", c.peer, "err", err)
+			_ = level.Warn(c.receiver.o.Logger).Log("event", "evidence_malformed", "peer", c.peer, "err", err)
 			return errors.Trace(err)
 		}
 	}
@@ -166,7 +166,7 @@
 	if got.Made.IsZero() {
 		return nil
 	}
-	c.hearing.With(func(t *evidence.Table) { t.Merge(got.Made, c.peer, got.Lines) })
+	c.receiver.With(func(t *evidence.Table) { t.Merge(got.Made, c.peer, got.Lines) })
 	return nil
 }
 
--- a/internal/hearing/exchange.go
+++ b/internal/announcement/exchange.go
@@ -1,4 +1,4 @@
-package hearing
+package announcement
 
 import (
 	"bufio"
@@ -49,11 +49,11 @@
 // exchange holds the connections to other entries. Of two entries, the one with
 // the smaller id dials, so each pair has one connection.
 type exchange struct {
-	hearing *Hearing
-	wg      sync.WaitGroup
+	receiver *Receiver
+	wg       sync.WaitGroup
 
 	mu sync.Mutex
-	// ctx is the context of Hearing.Run; nil while Run is not running.
+	// ctx is the context of Receiver.Run; nil while Run is not running.
 	ctx      context.Context
 	dialled  map[string]*dialler
 	accepted map[string]*connection
@@ -66,8 +66,8 @@
 	cancel  context.CancelFunc
 }
 
-func newExchange(h *Hearing) *exchange {
-	return &exchange{hearing: h, dialled: make(map[string]*dialler), accepted: make(map[string]*connection), open: make(map[*connection]bool)}
+func newExchange(h *Receiver) *exchange {
+	return &exchange{receiver: h, dialled: make(map[string]*dialler), accepted: make(map[string]*connection), open: make(map[*connection]bool)}
 }
 
 // push sends the newest announcements to all peers without waiting for the next
@@ -117,8 +117,8 @@
 // reconcile adjusts the connections to the board: it dials new entries and closes
 // connections to entries that were removed or have a new address.
 func (x *exchange) reconcile() {
-	entries := receivingEntries(x.hearing.o.Board().Entries)
-	self := x.hearing.o.Self
+	entries := receivingEntries(x.receiver.o.Board().Entries)
+	self := x.receiver.o.Self
 	if _, registered := entries[self]; !registered {
 		return
 	}
@@ -167,9 +167,9 @@
 		conn, reader, err := x.connect(ctx, id, address)
 		if err == nil {
 			bound = firstRetry
-			err = x.run(ctx, x.hearing.newConnection(id, conn, reader))
+			err = x.run(ctx, x.receiver.newConnection(id, conn, reader))
 		}
-		_ = level.Debug(x.hearing.o.Logger).Log("event", "evidence_connection_ended", "peer", id, "address", address, "err", err)
+		_ = level.Debug(x.receiver.o.Logger).Log("event", "evidence_connection_ended", "peer", id, "address", address, "err", err)
 		sleep(ctx, rand.N(bound))
 		bound = min(2*bound, lastRetry)
 	}
@@ -188,7 +188,7 @@
 func (x *exchange) connect(ctx context.Context, id, address string) (net.Conn, *bufio.Reader, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	conn, err := x.hearing.o.Dial(ctx, "tcp", address)
+	conn, err := x.receiver.o.Dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, nil, errors.Trace(err)
 	}
@@ -211,9 +211,9 @@
 	}
 	r.Header.Set("Connection", "Upgrade")
 	r.Header.Set("Upgrade", protocol)
-	r.Header.Set(headerSource, x.hearing.o.Self)
+	r.Header.Set(headerSource, x.receiver.o.Self)
 	r.Header.Set(headerPeer, id)
-	r.Header.Set("Authorization", "Bearer "+x.hearing.o.PeerToken)
+	r.Header.Set("Authorization", "Bearer "+x.receiver.o.PeerToken)
 	if err := r.Write(conn); err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -232,7 +232,7 @@
 
 // ServeExchange accepts a connection from another entry and returns when it ends.
 // The caller must have checked the bearer token.
-func (h *Hearing) ServeExchange(w http.ResponseWriter, r *http.Request) {
+func (h *Receiver) ServeExchange(w http.ResponseWriter, r *http.Request) {
 	source := r.Header.Get(headerSource)
 	if e := h.checkExchange(r, source); e != nil {
 		failure.Write(w, e)
@@ -261,7 +261,7 @@
 	return errors.Trace(err)
 }
 
-func (h *Hearing) checkExchange(r *http.Request, source string) *failure.Error {
+func (h *Receiver) checkExchange(r *http.Request, source string) *failure.Error {
 	switch _, known := h.o.Board().Entries[source]; {
 	case r.Header.Get("Upgrade") != protocol:
 		return failure.New(failure.TypeBadRequest, "an upgrade to "+protocol+" is needed")
--- a/internal/hearing/exchange_test.go
+++ b/internal/announcement/exchange_test.go
@@ -1,4 +1,4 @@
-package hearing
+package announcement
 
 import (
 	"bufio"
@@ -58,9 +58,9 @@
 	}
 }
 
-// process is one Hearing with its listener.
+// process is one Receiver with its listener.
 type process struct {
-	*Hearing
+	*Receiver
 	id            string
 	server        *httptest.Server
 	cancel        context.CancelFunc
@@ -97,7 +97,7 @@
 	list := make([]*process, n)
 	for i := range list {
 		p := &process{id: "n" + strconv.Itoa(i), done: make(chan struct{})}
-		p.Hearing = New(Options{
+		p.Receiver = New(Options{
 			Self: p.id, Board: func() *blackboard.Board { return board }, Dial: p.dial,
 			PeerToken: token, Logger: log.NewNopLogger(),
 		})
--- a/internal/hearing/limiter_test.go
+++ b/internal/announcement/limiter_test.go
@@ -1,4 +1,4 @@
-package hearing
+package announcement
 
 import (
 	"strconv"
--- a/internal/hearing/hearing.go
+++ b/internal/announcement/receiver.go
@@ -1,6 +1,6 @@
-// Package hearing receives the announcements of backend servers and exchanges them
+// Package announcement receives the announcements of backend servers and exchanges them
 // with the other entries.
-package hearing
+package announcement
 
 import (
 	"context"
@@ -25,7 +25,7 @@
 // maxAnnouncementBytes bounds the body of one announcement.
 const maxAnnouncementBytes = 64 << 10
 
-// Options configures a Hearing.
+// Options configures a Receiver.
 type Options struct {
 	// Self is the entry's id.
 	Self string
@@ -53,8 +53,8 @@
 	OnAnnouncement func(backend.Announcement)
 }
 
-// Hearing holds one process's evidence. It is safe for concurrent use.
-type Hearing struct {
+// Receiver holds one process's evidence. It is safe for concurrent use.
+type Receiver struct {
 	o Options
 
 	mu        sync.Mutex
@@ -65,10 +65,10 @@
 	limiter  *announceLimiter
 }
 
-// New returns a Hearing with an empty table.
-func New(o Options) *Hearing {
+// New returns a Receiver with an empty table.
+func New(o Options) *Receiver {
 	run := uint64(time.Now().UnixNano())
-	h := &Hearing{o: o, table: evidence.NewTable(o.Self, run), limiter: newAnnounceLimiter()}
+	h := &Receiver{o: o, table: evidence.NewTable(o.Self, run), limiter: newAnnounceLimiter()}
 	if o.Interval > 0 {
 		h.table.SetInterval(o.Interval)
 	}
@@ -77,14 +77,14 @@
 }
 
 // With calls f with the table while holding its lock. f must not keep the table.
-func (h *Hearing) With(f func(*evidence.Table)) {
+func (h *Receiver) With(f func(*evidence.Table)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(h.table)
 }
 
 // ServeHTTP receives one announcement of a backend server.
-func (h *Hearing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *Receiver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !auth.Allowed(r.Header, h.o.AnnounceToken) {
 		failure.Write(w, failure.New(failure.TypeUnauthenticated, "the announce token is needed"))
 		return
@@ -146,7 +146,7 @@
 
 // Announce receives an announcement that an adapter has decoded. While announcements
 // are spread over several processes, it pushes a change of a group to the peers at once.
-func (h *Hearing) Announce(a backend.Announcement) *failure.Error {
+func (h *Receiver) Announce(a backend.Announcement) *failure.Error {
 	if h.o.Lease() <= 0 {
 		return cutOffError()
 	}
@@ -166,7 +166,7 @@
 
 // changesGroup reports whether an announcement changes a state that the controllers
 // wait for, such as its group, epoch or phase.
-func (h *Hearing) changesGroup(a backend.Announcement) (changed bool) {
+func (h *Receiver) changesGroup(a backend.Announcement) (changed bool) {
 	h.With(func(t *evidence.Table) {
 		r, known := t.Get(a.ID)
 		if a.Kind == backend.KindService {
@@ -180,7 +180,7 @@
 
 // Left records that a backend server has announced its departure, as decoded by an
 // adapter. is reports whether the departure applies to an incarnation.
-func (h *Hearing) Left(is func(incarnation string) bool) *failure.Error {
+func (h *Receiver) Left(is func(incarnation string) bool) *failure.Error {
 	if h.o.Lease() <= 0 {
 		return cutOffError()
 	}
@@ -192,7 +192,7 @@
 	return nil
 }
 
-func (h *Hearing) record(a backend.Announcement) {
+func (h *Receiver) record(a backend.Announcement) {
 	h.mu.Lock()
 	h.table.Hear(time.Now(), h.o.Self, a)
 	h.mu.Unlock()
@@ -201,12 +201,12 @@
 	}
 }
 
-func (h *Hearing) interval() (d time.Duration) {
+func (h *Receiver) interval() (d time.Duration) {
 	h.With(func(t *evidence.Table) { d = t.Interval() })
 	return d
 }
 
-func (h *Hearing) entryAddresses() []string {
+func (h *Receiver) entryAddresses() []string {
 	var list []string
 	for _, e := range h.o.Board().Entries {
 		list = append(list, e.Address)
@@ -216,7 +216,7 @@
 
 // Run exchanges evidence with the other entries until the context ends. All
 // connections have ended when it returns.
-func (h *Hearing) Run(ctx context.Context) {
+func (h *Receiver) Run(ctx context.Context) {
 	h.exchange.start(ctx)
 	defer h.exchange.stop()
 	ticker := time.NewTicker(evidence.ObserveInterval)
@@ -234,6 +234,6 @@
 
 // tickTable makes the table observe the current time. Without it, a process without
 // peers would not call the table and would appear to have been paused.
-func (h *Hearing) tickTable() {
+func (h *Receiver) tickTable() {
 	h.With(func(t *evidence.Table) { t.Digest(time.Now(), evidence.Cursor{}) })
 }
--- a/internal/hearing/receivers.go
+++ b/internal/announcement/receivers.go
@@ -1,4 +1,4 @@
-package hearing
+package announcement
 
 import (
 	"hash/fnv"
@@ -41,7 +41,7 @@
 // whose last digest is at most evidence.WitnessAge old. Rendezvous hashing of the server id
 // assigns them, so the loss of a process moves only the servers assigned to it. The
 // receiving process pushes their announcements to its peers at once, see exchange.push.
-func (h *Hearing) Home(id, leader string) string {
+func (h *Receiver) Home(id, leader string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -58,7 +58,7 @@
 }
 
 // refreshReceivers rebuilds the receiver list. The caller must hold h.mu.
-func (h *Hearing) refreshReceivers(now time.Time) {
+func (h *Receiver) refreshReceivers(now time.Time) {
 	h.receivers.refreshedAt = now
 	known := h.table.Known()
 	h.receivers.isSpread = known > maxAtLeader || (h.receivers.isSpread && known > returnToLeader)
@@ -100,7 +100,7 @@
 }
 
 // isSpread reports whether announcements are divided among several processes.
-func (h *Hearing) isSpread() bool {
+func (h *Receiver) isSpread() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.receivers.isSpread
--- a/internal/hearing/receivers_test.go
+++ b/internal/announcement/receivers_test.go
@@ -1,4 +1,4 @@
-package hearing
+package announcement
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 
 // controlVM returns a process that receives announcements, as do four others of the 105
 // entries on its board. Its table holds the given number of backend servers.
-func controlVM(servers int) *Hearing {
+func controlVM(servers int) *Receiver {
 	board := blackboard.New()
 	for n := range 5 {
 		id := fmt.Sprint("core-", n)
@@ -42,7 +42,7 @@
 }
 
 // countReceivers returns how many of the backend servers Home assigns to each address.
-func countReceivers(h *Hearing, servers int) map[string]int {
+func countReceivers(h *Receiver, servers int) map[string]int {
 	count := make(map[string]int)
 	for n := range servers {
 		count[h.Home(fmt.Sprint("vm-", n), "core-3")]++
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -14,11 +14,11 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/citronstep/citronstep/internal/admission"
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/auth"
 	"github.com/citronstep/citronstep/internal/backend"
 	"github.com/citronstep/citronstep/internal/blackboard"
 	"github.com/citronstep/citronstep/internal/failure"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
@@ -115,7 +115,7 @@
 		assert.NilError(t, err)
 	}
 	follower := fixedBoard{board: board, lease: time.Minute}
-	receiver := hearing.New(hearing.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
+	receiver := announcement.New(announcement.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
 	s := NewServer(Options{
 		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1, RetryRatio: 1, RetrySlack: 5000},
 		Follower: follower, Hearing: receiver, Logger: log.NewNopLogger(), Forwarder: f,
--- a/internal/entry/routes_bench_test.go
+++ b/internal/entry/routes_bench_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/go-kit/log"
 
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/blackboard"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
@@ -28,7 +28,7 @@
 // deafServer returns an entry that receives no announcements and relies on its board.
 func deafServer(board *blackboard.Board) *Server {
 	follower := fixedBoard{board: board, lease: time.Minute}
-	receiver := hearing.New(hearing.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
+	receiver := announcement.New(announcement.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
 	return NewServer(Options{
 		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1}, Follower: follower, Hearing: receiver,
 		Logger: log.NewNopLogger(),
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -19,10 +19,10 @@
 	"github.com/labstack/echo/v4"
 
 	"github.com/citronstep/citronstep/internal/admission"
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/backend"
 	"github.com/citronstep/citronstep/internal/blackboard"
 	"github.com/citronstep/citronstep/internal/failure"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/metrics"
 	"github.com/citronstep/citronstep/internal/placement"
 	"github.com/citronstep/citronstep/internal/requestlog"
@@ -51,7 +51,7 @@
 	Regions  map[string]string
 	Settings settings.Entry
 	Follower Follower
-	Hearing  *hearing.Hearing
+	Hearing  *announcement.Receiver
 	Client   backend.Client
 	Control  Committer
 	Logger   log.Logger
--- a/internal/node/adapter.go
+++ b/internal/node/adapter.go
@@ -7,12 +7,12 @@
 	"github.com/go-kit/log"
 	"github.com/juju/errors"
 
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/backend"
 	"github.com/citronstep/citronstep/internal/control"
 	"github.com/citronstep/citronstep/internal/controlclient"
 	"github.com/citronstep/citronstep/internal/controller"
 	"github.com/citronstep/citronstep/internal/entry"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
@@ -33,7 +33,7 @@
 	Settings *settings.Settings
 	Entry    *entry.Server
 	Control  *control.Server
-	Hearing  *hearing.Hearing
+	Hearing  *announcement.Receiver
 	Commits  *controlclient.Client
 	Logger   log.Logger
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,6 +15,7 @@
 	"github.com/juju/errors"
 	"golang.org/x/sync/errgroup"
 
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/auth"
 	"github.com/citronstep/citronstep/internal/backend"
 	"github.com/citronstep/citronstep/internal/blackboard"
@@ -22,7 +23,6 @@
 	"github.com/citronstep/citronstep/internal/controlclient"
 	"github.com/citronstep/citronstep/internal/entry"
 	"github.com/citronstep/citronstep/internal/follow"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/metrics"
 	"github.com/citronstep/citronstep/internal/raft"
 	"github.com/citronstep/citronstep/internal/replica"
@@ -52,7 +52,7 @@
 	replica  *replica.Node
 	machine  *control.Machine
 	control  *control.Server
-	hearing  *hearing.Hearing
+	hearing  *announcement.Receiver
 	follower *follow.Follower
 	entry    *entry.Server
 	servers  []*namedServer
@@ -242,7 +242,7 @@
 		OnControl: client.Learn, StartWithoutLease: e.ServeWithoutLease,
 	})
 	n.commits = client
-	n.hearing = hearing.New(hearing.Options{
+	n.hearing = announcement.New(announcement.Options{
 		Self: n.settings.VM, Board: n.follower.Board, Lease: n.follower.Lease, Dial: n.dialer.DialContext,
 		PeerToken: n.tokens.peers, AnnounceToken: n.tokens.announce,
 		Logger: log.With(n.logger, "part", "hearing"), OnAnnouncement: n.onAnnouncement,
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -11,10 +11,10 @@
 	"github.com/juju/errors"
 	"github.com/twitchtv/twirp"
 
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/auth"
 	"github.com/citronstep/citronstep/internal/control"
 	"github.com/citronstep/citronstep/internal/entry"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/metrics"
 	"github.com/citronstep/citronstep/internal/replica"
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
@@ -75,7 +75,7 @@
 	mux := http.NewServeMux()
 	entries := noderpc.NewEntriesServer(n.entriesService())
 	mux.Handle(entries.PathPrefix(), entries)
-	mux.HandleFunc(hearing.PathExchange, n.hearing.ServeExchange)
+	mux.HandleFunc(announcement.PathExchange, n.hearing.ServeExchange)
 	mux.Handle(metrics.Path, n.metrics.Handler())
 	mux.HandleFunc("/debug/pprof/", pprof.Index)
 	mux.HandleFunc("/debug/pprof/profile", pprof.Profile)
