--- a/internal/announcement/receivers.go
+++ b/internal/announcement/receivers.go
@@ -32,7 +32,7 @@
 	entries  []blackboard.Entry
 }
 
-// Home returns the peer address of the process that a backend server should announce
+// ReceiverFor returns the peer address of the process that a backend server should announce
 // itself to. leader is the peer address of the current leader, "" if none is known.
 //
 // Load: thousands of backend servers announce themselves each second. The leader lacks the
@@ -41,7 +41,7 @@
 // whose last digest is at most evidence.WitnessAge old. Rendezvous hashing of the server id
 // assigns them, so the loss of a process moves only the servers assigned to it. The
 // receiving process pushes their announcements to its peers at once, see exchange.push.
-func (h *Receiver) Home(id, leader string) string {
+func (h *Receiver) ReceiverFor(id, leader string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
--- a/internal/announcement/receivers_test.go
+++ b/internal/announcement/receivers_test.go
@@ -41,11 +41,11 @@
 	return h
 }
 
-// countReceivers returns how many of the backend servers Home assigns to each address.
+// countReceivers returns how many of the backend servers ReceiverFor assigns to each address.
 func countReceivers(h *Receiver, servers int) map[string]int {
 	count := make(map[string]int)
 	for n := range servers {
-		count[h.Home(fmt.Sprint("vm-", n), "core-3")]++
+		count[h.ReceiverFor(fmt.Sprint("vm-", n), "core-3")]++
 	}
 	return count
 }
@@ -63,14 +63,14 @@
 func TestManyBackendServersAreSpreadOverReceivers(t *testing.T) {
 	const servers = 3000
 	h := controlVM(servers)
-	assert.Assert(t, h.Home("vm-0", "core-3") != "core-3")
+	assert.Assert(t, h.ReceiverFor("vm-0", "core-3") != "core-3")
 	h.mu.Lock()
 	h.receivers.refreshedAt = time.Now().Add(time.Minute)
 	h.mu.Unlock()
 	before := make(map[string]string)
 	for n := range servers {
 		id := fmt.Sprint("vm-", n)
-		before[id] = h.Home(id, "core-3")
+		before[id] = h.ReceiverFor(id, "core-3")
 	}
 	homes := countReceivers(h, servers)
 	assert.Equal(t, len(homes), 4)
@@ -89,7 +89,7 @@
 	h.receivers.refreshedAt = time.Now().Add(time.Minute)
 	h.mu.Unlock()
 	for id, home := range before {
-		now := h.Home(id, "core-3")
+		now := h.ReceiverFor(id, "core-3")
 		assert.Assert(t, now != "core-4")
 		assert.Assert(t, home == "core-4" || now == home, "%s moved from %s to %s", id, home, now)
 	}
