--- a/internal/announcement/connection.go
+++ b/internal/announcement/connection.go
@@ -127,7 +127,7 @@
 	var lines []evidence.Heard
 	now := time.Now()
 	if c.session.CanDate() {
-		c.receiver.With(func(t *evidence.Table) {
+		c.receiver.WithTable(func(t *evidence.Table) {
 			now = time.Now()
 			lines, c.cursor = t.Digest(now, c.cursor)
 		})
@@ -166,7 +166,7 @@
 	if got.Made.IsZero() {
 		return nil
 	}
-	c.receiver.With(func(t *evidence.Table) { t.Merge(got.Made, c.peer, got.Lines) })
+	c.receiver.WithTable(func(t *evidence.Table) { t.Merge(got.Made, c.peer, got.Lines) })
 	return nil
 }
 
--- a/internal/announcement/exchange_test.go
+++ b/internal/announcement/exchange_test.go
@@ -139,7 +139,7 @@
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		met := false
-		p.With(func(table *evidence.Table) { met = ok(table) })
+		p.WithTable(func(table *evidence.Table) { met = ok(table) })
 		if met {
 			return poll.Success()
 		}
--- a/internal/announcement/receiver.go
+++ b/internal/announcement/receiver.go
@@ -45,7 +45,7 @@
 	// Interval is the time between two announcements of a backend server; 0 means
 	// evidence.AnnounceInterval.
 	Interval time.Duration
-	// OnChange, if not nil, is called when an announcement passed to Announce
+	// OnChange, if not nil, is called when an announcement passed to ReceiveAnnouncement
 	// changes what is known of a group.
 	OnChange func()
 	// OnAnnouncement, if not nil, is called with each announcement that reaches
@@ -76,8 +76,8 @@
 	return h
 }
 
-// With calls f with the table while holding its lock. f must not keep the table.
-func (h *Receiver) With(f func(*evidence.Table)) {
+// WithTable calls f with the table while holding its lock. f must not keep the table.
+func (h *Receiver) WithTable(f func(*evidence.Table)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(h.table)
@@ -144,9 +144,9 @@
 	return nil
 }
 
-// Announce receives an announcement that an adapter has decoded. While announcements
+// ReceiveAnnouncement receives an announcement that an adapter has decoded. While announcements
 // are spread over several processes, it pushes a change of a group to the peers at once.
-func (h *Receiver) Announce(a backend.Announcement) *failure.Error {
+func (h *Receiver) ReceiveAnnouncement(a backend.Announcement) *failure.Error {
 	if h.o.Lease() <= 0 {
 		return cutOffError()
 	}
@@ -167,7 +167,7 @@
 // changesGroup reports whether an announcement changes a state that the controllers
 // wait for, such as its group, epoch or phase.
 func (h *Receiver) changesGroup(a backend.Announcement) (changed bool) {
-	h.With(func(t *evidence.Table) {
+	h.WithTable(func(t *evidence.Table) {
 		r, known := t.Get(a.ID)
 		if a.Kind == backend.KindService {
 			r, known = t.GetService(a.ID)
@@ -178,14 +178,14 @@
 	return changed
 }
 
-// Left records that a backend server has announced its departure, as decoded by an
+// RecordDeparture records that a backend server has announced its departure, as decoded by an
 // adapter. is reports whether the departure applies to an incarnation.
-func (h *Receiver) Left(is func(incarnation string) bool) *failure.Error {
+func (h *Receiver) RecordDeparture(is func(incarnation string) bool) *failure.Error {
 	if h.o.Lease() <= 0 {
 		return cutOffError()
 	}
 	known := false
-	h.With(func(t *evidence.Table) { known = t.Left(time.Now(), h.o.Self, is) })
+	h.WithTable(func(t *evidence.Table) { known = t.Left(time.Now(), h.o.Self, is) })
 	if !known {
 		return failure.New(failure.TypeUnavailable, "no announcement of this backend server has arrived here; notify another process")
 	}
@@ -202,7 +202,7 @@
 }
 
 func (h *Receiver) interval() (d time.Duration) {
-	h.With(func(t *evidence.Table) { d = t.Interval() })
+	h.WithTable(func(t *evidence.Table) { d = t.Interval() })
 	return d
 }
 
@@ -235,5 +235,5 @@
 // tickTable makes the table observe the current time. Without it, a process without
 // peers would not call the table and would appear to have been paused.
 func (h *Receiver) tickTable() {
-	h.With(func(t *evidence.Table) { t.Digest(time.Now(), evidence.Cursor{}) })
+	h.WithTable(func(t *evidence.Table) { t.Digest(time.Now(), evidence.Cursor{}) })
 }
--- a/internal/announcement/receivers_test.go
+++ b/internal/announcement/receivers_test.go
@@ -30,7 +30,7 @@
 		Logger: log.NewNopLogger(),
 	})
 	now := time.Now()
-	h.With(func(t *evidence.Table) {
+	h.WithTable(func(t *evidence.Table) {
 		for n := range 5 {
 			t.Merge(now, fmt.Sprint("core-", n), nil)
 		}
@@ -79,7 +79,7 @@
 		assert.Assert(t, n > servers/4*8/10 && n < servers/4*12/10, "%s receives %d", home, n)
 	}
 
-	h.With(func(t *evidence.Table) {
+	h.WithTable(func(t *evidence.Table) {
 		for n := range 4 {
 			t.Merge(time.Now().Add(2*evidence.WitnessAge), fmt.Sprint("core-", n), nil)
 		}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -34,8 +34,8 @@
 // Evidence gives the leader what the entry on the same VM knows about backend servers, from
 // their own announcements and from peers.
 type Evidence interface {
-	// With calls f with the table. No other goroutine changes the table during the call.
-	With(f func(*evidence.Table))
+	// WithTable calls f with the table. No other goroutine changes the table during the call.
+	WithTable(f func(*evidence.Table))
 }
 
 // OrderSender sends orders to engines.
