--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -118,7 +118,7 @@
 	receiver := announcement.New(announcement.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
 	s := NewServer(Options{
 		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1, RetryRatio: 1, RetrySlack: 5000},
-		Follower: follower, Hearing: receiver, Logger: log.NewNopLogger(), Forwarder: f,
+		Follower: follower, Announcements: receiver, Logger: log.NewNopLogger(), Forwarder: f,
 	})
 	return s
 }
--- a/internal/entry/isolation.go
+++ b/internal/entry/isolation.go
@@ -149,7 +149,7 @@
 		return false
 	}
 	ok := board.Groups[r.group].Epoch == r.epoch
-	s.o.Hearing.WithTable(func(t *evidence.Table) {
+	s.o.Announcements.WithTable(func(t *evidence.Table) {
 		routable, _ := t.Routable(time.Now(), board, r.group)
 		ok = ok && routable
 	})
@@ -192,7 +192,7 @@
 
 func (s *Server) isEmptyAfter(r route, known time.Time) bool {
 	empty := false
-	s.o.Hearing.WithTable(func(t *evidence.Table) {
+	s.o.Announcements.WithTable(func(t *evidence.Table) {
 		report, ok := t.Get(r.head)
 		if r.group == "" {
 			report, ok = t.GetService(r.head)
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -120,7 +120,7 @@
 		regions: s.o.Regions,
 	}
 	s.progress.update(r.board)
-	s.o.Hearing.WithTable(func(t *evidence.Table) {
+	s.o.Announcements.WithTable(func(t *evidence.Table) {
 		for id := range r.board.Groups {
 			r.addGroup(t, id)
 		}
--- a/internal/entry/routes_bench_test.go
+++ b/internal/entry/routes_bench_test.go
@@ -30,7 +30,7 @@
 	follower := fixedBoard{board: board, lease: time.Minute}
 	receiver := announcement.New(announcement.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
 	return NewServer(Options{
-		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1}, Follower: follower, Hearing: receiver,
+		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1}, Follower: follower, Announcements: receiver,
 		Logger: log.NewNopLogger(),
 	})
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -48,13 +48,13 @@
 	ID         string
 	DataCentre string
 	// Regions holds the region of each data centre.
-	Regions  map[string]string
-	Settings settings.Entry
-	Follower Follower
-	Hearing  *announcement.Receiver
-	Client   backend.Client
-	Control  Committer
-	Logger   log.Logger
+	Regions       map[string]string
+	Settings      settings.Entry
+	Follower      Follower
+	Announcements *announcement.Receiver
+	Client        backend.Client
+	Control       Committer
+	Logger        log.Logger
 	// RequestLinesPerSecond limits the log lines about requests; 0 is no limit.
 	RequestLinesPerSecond int
 	Metrics               *metrics.Entry
@@ -211,7 +211,7 @@
 	e.Any("/services/:name/*", s.serveService)
 	e.GET("/ready", s.serveReady)
 	e.GET("/live", func(c echo.Context) error { return c.String(http.StatusOK, "live\n") })
-	e.POST(backend.PathAnnounce, echo.WrapHandler(s.o.Hearing))
+	e.POST(backend.PathAnnounce, echo.WrapHandler(s.o.Announcements))
 	return e
 }
 
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -54,7 +54,7 @@
 // attempt was sent to, and whether all members have announced themselves after a time.
 func (s *Server) checkMembers(r route, after time.Time) (changed, alive bool) {
 	alive = true
-	s.o.Hearing.WithTable(func(t *evidence.Table) {
+	s.o.Announcements.WithTable(func(t *evidence.Table) {
 		for id, incarnation := range r.members {
 			report, ok := t.Get(id)
 			if r.group == "" {
--- a/internal/node/adapter.go
+++ b/internal/node/adapter.go
@@ -30,12 +30,12 @@
 // Parts are the components of a node that an adapter's edges may use. Entry and Control
 // are nil in a process without that role.
 type Parts struct {
-	Settings *settings.Settings
-	Entry    *entry.Server
-	Control  *control.Server
-	Hearing  *announcement.Receiver
-	Commits  *controlclient.Client
-	Logger   log.Logger
+	Settings      *settings.Settings
+	Entry         *entry.Server
+	Control       *control.Server
+	Announcements *announcement.Receiver
+	Commits       *controlclient.Client
+	Logger        log.Logger
 }
 
 // Edge is one HTTP server of an adapter.
@@ -51,7 +51,7 @@
 		return nil
 	}
 	parts := Parts{
-		Settings: n.settings, Entry: n.entry, Control: n.control, Hearing: n.hearing, Commits: n.commits, Logger: n.logger,
+		Settings: n.settings, Entry: n.entry, Control: n.control, Announcements: n.announcements, Commits: n.commits, Logger: n.logger,
 	}
 	for _, e := range n.adapter.Edges(parts) {
 		if err := n.listenAt(e.Name, e.Address, e.Handler); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,16 +49,16 @@
 	// orderClient carries orders to engines.
 	orderClient *backend.HTTPClient
 
-	replica  *replica.Node
-	machine  *control.Machine
-	control  *control.Server
-	hearing  *announcement.Receiver
-	follower *follow.Follower
-	entry    *entry.Server
-	servers  []*namedServer
-	adapter  Adapter
-	commits  *controlclient.Client
-	metrics  *metrics.Metrics
+	replica       *replica.Node
+	machine       *control.Machine
+	control       *control.Server
+	announcements *announcement.Receiver
+	follower      *follow.Follower
+	entry         *entry.Server
+	servers       []*namedServer
+	adapter       Adapter
+	commits       *controlclient.Client
+	metrics       *metrics.Metrics
 }
 
 // tokens holds the secrets from the token files that the settings name.
@@ -242,7 +242,7 @@
 		OnControl: client.Learn, StartWithoutLease: e.ServeWithoutLease,
 	})
 	n.commits = client
-	n.hearing = announcement.New(announcement.Options{
+	n.announcements = announcement.New(announcement.Options{
 		Self: n.settings.VM, Board: n.follower.Board, Lease: n.follower.Lease, Dial: n.dialer.DialContext,
 		PeerToken: n.tokens.peers, AnnounceToken: n.tokens.announce,
 		Logger: log.With(n.logger, "part", "hearing"), OnAnnouncement: n.onAnnouncement,
@@ -250,7 +250,7 @@
 	})
 	if e.Enabled {
 		n.entry = entry.NewServer(entry.Options{
-			ID: n.settings.VM, DataCentre: n.settings.DataCentre, Regions: n.settings.Regions, Settings: e, Follower: n.follower, Hearing: n.hearing,
+			ID: n.settings.VM, DataCentre: n.settings.DataCentre, Regions: n.settings.Regions, Settings: e, Follower: n.follower, Announcements: n.announcements,
 			Client: n.backendClient, Control: client, Logger: n.decisionLogger("entry"), RequestLinesPerSecond: n.settings.Log.RequestLinesPerSecond, Metrics: n.metrics.Entry(), Peers: &http.Client{Transport: n.peerClient.Transport},
 			Forwarder: n.forwarder(), Suspects: client,
 		})
@@ -258,7 +258,7 @@
 	if n.replica != nil {
 		c := n.settings.Control
 		n.control = control.NewServer(control.Options{
-			Machine: n.machine, Consensus: n.replica, Evidence: n.hearing, Orders: n.orderSender(),
+			Machine: n.machine, Consensus: n.replica, Evidence: n.announcements, Orders: n.orderSender(),
 			MinDisks: c.MinDisks, Timing: n.timing(), Renewer: client, DataCentres: slices.Sorted(maps.Keys(n.settings.Regions)),
 			Logger: n.decisionLogger("control"), VM: n.settings.VM, Step: n.controllerStep(), Metrics: n.metrics.Control(),
 			Lease:      time.Duration(c.ConfigLeaseMillis) * time.Millisecond,
@@ -317,7 +317,7 @@
 	}
 	n.goLoop(ctx, g, n.sampleLoop)
 	n.goLoop(ctx, g, n.follower.Run)
-	n.goLoop(ctx, g, n.hearing.Run)
+	n.goLoop(ctx, g, n.announcements.Run)
 	if n.entry != nil {
 		n.goLoop(ctx, g, n.entry.Run)
 	}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -75,7 +75,7 @@
 	mux := http.NewServeMux()
 	entries := noderpc.NewEntriesServer(n.entriesService())
 	mux.Handle(entries.PathPrefix(), entries)
-	mux.HandleFunc(announcement.PathExchange, n.hearing.ServeExchange)
+	mux.HandleFunc(announcement.PathExchange, n.announcements.ServeExchange)
 	mux.Handle(metrics.Path, n.metrics.Handler())
 	mux.HandleFunc("/debug/pprof/", pprof.Index)
 	mux.HandleFunc("/debug/pprof/profile", pprof.Profile)
