--- a/cmd/citronstepd/main.go
+++ b/cmd/citronstepd/main.go
@@ -116,7 +116,7 @@
 func startNode(s *settings.Settings, file string) (*process, error) {
 	logger := log.With(newLogger(s.Log.Level), "vm", s.VM)
 	reportInvariants(logger)
-	n, err := node.NewAdapted(s, logger, adapterOf(s))
+	n, err := node.NewWithAdapter(s, logger, adapterOf(s))
 	if err != nil {
 		_ = level.Error(logger).Log("event", "start_failed", "err", err)
 		return nil, errors.Trace(err)
--- a/internal/node/adapter.go
+++ b/internal/node/adapter.go
@@ -23,13 +23,13 @@
 	Orders func(*backend.HTTPClient) control.OrderSender
 	// Forwarder returns the forwarder of callers' requests.
 	Forwarder func(*backend.HTTPClient) backend.Forwarder
-	// Edges returns the servers that the process runs beside its own APIs.
-	Edges func(Parts) []Edge
+	// Servers returns the servers that the process runs beside its own APIs.
+	Servers func(Components) []AdapterServer
 }
 
-// Parts are the components of a node that an adapter's edges may use. Entry and Control
+// Components are the parts of a node that an adapter's servers may use. Entry and Control
 // are nil in a process without that role.
-type Parts struct {
+type Components struct {
 	Settings      *settings.Settings
 	Entry         *entry.Server
 	Control       *control.Server
@@ -38,8 +38,8 @@
 	Logger        log.Logger
 }
 
-// Edge is one HTTP server of an adapter.
-type Edge struct {
+// AdapterServer is one HTTP server of an adapter.
+type AdapterServer struct {
 	// Name is callers, ready or control. A graceful stop shuts them down in this order.
 	Name    string
 	Address string
@@ -47,13 +47,13 @@
 }
 
 func (n *Node) listenForAdapter() error {
-	if n.adapter.Edges == nil {
+	if n.adapter.Servers == nil {
 		return nil
 	}
-	parts := Parts{
+	components := Components{
 		Settings: n.settings, Entry: n.entry, Control: n.control, Announcements: n.announcements, Commits: n.commits, Logger: n.logger,
 	}
-	for _, e := range n.adapter.Edges(parts) {
+	for _, e := range n.adapter.Servers(components) {
 		if err := n.listenAt(e.Name, e.Address, e.Handler); err != nil {
 			return errors.Trace(err)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -76,11 +76,11 @@
 // New creates a node and opens its listeners and its data folder. The caller must call
 // Close to release them.
 func New(s *settings.Settings, logger log.Logger) (*Node, error) {
-	return NewAdapted(s, logger, Adapter{})
+	return NewWithAdapter(s, logger, Adapter{})
 }
 
-// NewAdapted creates a node that uses an adapter for its platform's protocols.
-func NewAdapted(s *settings.Settings, logger log.Logger, a Adapter) (*Node, error) {
+// NewWithAdapter creates a node that uses an adapter for its platform's protocols.
+func NewWithAdapter(s *settings.Settings, logger log.Logger, a Adapter) (*Node, error) {
 	n := &Node{settings: s, logger: logger, adapter: a}
 	steps := []func() error{n.readTokens, n.makeMetrics, n.makeClients, n.openConsensus, n.makeServers, n.listen}
 	for _, step := range steps {
