--- a/internal/announcement/connection.go
+++ b/internal/announcement/connection.go
@@ -19,7 +19,7 @@
 const (
 	// silenceLimit bounds the wait for a complete frame and the duration of a
 	// write. It exceeds two digest intervals, so one late frame does not end the
-	// connection, and is shorter than evidence.WitnessAge.
+	// connection, and is shorter than evidence.MaxDigestAge.
 	//
 	// Failure: a middlebox drops its state for a connection, or a link loses one
 	// direction, and the connection stays open without delivering data. The side
--- a/internal/announcement/exchange_test.go
+++ b/internal/announcement/exchange_test.go
@@ -155,7 +155,7 @@
 }
 
 func hasRecentDigest(id string) func(*evidence.Table) bool {
-	return func(table *evidence.Table) bool { return table.Witness(time.Now(), id, evidence.WitnessAge) }
+	return func(table *evidence.Table) bool { return table.HasRecentDigest(time.Now(), id, evidence.MaxDigestAge) }
 }
 
 func not(ok func(*evidence.Table) bool) func(*evidence.Table) bool {
--- a/internal/announcement/receivers.go
+++ b/internal/announcement/receivers.go
@@ -38,7 +38,7 @@
 // Load: thousands of backend servers announce themselves each second. The leader lacks the
 // processor time and the file descriptors to receive them all beside its orders and watches.
 // Above maxAtLeader they are divided among the receiving processes other than the leader
-// whose last digest is at most evidence.WitnessAge old. Rendezvous hashing of the server id
+// whose last digest is at most evidence.MaxDigestAge old. Rendezvous hashing of the server id
 // assigns them, so the loss of a process moves only the servers assigned to it. The
 // receiving process pushes their announcements to its peers at once, see exchange.push.
 func (h *Receiver) ReceiverFor(id, leader string) string {
@@ -64,7 +64,7 @@
 	h.receivers.isSpread = known > maxAtLeader || (h.receivers.isSpread && known > returnToLeader)
 	h.receivers.entries = h.receivers.entries[:0]
 	for id, e := range receivingEntries(h.o.Board().Entries) {
-		if id == h.o.Self || h.table.Witness(now, id, evidence.WitnessAge) {
+		if id == h.o.Self || h.table.HasRecentDigest(now, id, evidence.MaxDigestAge) {
 			h.receivers.entries = append(h.receivers.entries, e)
 		}
 	}
--- a/internal/announcement/receivers_test.go
+++ b/internal/announcement/receivers_test.go
@@ -81,11 +81,11 @@
 
 	h.WithTable(func(t *evidence.Table) {
 		for n := range 4 {
-			t.Merge(time.Now().Add(2*evidence.WitnessAge), fmt.Sprint("core-", n), nil)
+			t.Merge(time.Now().Add(2*evidence.MaxDigestAge), fmt.Sprint("core-", n), nil)
 		}
 	})
 	h.mu.Lock()
-	h.refreshReceivers(time.Now().Add(2 * evidence.WitnessAge))
+	h.refreshReceivers(time.Now().Add(2 * evidence.MaxDigestAge))
 	h.receivers.refreshedAt = time.Now().Add(time.Minute)
 	h.mu.Unlock()
 	for id, home := range before {
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -165,7 +165,7 @@
 		return livenessByGap(current, r, v.Evidence.Interval())
 	}
 	scale := time.Duration(1)
-	if hasReport && !v.Evidence.Witness(now, r.Source, evidence.WitnessAge) {
+	if hasReport && !v.Evidence.HasRecentDigest(now, r.Source, evidence.MaxDigestAge) {
 		scale = silentSourceFactor
 	}
 	silent := silence(v, now, r, hasReport)
--- a/internal/evidence/query.go
+++ b/internal/evidence/query.go
@@ -66,9 +66,9 @@
 	return now.Sub(r.HeardAt) <= maxAge
 }
 
-// Witnesses returns the number of processes whose last digest is at most maxAge old,
+// RecentPeerCount returns the number of processes whose last digest is at most maxAge old,
 // this process included.
-func (t *Table) Witnesses(now time.Time, maxAge time.Duration) int {
+func (t *Table) RecentPeerCount(now time.Time, maxAge time.Duration) int {
 	n := 0
 	for _, at := range t.digestTimes {
 		if now.Sub(at) <= maxAge {
@@ -78,14 +78,14 @@
 	return n
 }
 
-// Witness reports whether the last digest of a process is at most maxAge old.
-func (t *Table) Witness(now time.Time, source string, maxAge time.Duration) bool {
+// HasRecentDigest reports whether the last digest of a process is at most maxAge old.
+func (t *Table) HasRecentDigest(now time.Time, source string, maxAge time.Duration) bool {
 	at, ok := t.digestTimes[source]
 	return ok && now.Sub(at) <= maxAge
 }
 
 // Covered reports whether the last digests of a majority of the registered entries
-// are at most WitnessAge old. Only then is the silence of a backend server
+// are at most MaxDigestAge old. Only then is the silence of a backend server
 // significant. Entries that receive no announcements don't count.
 //
 // Failure: a partitioned process receives no announcements and would report all
@@ -100,7 +100,7 @@
 			continue
 		}
 		all++
-		if t.Witness(now, id, WitnessAge) {
+		if t.HasRecentDigest(now, id, MaxDigestAge) {
 			heard++
 		}
 	}
--- a/internal/evidence/table.go
+++ b/internal/evidence/table.go
@@ -37,9 +37,9 @@
 	// alive. Entries may still route to a member for this long after its death. A
 	// shorter bound would stop routing at each lost announcement.
 	RoutableAge = routableIntervals * AnnounceInterval
-	// WitnessAge is the maximum age of a peer's last digest for the peer to count as
+	// MaxDigestAge is the maximum age of a peer's last digest for the peer to count as
 	// connected. It tolerates the loss of three consecutive digests.
-	WitnessAge = 1 * time.Second
+	MaxDigestAge = 1 * time.Second
 )
 
 const (
--- a/internal/evidence/table_test.go
+++ b/internal/evidence/table_test.go
@@ -53,7 +53,7 @@
 	assert.Assert(t, ok)
 	assert.Equal(t, r.HeardAt, at(-10))
 	assert.Assert(t, !receiver.Fresh(arrived, "vm", "x", "demo-0", 7, RoutableAge))
-	assert.Equal(t, receiver.Witnesses(arrived, WitnessAge), 0)
+	assert.Equal(t, receiver.RecentPeerCount(arrived, MaxDigestAge), 0)
 }
 
 // Failure: after a pause of an entry, requests are routed to a dead member for a
@@ -142,7 +142,7 @@
 	table.Digest(at(0), Cursor{})
 	table.Merge(at(0), "b", nil)
 	table.Merge(at(0), "stranger", nil)
-	assert.Equal(t, table.Witnesses(at(0), WitnessAge), 3)
+	assert.Equal(t, table.RecentPeerCount(at(0), MaxDigestAge), 3)
 	assert.Assert(t, !table.Covered(at(0), board), "two of four")
 	table.Merge(at(0), "c", nil)
 	assert.Assert(t, table.Covered(at(0), board))
--- a/internal/evidence/wire/session_test.go
+++ b/internal/evidence/wire/session_test.go
@@ -272,7 +272,7 @@
 		w.AgeMillis, g.AgeMillis, w.Detail, g.Detail = 0, 0, nil, nil
 		assert.DeepEqual(p.t, g.Heard, w.Heard)
 	}
-	assert.Equal(p.t, p.viaWire.Witnesses(at(p.now), time.Hour), p.direct.Witnesses(at(p.now), time.Hour))
+	assert.Equal(p.t, p.viaWire.RecentPeerCount(at(p.now), time.Hour), p.direct.RecentPeerCount(at(p.now), time.Hour))
 }
 
 func TestLengthPrefixIsAVarint(t *testing.T) {
