--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -106,9 +106,9 @@
 }
 
 // silence returns how long a backend server has been silent while a majority of entries would
-// have forwarded its announcements; see evidence.Table.Covered.
+// have forwarded its announcements; see evidence.Table.HasMajority.
 func silence(v View, now time.Time, r evidence.Report, hasReport bool) time.Duration {
-	from := v.Memory.coveredSince
+	from := v.Memory.majoritySince
 	if from.IsZero() {
 		return 0
 	}
--- a/internal/controller/measures.go
+++ b/internal/controller/measures.go
@@ -19,11 +19,11 @@
 // is insufficient and it uses the blackboard instead.
 func Measures(board *blackboard.Board, table *evidence.Table, now time.Time) adminapi.Measures {
 	var m adminapi.Measures
-	covered := table.Covered(now, board)
+	hasMajority := table.HasMajority(now, board)
 	working := make(map[string]bool)
 	serving := make(map[string]int)
 	for id, g := range board.Groups {
-		if !isWorking(board, table, now, g, covered) {
+		if !isWorking(board, table, now, g, hasMajority) {
 			continue
 		}
 		working[id] = true
@@ -45,11 +45,11 @@
 	return m
 }
 
-func isWorking(board *blackboard.Board, table *evidence.Table, now time.Time, g blackboard.Group, covered bool) bool {
+func isWorking(board *blackboard.Board, table *evidence.Table, now time.Time, g blackboard.Group, hasMajority bool) bool {
 	if g.State == blackboard.Draining {
 		return true
 	}
-	if !covered {
+	if !hasMajority {
 		return g.State.Routable()
 	}
 	ok, _ := table.Routable(now, board, g.ID)
--- a/internal/controller/memory.go
+++ b/internal/controller/memory.go
@@ -14,9 +14,9 @@
 	// ordersFrom is the time from which this leader may send orders: the lease of any earlier
 	// leader has certainly ended.
 	ordersFrom time.Time
-	// coveredSince is the time since which evidence from a majority of the entries has arrived
+	// majoritySince is the time since which evidence from a majority of the entries has arrived
 	// without a break; zero while it does not arrive.
-	coveredSince time.Time
+	majoritySince time.Time
 	// massSilenceAt is when most VMs were last silent at the same time.
 	massSilenceAt time.Time
 	orders        map[string]*orderRecord
@@ -146,12 +146,12 @@
 
 // updateCoverage tracks since when the silence of backend servers is meaningful.
 func (m *Memory) updateCoverage(v View, now time.Time) {
-	if !v.Evidence.Covered(now, v.Board) {
-		m.coveredSince = time.Time{}
+	if !v.Evidence.HasMajority(now, v.Board) {
+		m.majoritySince = time.Time{}
 		return
 	}
-	if m.coveredSince.IsZero() {
-		m.coveredSince = now
+	if m.majoritySince.IsZero() {
+		m.majoritySince = now
 	}
 }
 
--- a/internal/evidence/query.go
+++ b/internal/evidence/query.go
@@ -84,16 +84,16 @@
 	return ok && now.Sub(at) <= maxAge
 }
 
-// Covered reports whether the last digests of a majority of the registered entries
+// HasMajority reports whether the last digests of a majority of the registered entries
 // are at most MaxDigestAge old. Only then is the silence of a backend server
 // significant. Entries that receive no announcements don't count.
 //
 // Failure: a partitioned process receives no announcements and would report all
-// backend servers dead. On the minority side of a partition Covered returns false,
+// backend servers dead. On the minority side of a partition HasMajority returns false,
 // so the process draws no conclusion. A backend server that no entry of a majority
 // receives is not routable for most entries, so giving it up costs little even if it
 // is alive.
-func (t *Table) Covered(now time.Time, board *blackboard.Board) bool {
+func (t *Table) HasMajority(now time.Time, board *blackboard.Board) bool {
 	heard, all := 0, 0
 	for id, e := range board.Entries {
 		if e.Deaf {
--- a/internal/evidence/table_test.go
+++ b/internal/evidence/table_test.go
@@ -143,11 +143,11 @@
 	table.Merge(at(0), "b", nil)
 	table.Merge(at(0), "stranger", nil)
 	assert.Equal(t, table.RecentPeerCount(at(0), MaxDigestAge), 3)
-	assert.Assert(t, !table.Covered(at(0), board), "two of four")
+	assert.Assert(t, !table.HasMajority(at(0), board), "two of four")
 	table.Merge(at(0), "c", nil)
-	assert.Assert(t, table.Covered(at(0), board))
-	assert.Assert(t, !table.Covered(at(1001), board), "too old")
-	assert.Assert(t, !NewTable("a", 1).Covered(at(0), blackboard.New()), "no entries")
+	assert.Assert(t, table.HasMajority(at(0), board))
+	assert.Assert(t, !table.HasMajority(at(1001), board), "too old")
+	assert.Assert(t, !NewTable("a", 1).HasMajority(at(0), blackboard.New()), "no entries")
 }
 
 func TestRoutableReturnsTheReason(t *testing.T) {
