--- a/internal/announcement/receiver.go
+++ b/internal/announcement/receiver.go
@@ -185,7 +185,7 @@
 		return cutOffError()
 	}
 	known := false
-	h.WithTable(func(t *evidence.Table) { known = t.Left(time.Now(), h.o.Self, is) })
+	h.WithTable(func(t *evidence.Table) { known = t.RecordDeparture(time.Now(), h.o.Self, is) })
 	if !known {
 		return failure.New(failure.TypeUnavailable, "no announcement of this backend server has arrived here; notify another process")
 	}
@@ -194,7 +194,7 @@
 
 func (h *Receiver) record(a backend.Announcement) {
 	h.mu.Lock()
-	h.table.Hear(time.Now(), h.o.Self, a)
+	h.table.Record(time.Now(), h.o.Self, a)
 	h.mu.Unlock()
 	if h.o.OnAnnouncement != nil {
 		h.o.OnAnnouncement(a)
--- a/internal/announcement/receivers.go
+++ b/internal/announcement/receivers.go
@@ -60,7 +60,7 @@
 // refreshReceivers rebuilds the receiver list. The caller must hold h.mu.
 func (h *Receiver) refreshReceivers(now time.Time) {
 	h.receivers.refreshedAt = now
-	known := h.table.Known()
+	known := h.table.Len()
 	h.receivers.isSpread = known > maxAtLeader || (h.receivers.isSpread && known > returnToLeader)
 	h.receivers.entries = h.receivers.entries[:0]
 	for id, e := range receivingEntries(h.o.Board().Entries) {
--- a/internal/announcement/receivers_test.go
+++ b/internal/announcement/receivers_test.go
@@ -35,7 +35,7 @@
 			t.Merge(now, fmt.Sprint("core-", n), nil)
 		}
 		for n := range servers {
-			t.Hear(now, "core-0", backend.Announcement{ID: fmt.Sprint("vm-", n), Kind: backend.KindEngine, Incarnation: "a", Sequence: 1})
+			t.Record(now, "core-0", backend.Announcement{ID: fmt.Sprint("vm-", n), Kind: backend.KindEngine, Incarnation: "a", Sequence: 1})
 		}
 	})
 	return h
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -231,7 +231,7 @@
 	w := newWorld(t, 44, 1, 1, defaultPolicy, blackboard.ConfigChange{})
 	announce := func(sequence uint64) {
 		n := w.entries[0]
-		n.table.Hear(w.now, n.id, backend.Announcement{
+		n.table.Record(w.now, n.id, backend.Announcement{
 			ID: "files-1", Kind: backend.KindService, Service: "files", Incarnation: "a", Sequence: sequence, Address: "x:1",
 		})
 	}
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -24,7 +24,7 @@
 	}
 	table := evidence.NewTable("entry", 1)
 	table.Digest(now, evidence.Cursor{})
-	table.Hear(now, "entry", a)
+	table.Record(now, "entry", a)
 	b := blackboard.New()
 	b.Entries["entry"] = blackboard.Entry{ID: "entry"}
 	b.VMs["1"] = blackboard.VM{
--- a/internal/controller/opening_sim_test.go
+++ b/internal/controller/opening_sim_test.go
@@ -353,7 +353,7 @@
 		w.delayed = append(w.delayed, delayedAnnouncement{w.now.Add(time.Duration(w.r.IntN(9000)) * time.Millisecond), a})
 		return
 	}
-	w.table.Hear(w.now, "e", a)
+	w.table.Record(w.now, "e", a)
 }
 
 // delayedAnnouncement is an announcement in transit.
@@ -370,7 +370,7 @@
 			left = append(left, l)
 			continue
 		}
-		w.table.Hear(w.now, "e", l.a)
+		w.table.Record(w.now, "e", l.a)
 	}
 	w.delayed = left
 }
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -69,7 +69,7 @@
 func TestOnlyConfiguredServersAreRecorded(t *testing.T) {
 	w := newPoolWorld(t, 1, 0, 0)
 	announce := func(id, service string, kind backend.Kind) {
-		w.table.Hear(w.now, "e", backend.Announcement{
+		w.table.Record(w.now, "e", backend.Announcement{
 			ID: id, Incarnation: id, Sequence: 1, Kind: kind, Address: id, Service: service, FabricDomain: "d", Phase: backend.PhaseIdle,
 		})
 	}
--- a/internal/controller/run_bench_test.go
+++ b/internal/controller/run_bench_test.go
@@ -52,7 +52,7 @@
 				ID: id, Incarnation: "a", FabricDomain: g.FabricDomain, Accelerators: 4,
 				Liveness: blackboard.Alive, Group: g.ID, Epoch: g.Epoch,
 			}
-			table.Hear(now, "entry", backend.Announcement{
+			table.Record(now, "entry", backend.Announcement{
 				ID: id, Kind: backend.KindEngine, Incarnation: "a", Sequence: 1, FabricDomain: g.FabricDomain,
 				Accelerators: 4, Group: g.ID, Epoch: g.Epoch, Phase: backend.PhaseReady,
 			})
@@ -124,7 +124,7 @@
 				}
 			}
 			board.VMs[vm.ID] = vm
-			table.Hear(now, "entry", a)
+			table.Record(now, "entry", a)
 		}
 	}
 	return View{Board: board, Evidence: table, Memory: memory, Term: 1, LeaseUntil: now.Add(time.Minute)}, now
@@ -185,7 +185,7 @@
 // announcePool records an announcement of every VM of a pool that it holds no weights.
 func announcePool(v View, now time.Time) {
 	for id, vm := range v.Board.VMs {
-		v.Evidence.Hear(now, "entry", backend.Announcement{
+		v.Evidence.Record(now, "entry", backend.Announcement{
 			ID: id, Kind: backend.KindEngine, Incarnation: "a", Sequence: uint64(now.UnixMilli()), FabricDomain: vm.FabricDomain,
 			Service: "pool", Accelerators: 1, Phase: backend.PhaseIdle,
 		})
--- a/internal/controller/sim_engine_test.go
+++ b/internal/controller/sim_engine_test.go
@@ -129,7 +129,7 @@
 		Accelerators: e.accelerators, Group: e.group, Epoch: e.epoch, Phase: e.phase,
 		Load: &backend.Load{Running: e.running, AtMillis: 500}, Weights: sortedKeys(e.weights), Unreachable: lost,
 	}
-	n.table.Hear(e.w.now, n.id, a)
+	n.table.Record(e.w.now, n.id, a)
 }
 
 // unreachable lists the lost members: at once if their connection was reset, and after two
--- a/internal/evidence/query.go
+++ b/internal/evidence/query.go
@@ -45,8 +45,8 @@
 	return all
 }
 
-// Known returns the number of backend servers in the table.
-func (t *Table) Known() int { return len(t.records) }
+// Len returns the number of backend servers in the table.
+func (t *Table) Len() int { return len(t.records) }
 
 // Forget drops the record of a backend server, such as one that has been removed.
 func (t *Table) Forget(kind backend.Kind, id string) {
--- a/internal/evidence/table.go
+++ b/internal/evidence/table.go
@@ -188,12 +188,12 @@
 // the constant RoutableAge scaled to the interval of this table.
 func (t *Table) RoutableAge() time.Duration { return routableIntervals * t.interval }
 
-// Left records that a backend server has announced its departure, so that it gets no
+// RecordDeparture records that a backend server has announced its departure, so that it gets no
 // new work. It returns false if is matches no known incarnation.
 //
-// A departure carries no sequence. Left assigns one far above those in use, so that
+// A departure carries no sequence. RecordDeparture assigns one far above those in use, so that
 // a delayed announcement does not make the server available again.
-func (t *Table) Left(now time.Time, source string, is func(incarnation string) bool) bool {
+func (t *Table) RecordDeparture(now time.Time, source string, is func(incarnation string) bool) bool {
 	for _, r := range t.records {
 		if !is(r.report.Incarnation) {
 			continue
@@ -234,8 +234,8 @@
 	}
 }
 
-// Hear records an announcement that reached this process directly.
-func (t *Table) Hear(now time.Time, source string, a backend.Announcement) {
+// Record records an announcement that reached this process directly.
+func (t *Table) Record(now time.Time, source string, a backend.Announcement) {
 	t.observe(now)
 	heardAt := now
 	if now.Before(t.distrustUntil) {
--- a/internal/evidence/table_test.go
+++ b/internal/evidence/table_test.go
@@ -31,7 +31,7 @@
 
 func TestFreshRequiresIncarnationGroupEpochAndAge(t *testing.T) {
 	table := NewTable("a", 1)
-	table.Hear(at(0), "a", announcement("x", 1))
+	table.Record(at(0), "a", announcement("x", 1))
 	now := at(1200)
 	assert.Assert(t, table.Fresh(now, "vm", "x", "demo-0", 7, RoutableAge))
 	assert.Assert(t, !table.Fresh(at(1201), "vm", "x", "demo-0", 7, RoutableAge), "too old")
@@ -45,7 +45,7 @@
 // seconds and appeared fresh on arrival. Dated from the time of its request, it is old.
 func TestDelayedDigestIsOld(t *testing.T) {
 	sender, receiver := NewTable("a", 1), NewTable("b", 1)
-	sender.Hear(at(0), "a", announcement("x", 1))
+	sender.Record(at(0), "a", announcement("x", 1))
 	digest, _ := sender.Digest(at(100), Cursor{})
 	asked, arrived := at(90), at(10_000)
 	receiver.Merge(asked, "a", digest)
@@ -61,11 +61,11 @@
 func TestAnnouncementsReadAfterAPauseAreNotFresh(t *testing.T) {
 	table := NewTable("a", 1)
 	tick(table, 0, 1000)
-	table.Hear(at(1000), "a", announcement("x", 1))
-	table.Hear(at(11_000), "a", announcement("x", 2))
+	table.Record(at(1000), "a", announcement("x", 1))
+	table.Record(at(11_000), "a", announcement("x", 2))
 	assert.Assert(t, !table.Fresh(at(11_000), "vm", "x", "demo-0", 7, RoutableAge))
 	tick(table, 11_000, 12_000)
-	table.Hear(at(12_100), "a", announcement("x", 3))
+	table.Record(at(12_100), "a", announcement("x", 3))
 	assert.Assert(t, table.Fresh(at(12_100), "vm", "x", "demo-0", 7, RoutableAge))
 }
 
@@ -73,26 +73,26 @@
 // the record alternates between the two incarnations.
 func TestDelayedCopyDoesNotRestoreAnIncarnation(t *testing.T) {
 	table := NewTable("a", 1)
-	table.Hear(at(0), "a", announcement("old", 5))
-	table.Hear(at(400), "a", announcement("new", 1))
-	table.Hear(at(800), "a", announcement("old", 6))
+	table.Record(at(0), "a", announcement("old", 5))
+	table.Record(at(400), "a", announcement("new", 1))
+	table.Record(at(800), "a", announcement("old", 6))
 	r, _ := table.Get("vm")
 	assert.Equal(t, r.Incarnation, "new")
 	table.Merge(at(900), "b", []Heard{{Kind: backend.KindEngine, ID: "vm", Incarnation: "older", Sequence: 9, AgeMillis: 600}})
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "new", "received before the current one")
 	tick(table, 800, 4000)
-	table.Hear(at(4000), "a", announcement("old", 7))
+	table.Record(at(4000), "a", announcement("old", 7))
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "old", "it goes on announcing while the other is silent")
 }
 
 func TestOlderSequenceChangesNothing(t *testing.T) {
 	table := NewTable("a", 1)
-	table.Hear(at(0), "a", announcement("x", 5))
+	table.Record(at(0), "a", announcement("x", 5))
 	late := announcement("x", 4)
 	late.Phase = backend.PhaseIdle
-	table.Hear(at(400), "a", late)
+	table.Record(at(400), "a", late)
 	r, _ := table.Get("vm")
 	assert.Equal(t, r.Phase, backend.PhaseReady)
 	assert.Equal(t, r.HeardAt, at(0))
@@ -102,7 +102,7 @@
 // carried the address was lost. The cursor makes the peer send it again.
 func TestLostDigestIsSentAgain(t *testing.T) {
 	table := NewTable("a", 1)
-	table.Hear(at(0), "a", announcement("x", 1))
+	table.Record(at(0), "a", announcement("x", 1))
 	first, next := table.Digest(at(100), Cursor{})
 	assert.Assert(t, first[0].Detail != nil)
 	again, _ := table.Digest(at(200), Cursor{})
@@ -110,7 +110,7 @@
 	assert.Assert(t, again[0].Detail != nil)
 	none, _ := table.Digest(at(300), next)
 	assert.Equal(t, len(none), 0)
-	table.Hear(at(400), "a", announcement("x", 2))
+	table.Record(at(400), "a", announcement("x", 2))
 	short, _ := table.Digest(at(500), next)
 	assert.Assert(t, short[0].Detail == nil, "it has not changed")
 	assert.Equal(t, short[0].AgeMillis, int64(100))
@@ -124,7 +124,7 @@
 	for n := range maxRecords + 100 {
 		a := announcement("x", 1)
 		a.ID = fmt.Sprint(n)
-		table.Hear(at(0), "a", a)
+		table.Record(at(0), "a", a)
 	}
 	assert.Equal(t, len(table.Reports()), maxRecords)
 	table.Digest(start.Add(recordTTL+time.Second), Cursor{})
@@ -175,7 +175,7 @@
 			board := blackboard.New()
 			board.Groups[g.ID] = g
 			table := NewTable("a", 1)
-			table.Hear(at(0), "a", a)
+			table.Record(at(0), "a", a)
 			ok, reason := table.Routable(at(100), board, "demo-0")
 			assert.Equal(t, reason, c.want)
 			assert.Equal(t, ok, c.want == "")
@@ -194,15 +194,15 @@
 		return a
 	}
 	table := NewTable("a", 1)
-	table.Hear(at(0), "a", startedAt(10, 50))
-	table.Hear(at(400), "a", startedAt(20, 1))
+	table.Record(at(0), "a", startedAt(10, 50))
+	table.Record(at(400), "a", startedAt(20, 1))
 	r, _ := table.Get("vm")
 	assert.Equal(t, r.Incarnation, "x@20")
 	tick(table, 400, 9000)
 	for i := range uint64(4) {
-		table.Hear(at(9000+int(i)), "a", startedAt(10, 51+i))
+		table.Record(at(9000+int(i)), "a", startedAt(10, 51+i))
 	}
-	table.Hear(at(9005), "a", announcement("x@0", 99))
+	table.Record(at(9005), "a", announcement("x@0", 99))
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "x@20")
 	assert.Equal(t, r.HeardAt, at(400))
--- a/internal/evidence/wire/session_test.go
+++ b/internal/evidence/wire/session_test.go
@@ -216,7 +216,7 @@
 	if p.r.IntN(3) == 0 {
 		a.Unreachable = []string{"vm-9"}
 	}
-	p.sender.Hear(at(p.now), "a", a)
+	p.sender.Record(at(p.now), "a", a)
 }
 
 // exchange sends one frame each way. A lost frame ends the connection.
--- a/test/capacity/slopes_test.go
+++ b/test/capacity/slopes_test.go
@@ -167,8 +167,8 @@
 	return b
 }
 
-// heardOf returns a table that heard n engines in serving groups.
-func heardOf(n int, sequence uint64) *evidence.Table {
+// tableWith returns a table that heard n engines in serving groups.
+func tableWith(n int, sequence uint64) *evidence.Table {
 	table := evidence.NewTable("entry-1", 1)
 	hear(table, n, sequence, epoch)
 	return table
@@ -177,7 +177,7 @@
 func hear(table *evidence.Table, n int, sequence uint64, now time.Time) {
 	for i := range n {
 		v := vmRow(i)
-		table.Hear(now, "entry-1", backend.Announcement{
+		table.Record(now, "entry-1", backend.Announcement{
 			ID: v.ID, Incarnation: v.Incarnation, Sequence: sequence, Kind: backend.KindEngine, Address: v.Address,
 			DataCentre: v.DataCentre, FabricDomain: v.FabricDomain, Accelerators: 4, Weights: v.Weights, Model: "memo-large",
 			Group: fmt.Sprintf("memos-%d", i/vmsPerGroup), Epoch: uint64(i/vmsPerGroup + 1), Phase: backend.PhaseReady,
@@ -192,7 +192,7 @@
 	var size, nothing, exchanged, heap []point
 	for _, n := range sizes() {
 		x := float64(n)
-		table := heardOf(n, 1)
+		table := tableWith(n, 1)
 		first, cursor := table.Digest(epoch, evidence.Cursor{})
 		hear(table, n, 2, epoch)
 		lines, newest := table.Digest(made, cursor)
@@ -208,7 +208,7 @@
 			link.answer()
 		})})
 		nothing = append(nothing, point{x, micros * timeOf(func() { _, newest = table.Digest(made, newest) })})
-		heap = append(heap, point{x, heapOf(func() any { return heardOf(n, 1) })})
+		heap = append(heap, point{x, heapOf(func() any { return tableWith(n, 1) })})
 	}
 	r := newReport(t, "Evidence against VMs; a digest holds every VM once, without details and with unchanged loads")
 	r.add("digest", size, "B")
@@ -221,7 +221,7 @@
 func measureControllers(t *testing.T) {
 	var run, routable []point
 	for _, n := range sizes() {
-		b, table := boardOf(t, n), heardOf(n, 1)
+		b, table := boardOf(t, n), tableWith(n, 1)
 		table.Digest(epoch, evidence.Cursor{})
 		v := controller.View{Board: b, Evidence: table, Memory: controller.NewMemory(epoch, 0), Term: 2, LeaseUntil: epoch.Add(time.Hour)}
 		x := float64(n)
