--- a/internal/announcement/connection.go
+++ b/internal/announcement/connection.go
@@ -124,7 +124,7 @@
 func (c *connection) nextFrames() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var lines []evidence.Heard
+	var lines []evidence.DigestLine
 	now := time.Now()
 	if c.session.CanDate() {
 		c.receiver.WithTable(func(t *evidence.Table) {
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -13,7 +13,7 @@
 
 func reportOf(vm, incarnation string, sequence uint64, phase backend.Phase, at time.Time) evidence.Report {
 	return evidence.Report{
-		Heard: evidence.Heard{
+		DigestLine: evidence.DigestLine{
 			Kind: backend.KindEngine, ID: vm, Incarnation: incarnation, Sequence: sequence, Phase: phase,
 		},
 		HeardAt: at, FirstSequence: 1,
--- a/internal/evidence/query.go
+++ b/internal/evidence/query.go
@@ -41,7 +41,7 @@
 			all = append(all, r.report)
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return sortsBefore(all[i].Heard, all[j].Heard) })
+	sort.Slice(all, func(i, j int) bool { return sortsBefore(all[i].DigestLine, all[j].DigestLine) })
 	return all
 }
 
@@ -156,13 +156,13 @@
 		slices.Equal(d.Weights, o.Weights)
 }
 
-func sortsBefore(a, b Heard) bool {
+func sortsBefore(a, b DigestLine) bool {
 	if a.Kind != b.Kind {
 		return a.Kind < b.Kind
 	}
 	return a.ID < b.ID
 }
 
-func sortDigest(digest []Heard) {
+func sortDigest(digest []DigestLine) {
 	sort.Slice(digest, func(i, j int) bool { return sortsBefore(digest[i], digest[j]) })
 }
--- a/internal/evidence/table.go
+++ b/internal/evidence/table.go
@@ -78,9 +78,9 @@
 	Weights      []string `json:"weights,omitempty"`
 }
 
-// Heard is one line of a digest: the newest announcement of one backend server that
+// DigestLine is one line of a digest: the newest announcement of one backend server that
 // reached the sender directly.
-type Heard struct {
+type DigestLine struct {
 	Kind        backend.Kind `json:"kind"`
 	ID          string       `json:"id"`
 	Incarnation string       `json:"incarnation"`
@@ -105,7 +105,7 @@
 
 // Report is the state of one backend server in a Table.
 type Report struct {
-	Heard
+	DigestLine
 	// Known is the newest Detail; nil if none has arrived yet.
 	Known *Detail
 	// HeardAt is a lower bound, by this process's clock, for the time at which Source
@@ -198,7 +198,7 @@
 		if !is(r.report.Incarnation) {
 			continue
 		}
-		h := r.report.Heard
+		h := r.report.DigestLine
 		h.Leaving = true
 		h.Sequence += departureStep
 		h.Detail = r.report.Known
@@ -241,7 +241,7 @@
 	if now.Before(t.distrustUntil) {
 		heardAt = t.lastCallBeforePause
 	}
-	h := Heard{
+	h := DigestLine{
 		Kind: a.Kind, ID: a.ID, Incarnation: a.Incarnation, StartedMillis: a.StartedMillis, Sequence: a.Sequence,
 		Group: a.Group, Epoch: a.Epoch, Phase: a.Phase, Leaving: a.Leaving, ColdMillis: a.ColdMillis,
 		Unreachable: a.Unreachable, Load: a.Load,
@@ -270,7 +270,7 @@
 // on arrival. The peer received each line no earlier than asked minus the line's age,
 // however long the answer took. A line dated from asked therefore never appears
 // fresher than it is.
-func (t *Table) Merge(asked time.Time, source string, digest []Heard) {
+func (t *Table) Merge(asked time.Time, source string, digest []DigestLine) {
 	if asked.After(t.digestTimes[source]) {
 		t.digestTimes[source] = asked
 	}
@@ -286,14 +286,14 @@
 // peer's cursor, and the peer's next cursor. If an answer is lost, the peer asks again
 // with its old cursor and misses nothing. Digest also records now as the time of this
 // process's own digest, see Witnesses.
-func (t *Table) Digest(now time.Time, after Cursor) ([]Heard, Cursor) {
+func (t *Table) Digest(now time.Time, after Cursor) ([]DigestLine, Cursor) {
 	t.observe(now)
 	t.digestTimes[t.self] = now
 	t.prune(now)
 	if after.Run != t.cursor.Run {
 		after = Cursor{}
 	}
-	var digest []Heard
+	var digest []DigestLine
 	for _, r := range t.records {
 		if r.receivedNumber > after.Number {
 			digest = append(digest, r.digestLine(now, after))
@@ -321,8 +321,8 @@
 	}
 }
 
-func (r *record) digestLine(now time.Time, after Cursor) Heard {
-	h := r.report.Heard
+func (r *record) digestLine(now time.Time, after Cursor) DigestLine {
+	h := r.report.DigestLine
 	h.AgeMillis = now.Sub(r.report.HeardAt).Milliseconds()
 	h.Detail = nil
 	if r.detailNumber > after.Number {
@@ -333,7 +333,7 @@
 
 // apply records one line and returns its record. It returns nil if the line is older
 // than the record or the table is full.
-func (t *Table) apply(heardAt time.Time, source string, h Heard) *record {
+func (t *Table) apply(heardAt time.Time, source string, h DigestLine) *record {
 	k := key{h.Kind, h.ID}
 	r, known := t.records[k]
 	if !known && len(t.records) >= maxRecords {
@@ -369,7 +369,7 @@
 // late announcements of others arrive. Without start times, a retired incarnation is
 // accepted only if it keeps announcing while the current one is silent, and an
 // unknown one only if it was received after the current one.
-func (r *record) isReplacedBy(heardAt time.Time, h Heard) bool {
+func (r *record) isReplacedBy(heardAt time.Time, h DigestLine) bool {
 	if h.StartedMillis != r.report.StartedMillis {
 		return h.StartedMillis > r.report.StartedMillis
 	}
@@ -392,21 +392,21 @@
 	}
 }
 
-func (r *record) reset(heardAt time.Time, source string, h Heard, interval time.Duration) {
+func (r *record) reset(heardAt time.Time, source string, h DigestLine, interval time.Duration) {
 	r.report = Report{
-		Heard: h, HeardAt: heardAt, Source: source,
+		DigestLine: h, HeardAt: heardAt, Source: source,
 		FirstHeard: heardAt, FirstSequence: h.Sequence, Gap: interval,
 	}
 	r.updateDetail(h.Detail)
 }
 
-func (r *record) advance(heardAt time.Time, source string, h Heard) {
+func (r *record) advance(heardAt time.Time, source string, h DigestLine) {
 	steps := h.Sequence - r.report.Sequence
 	if gap := heardAt.Sub(r.report.HeardAt); gap > 0 {
 		each := float64(gap) / float64(steps)
 		r.report.Gap = time.Duration((1-gapWeight)*float64(r.report.Gap) + gapWeight*each)
 	}
-	r.report.Heard = h
+	r.report.DigestLine = h
 	r.report.Source = source
 	if heardAt.After(r.report.HeardAt) {
 		r.report.HeardAt = heardAt
--- a/internal/evidence/table_test.go
+++ b/internal/evidence/table_test.go
@@ -78,7 +78,7 @@
 	table.Record(at(800), "a", announcement("old", 6))
 	r, _ := table.Get("vm")
 	assert.Equal(t, r.Incarnation, "new")
-	table.Merge(at(900), "b", []Heard{{Kind: backend.KindEngine, ID: "vm", Incarnation: "older", Sequence: 9, AgeMillis: 600}})
+	table.Merge(at(900), "b", []DigestLine{{Kind: backend.KindEngine, ID: "vm", Incarnation: "older", Sequence: 9, AgeMillis: 600}})
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "new", "received before the current one")
 	tick(table, 800, 4000)
@@ -206,7 +206,7 @@
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "x@20")
 	assert.Equal(t, r.HeardAt, at(400))
-	table.Merge(at(9100), "b", []Heard{{Kind: backend.KindEngine, ID: "vm", Incarnation: "x@30", StartedMillis: 30, Sequence: 1, AgeMillis: 9000}})
+	table.Merge(at(9100), "b", []DigestLine{{Kind: backend.KindEngine, ID: "vm", Incarnation: "x@30", StartedMillis: 30, Sequence: 1, AgeMillis: 9000}})
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "x@30", "received before the current one, but it started later")
 }
--- a/internal/evidence/wire/line.go
+++ b/internal/evidence/wire/line.go
@@ -50,19 +50,19 @@
 // lineEncoder encodes the lines of one connection.
 type lineEncoder struct {
 	refs map[serverKey]uint64
-	last []evidence.Heard
+	last []evidence.DigestLine
 }
 
 func newLineEncoder() *lineEncoder { return &lineEncoder{refs: make(map[serverKey]uint64)} }
 
 // encode returns the bytes of one line.
-func (e *lineEncoder) encode(h evidence.Heard) ([]byte, error) {
+func (e *lineEncoder) encode(h evidence.DigestLine) ([]byte, error) {
 	ref, known := e.refs[serverKey{h.Kind, h.ID}]
 	if !known {
 		if len(e.last) >= MaxRefs {
 			return nil, errors.Trace(ErrDictionaryFull)
 		}
-		e.last = append(e.last, evidence.Heard{})
+		e.last = append(e.last, evidence.DigestLine{})
 		ref = uint64(len(e.last))
 		e.refs[serverKey{h.Kind, h.ID}] = ref
 	}
@@ -86,7 +86,7 @@
 	return b, nil
 }
 
-func putChanges(b []byte, last *evidence.Heard, h evidence.Heard) []byte {
+func putChanges(b []byte, last *evidence.DigestLine, h evidence.DigestLine) []byte {
 	if last.Incarnation != h.Incarnation {
 		b = putString(b, lineIncarnation, h.Incarnation)
 	}
@@ -124,7 +124,7 @@
 }
 
 // lineDecoder decodes the lines of one connection.
-type lineDecoder struct{ last []evidence.Heard }
+type lineDecoder struct{ last []evidence.DigestLine }
 
 // lineHead holds the fields that decode needs before the others: those that identify
 // the backend server, and the values relative to its last line or to the frame.
@@ -136,7 +136,7 @@
 
 // decode decodes one line. Omitted fields have the values of the last line of the same
 // backend server.
-func (d *lineDecoder) decode(b []byte) (evidence.Heard, error) {
+func (d *lineDecoder) decode(b []byte) (evidence.DigestLine, error) {
 	head := lineHead{sequence: defaultStep}
 	h, err := d.resolve(b, &head)
 	if err != nil {
@@ -165,22 +165,22 @@
 
 // resolve returns the last line of the backend server that a line refers to. It adds a
 // backend server that is new to the connection.
-func (d *lineDecoder) resolve(b []byte, head *lineHead) (evidence.Heard, error) {
+func (d *lineDecoder) resolve(b []byte, head *lineHead) (evidence.DigestLine, error) {
 	if err := eachField(b, 0, func(v field) error { return readHead(v, head) }); err != nil {
-		return evidence.Heard{}, errors.Trace(err)
+		return evidence.DigestLine{}, errors.Trace(err)
 	}
 	known := uint64(len(d.last))
 	switch {
 	case head.age > maxAgeMillis:
-		return evidence.Heard{}, errors.Annotate(ErrMalformed, "age")
+		return evidence.DigestLine{}, errors.Annotate(ErrMalformed, "age")
 	case head.ref >= 1 && head.ref <= known && !head.hasID:
 		return d.last[head.ref-1], nil
 	case head.ref != known+1 || !head.hasID || head.id == "" || head.kind >= uint64(len(kindsByNumber)):
-		return evidence.Heard{}, errors.Annotatef(ErrMalformed, "number %d", head.ref)
+		return evidence.DigestLine{}, errors.Annotatef(ErrMalformed, "number %d", head.ref)
 	case known >= MaxRefs:
-		return evidence.Heard{}, errors.Trace(ErrDictionaryFull)
+		return evidence.DigestLine{}, errors.Trace(ErrDictionaryFull)
 	}
-	h := evidence.Heard{Kind: kindsByNumber[head.kind], ID: head.id}
+	h := evidence.DigestLine{Kind: kindsByNumber[head.kind], ID: head.id}
 	d.last = append(d.last, h)
 	return h, nil
 }
@@ -202,7 +202,7 @@
 	return nil
 }
 
-func readChange(v field, h *evidence.Heard) error {
+func readChange(v field, h *evidence.DigestLine) error {
 	switch v.number {
 	case lineRef, lineSequence, lineAge, lineKind, lineID:
 		return nil
@@ -239,7 +239,7 @@
 	return readNested(v, h)
 }
 
-func readNested(v field, h *evidence.Heard) error {
+func readNested(v field, h *evidence.DigestLine) error {
 	var body []byte
 	if err := v.asMessage(&body); err != nil {
 		return err
--- a/internal/evidence/wire/session.go
+++ b/internal/evidence/wire/session.go
@@ -61,7 +61,7 @@
 
 // Frames returns the bytes of one or more frames that carry these lines and are made
 // at now.
-func (s *Session) Frames(now time.Time, lines []evidence.Heard) ([]byte, error) {
+func (s *Session) Frames(now time.Time, lines []evidence.DigestLine) ([]byte, error) {
 	var out []byte
 	for {
 		body, err := s.beginFrame(now)
@@ -109,7 +109,7 @@
 	// Made is a lower bound, by the receiver's clock, for the time at which the peer
 	// made the frame. It is zero if the peer had received no frame yet.
 	Made  time.Time
-	Lines []evidence.Heard
+	Lines []evidence.DigestLine
 }
 
 type frame struct {
--- a/internal/evidence/wire/session_test.go
+++ b/internal/evidence/wire/session_test.go
@@ -33,7 +33,7 @@
 }
 
 // send makes frames at the time sent and receives them at the time arrived.
-func send(t *testing.T, from, to *Session, sent, arrived time.Time, lines ...evidence.Heard) Received {
+func send(t *testing.T, from, to *Session, sent, arrived time.Time, lines ...evidence.DigestLine) Received {
 	t.Helper()
 	data, err := from.Frames(sent, lines)
 	assert.NilError(t, err)
@@ -47,8 +47,8 @@
 	return all
 }
 
-func line(id string, sequence uint64) evidence.Heard {
-	return evidence.Heard{
+func line(id string, sequence uint64) evidence.DigestLine {
+	return evidence.DigestLine{
 		Kind: backend.KindEngine, ID: id, Incarnation: "x", StartedMillis: 1767225600123, Sequence: sequence, Group: "demo-0", Epoch: 7,
 		Phase: backend.PhaseReady, AgeMillis: 250, Load: &backend.Load{Running: 2, TokensPerSecond: 0.5, AtMillis: -1},
 	}
@@ -99,10 +99,10 @@
 		send(t, b, a, at(0), at(0))
 		want := line("vm", 3)
 		got := send(t, a, b, at(10), at(10), want)
-		assert.DeepEqual(t, got.Lines, []evidence.Heard{want})
+		assert.DeepEqual(t, got.Lines, []evidence.DigestLine{want})
 		want.Sequence, want.Load, want.Unreachable = 4, nil, []string{"vm-2"}
 		got = send(t, a, b, at(20), at(20), want)
-		assert.DeepEqual(t, got.Lines, []evidence.Heard{want})
+		assert.DeepEqual(t, got.Lines, []evidence.DigestLine{want})
 	}
 }
 
@@ -110,7 +110,7 @@
 func TestCompleteTableIsSplitIntoFrames(t *testing.T) {
 	a, b := NewSession(), NewSession()
 	send(t, b, a, at(0), at(0))
-	var lines []evidence.Heard
+	var lines []evidence.DigestLine
 	for n := range MaxRefs {
 		h := line(fmt.Sprint("vm-", n), 1)
 		h.Detail = &evidence.Detail{Address: "10.0.0.1:1", Weights: []string{"demo"}}
@@ -118,7 +118,7 @@
 	}
 	got := send(t, a, b, at(0), at(0), lines...)
 	assert.DeepEqual(t, got.Lines, lines)
-	_, err := a.Frames(at(0), []evidence.Heard{line("one more", 1)})
+	_, err := a.Frames(at(0), []evidence.DigestLine{line("one more", 1)})
 	assert.Assert(t, errors.Is(err, ErrDictionaryFull))
 }
 
@@ -270,7 +270,7 @@
 		assert.Assert(p.t, !g.HeardAt.After(w.HeardAt), "seed %d: %s is fresher", seed, g.ID)
 		assert.DeepEqual(p.t, g.Known, w.Known)
 		w.AgeMillis, g.AgeMillis, w.Detail, g.Detail = 0, 0, nil, nil
-		assert.DeepEqual(p.t, g.Heard, w.Heard)
+		assert.DeepEqual(p.t, g.DigestLine, w.DigestLine)
 	}
 	assert.Equal(p.t, p.viaWire.RecentPeerCount(at(p.now), time.Hour), p.direct.RecentPeerCount(at(p.now), time.Hour))
 }
--- a/test/capacity/link_test.go
+++ b/test/capacity/link_test.go
@@ -23,7 +23,7 @@
 }
 
 // send returns the bytes of the frames with these lines.
-func (l *link) send(lines []evidence.Heard) []byte {
+func (l *link) send(lines []evidence.DigestLine) []byte {
 	l.t.Helper()
 	data, err := l.from.Frames(epoch, lines)
 	assert.NilError(l.t, err)
@@ -31,7 +31,7 @@
 }
 
 // receive returns the lines of frames.
-func (l *link) receive(data []byte) []evidence.Heard {
+func (l *link) receive(data []byte) []evidence.DigestLine {
 	l.t.Helper()
 	return receive(l.t, l.to, data)
 }
@@ -44,9 +44,9 @@
 	receive(l.t, l.from, data)
 }
 
-func receive(t testing.TB, s *wire.Session, data []byte) []evidence.Heard {
+func receive(t testing.TB, s *wire.Session, data []byte) []evidence.DigestLine {
 	t.Helper()
-	var lines []evidence.Heard
+	var lines []evidence.DigestLine
 	for len(data) > 0 {
 		body, size := protowire.ConsumeBytes(data)
 		assert.Assert(t, size > 0)
