--- a/internal/controller/announcements.go
+++ b/internal/controller/announcements.go
@@ -36,7 +36,7 @@
 func recordAnnouncements(v View, now time.Time, a *Actions) {
 	fresh := v.timing().Paused
 	reports := v.Evidence.Select(func(r *evidence.Report) bool {
-		return r.Known != nil && now.Sub(r.HeardAt) <= fresh && !isRecorded(v, r)
+		return r.LatestDetail != nil && now.Sub(r.ReceivedAt) <= fresh && !isRecorded(v, r)
 	})
 	for _, r := range reports {
 		if !isConfigured(v, r) {
@@ -65,13 +65,13 @@
 	row.ID = r.ID
 	row.Incarnation = r.Incarnation
 	row.StartedMillis = r.StartedMillis
-	row.Address = r.Known.Address
-	row.DataCentre = r.Known.DataCentre
-	row.Pool = r.Known.Service
-	row.FabricDomain = r.Known.FabricDomain
-	row.Accelerators = r.Known.Accelerators
+	row.Address = r.LatestDetail.Address
+	row.DataCentre = r.LatestDetail.DataCentre
+	row.Pool = r.LatestDetail.Service
+	row.FabricDomain = r.LatestDetail.FabricDomain
+	row.Accelerators = r.LatestDetail.Accelerators
 	row.Leaving = r.Leaving
-	row.Weights = r.Known.Weights
+	row.Weights = r.LatestDetail.Weights
 	return row
 }
 
@@ -100,12 +100,12 @@
 // plain service and run requests outside any group. Such a backend server is left out until a
 // configuration fits it.
 func isConfigured(v View, r evidence.Report) bool {
-	spec, configured := v.Board.Config.Services[r.Known.Service]
+	spec, configured := v.Board.Config.Services[r.LatestDetail.Service]
 	pool := configured && spec.Engine != nil
 	if r.Kind == backend.KindService {
 		return !pool
 	}
-	return pool || r.Known.Service == ""
+	return pool || r.LatestDetail.Service == ""
 }
 
 func sameVM(a, b blackboard.VM) bool {
@@ -121,8 +121,8 @@
 		return
 	}
 	next := blackboard.ServiceInstance{
-		ID: r.ID, Service: r.Known.Service, Incarnation: r.Incarnation, StartedMillis: r.StartedMillis,
-		Address: r.Known.Address, DataCentre: r.Known.DataCentre,
+		ID: r.ID, Service: r.LatestDetail.Service, Incarnation: r.Incarnation, StartedMillis: r.StartedMillis,
+		Address: r.LatestDetail.Address, DataCentre: r.LatestDetail.DataCentre,
 		Liveness: old.Liveness, Leaving: r.Leaving,
 	}
 	if !known || old.Incarnation != r.Incarnation {
--- a/internal/controller/breaking.go
+++ b/internal/controller/breaking.go
@@ -119,7 +119,7 @@
 		return "is dead", 0
 	}
 	r, hasReport := v.Evidence.Get(m.VM)
-	if !hasReport || now.Sub(r.HeardAt) > v.Evidence.RoutableAge() {
+	if !hasReport || now.Sub(r.ReceivedAt) > v.Evidence.RoutableAge() {
 		return "", 0
 	}
 	if r.Incarnation != m.Incarnation {
@@ -181,7 +181,7 @@
 
 func lostFault(v View, now time.Time, lost string) (text string, timeout time.Duration) {
 	r, hasReport := v.Evidence.Get(lost)
-	if hasReport && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge() {
+	if hasReport && now.Sub(r.ReceivedAt) <= v.Evidence.RoutableAge() {
 		return "has lost " + lost + ", which is heard", faultTimeout
 	}
 	return "has lost " + lost + ", which is silent", lostMemberTimeout
--- a/internal/controller/cold_marks.go
+++ b/internal/controller/cold_marks.go
@@ -99,5 +99,5 @@
 	if t.isCold(now) || !t.hasReport {
 		return false
 	}
-	return t.report.HeardAt.Sub(marked) >= v.Evidence.Interval()
+	return t.report.ReceivedAt.Sub(marked) >= v.Evidence.Interval()
 }
--- a/internal/controller/decisions_test.go
+++ b/internal/controller/decisions_test.go
@@ -16,7 +16,7 @@
 		DigestLine: evidence.DigestLine{
 			Kind: backend.KindEngine, ID: vm, Incarnation: incarnation, Sequence: sequence, Phase: phase,
 		},
-		HeardAt: at, FirstSequence: 1,
+		ReceivedAt: at, FirstSequence: 1,
 	}
 }
 
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -112,8 +112,8 @@
 	if from.IsZero() {
 		return 0
 	}
-	if hasReport && r.HeardAt.After(from) {
-		from = r.HeardAt
+	if hasReport && r.ReceivedAt.After(from) {
+		from = r.ReceivedAt
 	}
 	return now.Sub(from)
 }
@@ -161,7 +161,7 @@
 func nextLiveness(
 	v View, now time.Time, current blackboard.Liveness, r evidence.Report, hasReport bool, dead time.Duration,
 ) blackboard.Liveness {
-	if hasReport && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge() {
+	if hasReport && now.Sub(r.ReceivedAt) <= v.Evidence.RoutableAge() {
 		return livenessByGap(current, r, v.Evidence.Interval())
 	}
 	scale := time.Duration(1)
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -126,7 +126,7 @@
 	ready := 0
 	for rank, m := range g.Members {
 		r, hasReport := v.Evidence.Get(m.VM)
-		if !hasReport || r.Incarnation != m.Incarnation || now.Sub(r.HeardAt) > v.Evidence.RoutableAge() {
+		if !hasReport || r.Incarnation != m.Incarnation || now.Sub(r.ReceivedAt) > v.Evidence.RoutableAge() {
 			continue
 		}
 		inEpoch := r.Group == g.ID && r.Epoch == g.Epoch
--- a/internal/controller/opening.go
+++ b/internal/controller/opening.go
@@ -38,7 +38,7 @@
 	ready, open := 0, false
 	for rank, m := range g.Members {
 		r, hasReport := v.Evidence.Get(m.VM)
-		if !hasReport || r.Incarnation != m.Incarnation || now.Sub(r.HeardAt) > v.Evidence.RoutableAge() {
+		if !hasReport || r.Incarnation != m.Incarnation || now.Sub(r.ReceivedAt) > v.Evidence.RoutableAge() {
 			continue
 		}
 		switch {
@@ -138,7 +138,7 @@
 		}
 		held++
 		r, hasReport := v.Evidence.Get(m.VM)
-		if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.HeardAt) > v.timing().Paused {
+		if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.ReceivedAt) > v.timing().Paused {
 			continue
 		}
 		if r.Incarnation != m.Incarnation || (ended && (acceptedRelease(v, g, m) || r.Group != g.ID || r.Epoch != g.Epoch)) {
--- a/internal/controller/releasing.go
+++ b/internal/controller/releasing.go
@@ -48,7 +48,7 @@
 
 func releaseMember(v View, now time.Time, a *Actions, g blackboard.Group, m blackboard.GroupMember, vm blackboard.VM) {
 	r, hasReport := v.Evidence.Get(m.VM)
-	if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.HeardAt) > v.timing().Paused {
+	if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.ReceivedAt) > v.timing().Paused {
 		return
 	}
 	if r.Group != "" && (r.Group != g.ID || r.Epoch != g.Epoch) {
@@ -100,7 +100,7 @@
 	if o == nil || o.kind != backend.OrderRelease || o.target != (groupEpoch{g.ID, g.Epoch}) {
 		return false
 	}
-	if !o.accepted || o.incarnation != r.Incarnation || !r.HeardAt.After(o.acceptedAt) {
+	if !o.accepted || o.incarnation != r.Incarnation || !r.ReceivedAt.After(o.acceptedAt) {
 		return false
 	}
 	if o.firstSequence == 0 {
@@ -121,7 +121,7 @@
 	for _, id := range v.vmIDs() {
 		vm := v.Board.VMs[id]
 		r, hasReport := v.Evidence.Get(id)
-		if !hasReport || r.Group == "" || now.Sub(r.HeardAt) > v.timing().Paused {
+		if !hasReport || r.Group == "" || now.Sub(r.ReceivedAt) > v.timing().Paused {
 			continue
 		}
 		if r.Incarnation != vm.Incarnation || r.Phase == backend.PhaseReleasing {
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -72,7 +72,7 @@
 		}
 		model := v.Memory.layouts[vm.FabricDomain].Hold[id]
 		r, hasReport := v.Evidence.Get(id)
-		fresh := hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge()
+		fresh := hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.ReceivedAt) <= v.Evidence.RoutableAge()
 		switch {
 		case model == "" || !fresh:
 		case isJoining(r), v.Memory.modelOf(vm) == model:
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -59,7 +59,7 @@
 		return false
 	}
 	r, hasReport := v.Evidence.Get(vm.ID)
-	return hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge()
+	return hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.ReceivedAt) <= v.Evidence.RoutableAge()
 }
 
 // domainToReserve returns the domain in which a short spec will form a group as soon as VMs are
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -225,7 +225,7 @@
 		r.closed[id] = "instance is dead"
 		return
 	case r.usesBoardLiveness:
-	case !ok || report.Incarnation != i.Incarnation || r.now.Sub(report.HeardAt) > evidence.RoutableAge:
+	case !ok || report.Incarnation != i.Incarnation || r.now.Sub(report.ReceivedAt) > evidence.RoutableAge:
 		r.closed[id] = "instance has no fresh evidence"
 		return
 	}
@@ -257,7 +257,7 @@
 	return placement.Load{
 		Running: r.Load.Running, Queued: r.Load.Queued, TokensInFlight: r.Load.TokensInFlight,
 		TokensPerSecond: r.Load.TokensPerSecond,
-		At:              r.HeardAt.Add(-time.Duration(r.Load.AtMillis) * time.Millisecond),
+		At:              r.ReceivedAt.Add(-time.Duration(r.Load.AtMillis) * time.Millisecond),
 	}
 }
 
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -61,7 +61,7 @@
 				report, ok = t.GetService(id)
 			}
 			changed = changed || (ok && report.Incarnation != incarnation)
-			alive = alive && ok && report.HeardAt.After(after)
+			alive = alive && ok && report.ReceivedAt.After(after)
 		}
 	})
 	return changed, alive
--- a/internal/evidence/query.go
+++ b/internal/evidence/query.go
@@ -63,7 +63,7 @@
 	if r.Group != group || r.Epoch != epoch {
 		return false
 	}
-	return now.Sub(r.HeardAt) <= maxAge
+	return now.Sub(r.ReceivedAt) <= maxAge
 }
 
 // RecentPeerCount returns the number of processes whose last digest is at most maxAge old,
--- a/internal/evidence/table.go
+++ b/internal/evidence/table.go
@@ -106,17 +106,17 @@
 // Report is the state of one backend server in a Table.
 type Report struct {
 	DigestLine
-	// Known is the newest Detail; nil if none has arrived yet.
-	Known *Detail
-	// HeardAt is a lower bound, by this process's clock, for the time at which Source
+	// LatestDetail is the newest Detail; nil if none has arrived yet.
+	LatestDetail *Detail
+	// ReceivedAt is a lower bound, by this process's clock, for the time at which Source
 	// received the announcement.
-	HeardAt time.Time
+	ReceivedAt time.Time
 	// Source is the process that received the announcement directly.
 	Source string
-	// FirstHeard and FirstSequence belong to the first announcement of this
+	// FirstReceivedAt and FirstSequence belong to the first announcement of this
 	// incarnation that arrived here.
-	FirstHeard    time.Time
-	FirstSequence uint64
+	FirstReceivedAt time.Time
+	FirstSequence   uint64
 	// Gap is the smoothed interval between two announcements.
 	Gap time.Duration
 }
@@ -124,7 +124,7 @@
 // ColdUntil returns the end of the slow-start period that the backend server announced.
 // The time is in the past if the period is over or none was announced.
 func (r *Report) ColdUntil() time.Time {
-	return r.HeardAt.Add(time.Duration(r.ColdMillis) * time.Millisecond)
+	return r.ReceivedAt.Add(time.Duration(r.ColdMillis) * time.Millisecond)
 }
 
 type key struct {
@@ -201,7 +201,7 @@
 		h := r.report.DigestLine
 		h.Leaving = true
 		h.Sequence += departureStep
-		h.Detail = r.report.Known
+		h.Detail = r.report.LatestDetail
 		if r.report.Leaving && r.report.Sequence >= departureStep {
 			return true
 		}
@@ -237,9 +237,9 @@
 // Record records an announcement that reached this process directly.
 func (t *Table) Record(now time.Time, source string, a backend.Announcement) {
 	t.observe(now)
-	heardAt := now
+	receivedAt := now
 	if now.Before(t.distrustUntil) {
-		heardAt = t.lastCallBeforePause
+		receivedAt = t.lastCallBeforePause
 	}
 	h := DigestLine{
 		Kind: a.Kind, ID: a.ID, Incarnation: a.Incarnation, StartedMillis: a.StartedMillis, Sequence: a.Sequence,
@@ -250,7 +250,7 @@
 			Service: a.Service, Accelerators: a.Accelerators, Model: a.Model, Weights: a.Weights,
 		},
 	}
-	r := t.apply(heardAt, source, h)
+	r := t.apply(receivedAt, source, h)
 	if r == nil {
 		return
 	}
@@ -310,7 +310,7 @@
 	}
 	t.prunedAt = now
 	for k, r := range t.records {
-		if now.Sub(r.report.HeardAt) > recordTTL {
+		if now.Sub(r.report.ReceivedAt) > recordTTL {
 			delete(t.records, k)
 		}
 	}
@@ -323,17 +323,17 @@
 
 func (r *record) digestLine(now time.Time, after Cursor) DigestLine {
 	h := r.report.DigestLine
-	h.AgeMillis = now.Sub(r.report.HeardAt).Milliseconds()
+	h.AgeMillis = now.Sub(r.report.ReceivedAt).Milliseconds()
 	h.Detail = nil
 	if r.detailNumber > after.Number {
-		h.Detail = r.report.Known
+		h.Detail = r.report.LatestDetail
 	}
 	return h
 }
 
 // apply records one line and returns its record. It returns nil if the line is older
 // than the record or the table is full.
-func (t *Table) apply(heardAt time.Time, source string, h DigestLine) *record {
+func (t *Table) apply(receivedAt time.Time, source string, h DigestLine) *record {
 	k := key{h.Kind, h.ID}
 	r, known := t.records[k]
 	if !known && len(t.records) >= maxRecords {
@@ -342,21 +342,21 @@
 	if !known {
 		r = &record{retired: make(map[string]uint64)}
 		t.records[k] = r
-		r.reset(heardAt, source, h, t.interval)
+		r.reset(receivedAt, source, h, t.interval)
 		return r
 	}
 	if r.report.Incarnation == h.Incarnation {
 		if h.Sequence <= r.report.Sequence {
 			return nil
 		}
-		r.advance(heardAt, source, h)
+		r.advance(receivedAt, source, h)
 		return r
 	}
-	if !r.isReplacedBy(heardAt, h) {
+	if !r.isReplacedBy(receivedAt, h) {
 		return nil
 	}
 	r.retire()
-	r.reset(heardAt, source, h, t.interval)
+	r.reset(receivedAt, source, h, t.interval)
 	return r
 }
 
@@ -369,15 +369,15 @@
 // late announcements of others arrive. Without start times, a retired incarnation is
 // accepted only if it keeps announcing while the current one is silent, and an
 // unknown one only if it was received after the current one.
-func (r *record) isReplacedBy(heardAt time.Time, h DigestLine) bool {
+func (r *record) isReplacedBy(receivedAt time.Time, h DigestLine) bool {
 	if h.StartedMillis != r.report.StartedMillis {
 		return h.StartedMillis > r.report.StartedMillis
 	}
 	last, retired := r.retired[h.Incarnation]
 	if retired {
-		return h.Sequence > last && heardAt.Sub(r.report.HeardAt) > retiredSilence
+		return h.Sequence > last && receivedAt.Sub(r.report.ReceivedAt) > retiredSilence
 	}
-	return heardAt.After(r.report.HeardAt)
+	return receivedAt.After(r.report.ReceivedAt)
 }
 
 func (r *record) retire() {
@@ -392,24 +392,24 @@
 	}
 }
 
-func (r *record) reset(heardAt time.Time, source string, h DigestLine, interval time.Duration) {
+func (r *record) reset(receivedAt time.Time, source string, h DigestLine, interval time.Duration) {
 	r.report = Report{
-		DigestLine: h, HeardAt: heardAt, Source: source,
-		FirstHeard: heardAt, FirstSequence: h.Sequence, Gap: interval,
+		DigestLine: h, ReceivedAt: receivedAt, Source: source,
+		FirstReceivedAt: receivedAt, FirstSequence: h.Sequence, Gap: interval,
 	}
 	r.updateDetail(h.Detail)
 }
 
-func (r *record) advance(heardAt time.Time, source string, h DigestLine) {
+func (r *record) advance(receivedAt time.Time, source string, h DigestLine) {
 	steps := h.Sequence - r.report.Sequence
-	if gap := heardAt.Sub(r.report.HeardAt); gap > 0 {
+	if gap := receivedAt.Sub(r.report.ReceivedAt); gap > 0 {
 		each := float64(gap) / float64(steps)
 		r.report.Gap = time.Duration((1-gapWeight)*float64(r.report.Gap) + gapWeight*each)
 	}
 	r.report.DigestLine = h
 	r.report.Source = source
-	if heardAt.After(r.report.HeardAt) {
-		r.report.HeardAt = heardAt
+	if receivedAt.After(r.report.ReceivedAt) {
+		r.report.ReceivedAt = receivedAt
 	}
 	r.updateDetail(h.Detail)
 }
@@ -418,8 +418,8 @@
 	if d == nil {
 		return
 	}
-	if r.report.Known == nil || !r.report.Known.equal(d) {
+	if r.report.LatestDetail == nil || !r.report.LatestDetail.equal(d) {
 		r.detailChanged = true
 	}
-	r.report.Known = d
+	r.report.LatestDetail = d
 }
--- a/internal/evidence/table_test.go
+++ b/internal/evidence/table_test.go
@@ -51,7 +51,7 @@
 	receiver.Merge(asked, "a", digest)
 	r, ok := receiver.Get("vm")
 	assert.Assert(t, ok)
-	assert.Equal(t, r.HeardAt, at(-10))
+	assert.Equal(t, r.ReceivedAt, at(-10))
 	assert.Assert(t, !receiver.Fresh(arrived, "vm", "x", "demo-0", 7, RoutableAge))
 	assert.Equal(t, receiver.RecentPeerCount(arrived, MaxDigestAge), 0)
 }
@@ -95,7 +95,7 @@
 	table.Record(at(400), "a", late)
 	r, _ := table.Get("vm")
 	assert.Equal(t, r.Phase, backend.PhaseReady)
-	assert.Equal(t, r.HeardAt, at(0))
+	assert.Equal(t, r.ReceivedAt, at(0))
 }
 
 // Failure: a new leader never receives a VM's address, because the only digest that
@@ -205,7 +205,7 @@
 	table.Record(at(9005), "a", announcement("x@0", 99))
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "x@20")
-	assert.Equal(t, r.HeardAt, at(400))
+	assert.Equal(t, r.ReceivedAt, at(400))
 	table.Merge(at(9100), "b", []DigestLine{{Kind: backend.KindEngine, ID: "vm", Incarnation: "x@30", StartedMillis: 30, Sequence: 1, AgeMillis: 9000}})
 	r, _ = table.Get("vm")
 	assert.Equal(t, r.Incarnation, "x@30", "received before the current one, but it started later")
--- a/internal/evidence/wire/session_test.go
+++ b/internal/evidence/wire/session_test.go
@@ -267,8 +267,8 @@
 	assert.Equal(p.t, len(got), len(want), "seed %d", seed)
 	for i, w := range want {
 		g := got[i]
-		assert.Assert(p.t, !g.HeardAt.After(w.HeardAt), "seed %d: %s is fresher", seed, g.ID)
-		assert.DeepEqual(p.t, g.Known, w.Known)
+		assert.Assert(p.t, !g.ReceivedAt.After(w.ReceivedAt), "seed %d: %s is fresher", seed, g.ID)
+		assert.DeepEqual(p.t, g.LatestDetail, w.LatestDetail)
 		w.AgeMillis, g.AgeMillis, w.Detail, g.Detail = 0, 0, nil, nil
 		assert.DeepEqual(p.t, g.DigestLine, w.DigestLine)
 	}
