--- a/internal/announcement/connection.go
+++ b/internal/announcement/connection.go
@@ -126,7 +126,7 @@
 	defer c.mu.Unlock()
 	var lines []evidence.DigestLine
 	now := time.Now()
-	if c.session.CanDate() {
+	if c.session.HasReceived() {
 		c.receiver.WithTable(func(t *evidence.Table) {
 			now = time.Now()
 			lines, c.cursor = t.Digest(now, c.cursor)
@@ -154,7 +154,7 @@
 
 func (c *connection) receive(body []byte) error {
 	c.mu.Lock()
-	first := !c.session.CanDate()
+	first := !c.session.HasReceived()
 	got, err := c.session.Receive(time.Now(), body)
 	c.mu.Unlock()
 	if err != nil {
--- a/internal/evidence/wire/session.go
+++ b/internal/evidence/wire/session.go
@@ -55,9 +55,9 @@
 // NewSession returns a session whose dictionaries are empty.
 func NewSession() *Session { return &Session{encoder: newLineEncoder()} }
 
-// CanDate reports whether the peer could date lines that are sent now. This requires
+// HasReceived reports whether the peer could date lines that are sent now. This requires
 // an echo, so at least one frame of the peer must have arrived.
-func (s *Session) CanDate() bool { return s.received > 0 }
+func (s *Session) HasReceived() bool { return s.received > 0 }
 
 // Frames returns the bytes of one or more frames that carry these lines and are made
 // at now.
