--- a/internal/entry/group_progress.go
+++ b/internal/entry/group_progress.go
@@ -206,7 +206,7 @@
 			s.suspendGroup(now, k, p, silence)
 		}
 	}
-	if len(silent) > 0 && s.o.Suspects != nil {
+	if len(silent) > 0 && s.o.StallReporter != nil {
 		go s.reportStalls(silent)
 	}
 }
@@ -225,7 +225,7 @@
 func (s *Server) reportStalls(groups []*noderpc.SuspectGroup) {
 	ctx, cancel := context.WithTimeout(context.Background(), stallReportTimeout)
 	defer cancel()
-	err := s.o.Suspects.Suspect(ctx, &noderpc.SuspectRequest{
+	err := s.o.StallReporter.Suspect(ctx, &noderpc.SuspectRequest{
 		ClusterId: s.o.Follower.Board().ClusterID, EntryId: s.o.ID, Groups: groups,
 	})
 	if err != nil {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -62,12 +62,12 @@
 	Peers *http.Client
 	// Forwarder forwards the requests of routes; nil if the entry serves none.
 	Forwarder backend.Forwarder
-	// Suspects reports groups without progress to the leader; nil if there are no reports.
-	Suspects Suspecter
+	// StallReporter reports groups without progress to the leader; nil if there are no reports.
+	StallReporter StallReporter
 }
 
-// Suspecter reports groups without progress to the leader.
-type Suspecter interface {
+// StallReporter reports groups without progress to the leader.
+type StallReporter interface {
 	Suspect(ctx context.Context, r *noderpc.SuspectRequest) error
 }
 
