--- a/internal/entry/deadline_priority_test.go
+++ b/internal/entry/deadline_priority_test.go
@@ -41,7 +41,7 @@
 		answerWith(200, events("1", "2")+"id: 3", true),
 		answerWith(200, events("3"), false),
 	}}
-	_, e, aborted := send(configuredServer(t, f), Forwarded{Path: "/stream/x"})
+	_, e, aborted := send(configuredServer(t, f), ForwardRequest{Path: "/stream/x"})
 	assert.Assert(t, e == nil && !aborted)
 	assert.Equal(t, f.calls[0].Rank, engineRank(0, deadlineOnTime))
 	assert.Equal(t, f.calls[1].Rank, engineRank(0, deadlineBegun))
--- a/internal/entry/evacuation_test.go
+++ b/internal/entry/evacuation_test.go
@@ -46,7 +46,7 @@
 	s := configuredServer(t, f)
 	evacuate(s, withDataCentres(s), "dc-b")
 	for range 3 {
-		send(s, Forwarded{Path: "/many/x"})
+		send(s, ForwardRequest{Path: "/many/x"})
 	}
 	assert.Assert(t, len(f.calls) > 1)
 	for _, c := range f.calls {
@@ -65,7 +65,7 @@
 	evacuate(s, withDataCentres(s), "dc-a", "dc-b", "dc-c")
 	assert.Equal(t, len(s.loggedRoutes), 3)
 	assert.Assert(t, !s.areRoutesCurrent(), "the targets close with time alone")
-	_, e, _ := send(s, Forwarded{Path: "/many/x"})
+	_, e, _ := send(s, ForwardRequest{Path: "/many/x"})
 	assert.Assert(t, e == nil)
 
 	for dataCentre := range s.evacuations {
@@ -74,7 +74,7 @@
 	s.updateRoutes()
 	assert.Equal(t, len(s.loggedRoutes), 0)
 	began := time.Now()
-	_, e, _ = send(s, Forwarded{Path: "/many/x"})
+	_, e, _ = send(s, ForwardRequest{Path: "/many/x"})
 	assert.Equal(t, e.Type, failure.TypeNoBackendServer)
 	assert.Equal(t, e.Ran, failure.RanNo)
 	assert.Assert(t, e.RetryAfter > 0 && time.Since(began) < failoverWait, "refused at once")
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -16,8 +16,8 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// Forwarded is a caller's HTTP request for a route, as an ingress has decoded it.
-type Forwarded struct {
+// ForwardRequest is a caller's HTTP request for a route, as an ingress has decoded it.
+type ForwardRequest struct {
 	// ID is the caller's own id of this send.
 	ID string
 	// Key is the workspace key; empty if the request carries none.
@@ -42,7 +42,7 @@
 
 // forwarding is the state that only jobs of forwarded requests have.
 type forwarding struct {
-	request Forwarded
+	request ForwardRequest
 	route   blackboard.Route
 	w       http.ResponseWriter
 	tokens  int
@@ -78,7 +78,7 @@
 // Forward answers a request of a route. It returns a failure if nothing has been written to w.
 // It panics with http.ErrAbortHandler if an answer that has begun can't be completed, so that
 // no caller takes it for a complete one.
-func (s *Server) Forward(ctx context.Context, w http.ResponseWriter, f Forwarded) *failure.Error {
+func (s *Server) Forward(ctx context.Context, w http.ResponseWriter, f ForwardRequest) *failure.Error {
 	s.awaitConfiguration(ctx)
 	j, e := s.resolveForward(f)
 	if e == nil {
@@ -98,7 +98,7 @@
 }
 
 // resolveForward finds the route and the workspace of a request and returns its job.
-func (s *Server) resolveForward(f Forwarded) (*job, *failure.Error) {
+func (s *Server) resolveForward(f ForwardRequest) (*job, *failure.Error) {
 	if e := s.mayAdmit(); e != nil {
 		return nil, e
 	}
@@ -138,7 +138,7 @@
 	return "", failure.New(failure.TypeUnauthenticated, "unknown workspace key").WithRan(failure.RanNo)
 }
 
-func (s *Server) newForwardJob(table *routingTable, route blackboard.Route, workspace string, f Forwarded) *job {
+func (s *Server) newForwardJob(table *routingTable, route blackboard.Route, workspace string, f ForwardRequest) *job {
 	now := time.Now()
 	wait := time.Duration(route.TimeoutMillis) * time.Millisecond
 	if f.Timeout > 0 {
@@ -172,7 +172,7 @@
 }
 
 // engineTokens estimates the work of a request for an engine, in tokens.
-func engineTokens(e *blackboard.EngineSpec, f Forwarded) int {
+func engineTokens(e *blackboard.EngineSpec, f ForwardRequest) int {
 	prompt, answer := f.PromptTokens, f.AnswerTokens
 	if prompt == 0 {
 		prompt = e.UsualPrompt
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -133,7 +133,7 @@
 
 // send sends one request and returns what the caller receives. aborted reports whether its
 // connection was aborted.
-func send(s *Server, f Forwarded) (w *httptest.ResponseRecorder, e *failure.Error, aborted bool) {
+func send(s *Server, f ForwardRequest) (w *httptest.ResponseRecorder, e *failure.Error, aborted bool) {
 	w = httptest.NewRecorder()
 	defer func() { aborted = recover() == http.ErrAbortHandler }()
 	f.Host, f.Method = "h", http.MethodPost
@@ -150,7 +150,7 @@
 		answerWith(200, events("1", "2")+"id: 3\ndata: tok", true),
 		answerWith(200, events("3", "4"), false),
 	}}
-	w, e, aborted := send(configuredServer(t, f), Forwarded{Path: "/stream/x"})
+	w, e, aborted := send(configuredServer(t, f), ForwardRequest{Path: "/stream/x"})
 	assert.Assert(t, e == nil && !aborted)
 	assert.Equal(t, w.Body.String(), events("1", "2", "3", "4"))
 	assert.Assert(t, f.calls[1].Resume)
@@ -166,7 +166,7 @@
 		answerWith(200, events("1", "2"), true),
 		answerWith(200, events("1", "2", "3"), false),
 	}}
-	w, e, aborted := send(configuredServer(t, f), Forwarded{Path: "/stream/x"})
+	w, e, aborted := send(configuredServer(t, f), ForwardRequest{Path: "/stream/x"})
 	assert.Assert(t, e == nil && !aborted)
 	assert.Equal(t, w.Body.String(), events("1", "2", "3"))
 }
@@ -177,7 +177,7 @@
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
 		answerWith(200, events("1"), true), answerWith(200, events("1"), false),
 	}}
-	_, _, aborted := send(configuredServer(t, f), Forwarded{Path: "/single/x"})
+	_, _, aborted := send(configuredServer(t, f), ForwardRequest{Path: "/single/x"})
 	assert.Assert(t, aborted)
 	assert.Equal(t, len(f.calls), 1)
 }
@@ -189,7 +189,7 @@
 		return nil, &backend.CallError{Address: c.Address, Sent: backend.SentUnknown}
 	}
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){lost, answerWith(200, "x", false)}}
-	_, e, _ := send(configuredServer(t, f), Forwarded{Path: "/once/x"})
+	_, e, _ := send(configuredServer(t, f), ForwardRequest{Path: "/once/x"})
 	assert.Equal(t, len(f.calls), 1)
 	assert.Equal(t, e.Ran, failure.RanUnknown)
 	assert.Assert(t, f.calls[0].Fresh)
@@ -202,12 +202,12 @@
 		return &backend.ForwardAnswer{Status: 503, NotRun: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 	}
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){refusing, answerWith(200, "x", false)}}
-	w, e, _ := send(configuredServer(t, f), Forwarded{Path: "/once/x"})
+	w, e, _ := send(configuredServer(t, f), ForwardRequest{Path: "/once/x"})
 	assert.Assert(t, e == nil)
 	assert.Equal(t, w.Body.String(), "x")
 
 	f = &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){refusing, refusing, answerWith(200, "x", false)}}
-	_, e, _ = send(configuredServer(t, f), Forwarded{Path: "/once/x"})
+	_, e, _ = send(configuredServer(t, f), ForwardRequest{Path: "/once/x"})
 	assert.Equal(t, len(f.calls), 2, "max_attempts is 2")
 	assert.Equal(t, e.Ran, failure.RanNo)
 }
@@ -228,7 +228,7 @@
 				},
 				answerWith(200, "own", false),
 			}}
-			w, e, _ := send(configuredServer(t, f), Forwarded{Path: "/many/x"})
+			w, e, _ := send(configuredServer(t, f), ForwardRequest{Path: "/many/x"})
 			assert.Assert(t, e == nil)
 			assert.Equal(t, w.Body.String(), "own")
 		})
@@ -241,7 +241,7 @@
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){
 		answerWith(500, "first", false), answerWith(500, "second", false),
 	}}
-	w, e, _ := send(configuredServer(t, f), Forwarded{Path: "/many/x"})
+	w, e, _ := send(configuredServer(t, f), ForwardRequest{Path: "/many/x"})
 	assert.Assert(t, e == nil)
 	assert.Equal(t, w.Code, 500)
 	assert.Equal(t, w.Body.String(), "second")
@@ -249,11 +249,11 @@
 
 func TestRequestsThatConfigurationDoesNotAllow(t *testing.T) {
 	s := configuredServer(t, &scriptedForwarder{})
-	_, e, _ := send(s, Forwarded{Path: "/none/x"})
+	_, e, _ := send(s, ForwardRequest{Path: "/none/x"})
 	assert.Equal(t, e.Type, failure.TypeNotFound)
-	_, e, _ = send(s, Forwarded{Path: "/keyed/x"})
+	_, e, _ = send(s, ForwardRequest{Path: "/keyed/x"})
 	assert.Equal(t, e.Type, failure.TypeUnauthenticated)
-	_, e, _ = send(s, Forwarded{Path: "/keyed/x", Key: "wrong"})
+	_, e, _ = send(s, ForwardRequest{Path: "/keyed/x", Key: "wrong"})
 	assert.Equal(t, e.Type, failure.TypeUnauthenticated)
 }
 
@@ -264,7 +264,7 @@
 	s := NewServer(Options{
 		ID: "e", Settings: settings.Entry{MaxOpen: 10, RampMillis: 1, ServeWithoutLease: true}, Follower: follower, Logger: log.NewNopLogger(),
 	})
-	_, e, _ := send(s, Forwarded{Path: "/many/x"})
+	_, e, _ := send(s, ForwardRequest{Path: "/many/x"})
 	assert.Equal(t, e.Type, failure.TypeConfigurationStale)
 	assert.Equal(t, e.Ran, failure.RanNo)
 	assert.Assert(t, s.Ready() != nil)
@@ -282,11 +282,11 @@
 	s := configuredServer(t, f)
 	s.dispatcher.setPolicy(admission.Policy{RetryRatio: 0.34, RetryPerSecond: 0.001})
 	for _, want := range []string{"1", "2", "whole"} {
-		w, e, _ := send(s, Forwarded{ID: want, Path: "/keyed/x", Key: "good"})
+		w, e, _ := send(s, ForwardRequest{ID: want, Path: "/keyed/x", Key: "good"})
 		assert.Assert(t, e == nil, "%v", e)
 		assert.Equal(t, w.Body.String(), want)
 	}
-	_, e, _ := send(s, Forwarded{ID: "4", Path: "/keyed/x", Key: "good"})
+	_, e, _ := send(s, ForwardRequest{ID: "4", Path: "/keyed/x", Key: "good"})
 	assert.Equal(t, e.Type, failure.TypeBackendFailed)
 	assert.Equal(t, len(f.calls), 5, "the budget is spent")
 	assert.Equal(t, e.Detail, "no further attempt: the retry budget of service files is spent")
@@ -302,7 +302,7 @@
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){rejected, rejected}}
 	s := configuredServer(t, f)
 	s.dispatcher.setPolicy(admission.Policy{RetryRatio: 0.001, RetryPerSecond: 0.001})
-	_, e, _ := send(s, Forwarded{Path: "/many/x"})
+	_, e, _ := send(s, ForwardRequest{Path: "/many/x"})
 	assert.Equal(t, e.Ran, failure.RanNo)
 	assert.Equal(t, len(f.calls), 1)
 }
@@ -315,7 +315,7 @@
 	s := unconfiguredServer(t, &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, "own", false)}})
 	answered := make(chan string)
 	go func() {
-		w, _, _ := send(s, Forwarded{Path: "/many/x"})
+		w, _, _ := send(s, ForwardRequest{Path: "/many/x"})
 		answered <- w.Body.String()
 	}()
 	s.updateRoutes()
@@ -330,7 +330,7 @@
 func TestOnlyRecentlyStartedEntryLetsRequestsWait(t *testing.T) {
 	s := unconfiguredServer(t, &scriptedForwarder{})
 	s.startedAt = time.Now().Add(-firstConfigurationWait)
-	_, e, _ := send(s, Forwarded{Path: "/many/x"})
+	_, e, _ := send(s, ForwardRequest{Path: "/many/x"})
 	assert.Equal(t, e.Type, failure.TypeUnavailable)
 	assert.Equal(t, e.Ran, failure.RanNo)
 }
@@ -342,7 +342,7 @@
 		s := configuredServer(t, &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){answerWith(200, "x", false)}})
 		s.o.Follower = fixedBoard{board: s.o.Follower.Board()}
 		s.o.Settings.ServeWithoutLease = on
-		_, e, _ := send(s, Forwarded{Path: "/many/x"})
+		_, e, _ := send(s, ForwardRequest{Path: "/many/x"})
 		assert.Equal(t, e == nil, on)
 		assert.Equal(t, s.Ready() == nil, on)
 	}
--- a/internal/entry/homes_test.go
+++ b/internal/entry/homes_test.go
@@ -50,7 +50,7 @@
 	}
 	s := serverWithHomes(t, f, "south")
 	for range 3 {
-		send(s, Forwarded{Path: "/many/x"})
+		send(s, ForwardRequest{Path: "/many/x"})
 	}
 	assert.Assert(t, len(f.calls) > 1)
 	for _, c := range f.calls {
@@ -64,10 +64,10 @@
 	s := serverWithHomes(t, f, "west")
 	refused := make(chan *failure.Error)
 	go func() {
-		_, e, _ := send(s, Forwarded{ID: "homed", Path: "/many/x"})
+		_, e, _ := send(s, ForwardRequest{ID: "homed", Path: "/many/x"})
 		refused <- e
 	}()
-	w, e, _ := send(s, Forwarded{ID: "free", Path: "/stream/x"})
+	w, e, _ := send(s, ForwardRequest{ID: "free", Path: "/stream/x"})
 	assert.Assert(t, e == nil)
 	assert.Equal(t, w.Code, 200)
 	e = <-refused
@@ -79,7 +79,7 @@
 func TestRequestWithUnknownHomesIsRefusedAtOnce(t *testing.T) {
 	s := serverWithHomes(t, &scriptedForwarder{}, "elsewhere")
 	began := time.Now()
-	_, e, _ := send(s, Forwarded{Path: "/many/x"})
+	_, e, _ := send(s, ForwardRequest{Path: "/many/x"})
 	assert.Equal(t, e.Type, failure.TypeNoBackendServer)
 	assert.Equal(t, e.Ran, failure.RanNo)
 	assert.Assert(t, time.Since(began) < failoverWait)
--- a/internal/entry/stream_writer_test.go
+++ b/internal/entry/stream_writer_test.go
@@ -78,7 +78,7 @@
 	ended = make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = s.Forward(context.Background(), caller, Forwarded{ID: "id", Host: "h", Method: http.MethodPost, Path: "/stream/x"})
+		_ = s.Forward(context.Background(), caller, ForwardRequest{ID: "id", Host: "h", Method: http.MethodPost, Path: "/stream/x"})
 	}()
 	return ended
 }
@@ -134,7 +134,7 @@
 	s.memory.forceReserve(1)
 	done := make(chan string)
 	go func() {
-		w, _, _ := send(s, Forwarded{Path: "/many/x"})
+		w, _, _ := send(s, ForwardRequest{Path: "/many/x"})
 		done <- w.Body.String()
 	}()
 	select {
--- a/internal/entry/wait_estimates.go
+++ b/internal/entry/wait_estimates.go
@@ -28,7 +28,7 @@
 
 // sentBefore returns the least time that must have passed since the caller first sent its
 // request.
-func (c *waitEstimates) sentBefore(now time.Time, route string, f Forwarded) time.Duration {
+func (c *waitEstimates) sentBefore(now time.Time, route string, f ForwardRequest) time.Duration {
 	if f.Timeout <= 0 || f.Resume {
 		// A resumed stream began earlier, so its remaining time tells nothing about its start.
 		return 0
