--- a/internal/entry/key_home.go
+++ b/internal/entry/key_home.go
@@ -108,14 +108,14 @@
 	})
 }
 
-// ErrNoHome is returned when no entry is registered.
-const ErrNoHome = errors.ConstError("no entry is registered")
+// ErrNoEntries is returned when no entry is registered.
+const ErrNoEntries = errors.ConstError("no entry is registered")
 
 func (s *Server) homeClient(key string) (noderpc.Entries, error) {
 	entries := s.o.Follower.Board().Entries
 	id := homeOf(key, entries)
 	if id == "" {
-		return nil, errors.Trace(ErrNoHome)
+		return nil, errors.Trace(ErrNoEntries)
 	}
 	return s.entryClient(id, entries[id]), nil
 }
