--- a/test/process/answers_test.go
+++ b/test/process/answers_test.go
@@ -19,9 +19,9 @@
 // false end mark or no JSON, came to a standstill or came late; the entry
 // passed it on as whole. Each kind of bad answer happens once on each of two
 // groups, and every caller must still get the whole answer to its own prompt.
-func TestBadAnswersNeverReachACallerAsWhole(t *testing.T) {
+func TestBadAnswersNeverReachACallerAsComplete(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, small(quick), 2, "-token-interval", "1ms")
+	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "1ms")
 	entry := c.Entries()[0]
 	for _, kind := range []standin.StreamFault{
 		standin.StreamCut, standin.StreamCrossed, standin.StreamDoubled, standin.StreamSkipped, standin.StreamShort,
@@ -32,10 +32,10 @@
 				name := string(kind) + " after " + strconv.Itoa(after) + " stream " + strconv.FormatBool(stream)
 				t.Run(name, func(t *testing.T) {
 					earnRetries(t, entry, 2)
-					faultAll(engines, standin.StreamFaults{
+					injectStreamFaults(engines, standin.StreamFaults{
 						Kind: kind, After: after, DelayMillis: 50, Answers: 1, Marker: "memo",
 					})
-					request := harness.Completion{Model: "demo", Prompt: newPrompt("memo"), MaxTokens: 8, Stream: stream}
+					request := harness.Completion{Model: "demo", Prompt: uniquePrompt("memo"), MaxTokens: 8, Stream: stream}
 					reply := harness.Complete(t.Context(), entry.Entry, request)
 					assert.Assert(t, reply.Right(request), "%+v", reply)
 				})
@@ -47,9 +47,9 @@
 // Forty callers ask at once while every tenth answer or so goes wrong, each in
 // another way. Answers cross in the engines, the entry and the connections
 // between; nobody may get a token that is not its own.
-func TestCallersGetTheirOwnAnswersSideBySide(t *testing.T) {
+func TestConcurrentCallersGetTheirOwnAnswers(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, small(quick), 3, "-token-interval", "1ms", "-slots", "32")
+	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 3, "-token-interval", "1ms", "-slots", "32")
 	kinds := []standin.StreamFault{standin.StreamCrossed, standin.StreamDoubled, standin.StreamCut}
 	for i, e := range engines {
 		e.Fault(standin.FaultOrder{Faults: standin.Faults{
@@ -60,7 +60,7 @@
 	var wg sync.WaitGroup
 	for i := range 40 {
 		request := harness.Completion{
-			Model: "demo", Prompt: strconv.Itoa(i) + " " + newPrompt("summary"), MaxTokens: 24, Stream: i%2 == 0,
+			Model: "demo", Prompt: strconv.Itoa(i) + " " + uniquePrompt("summary"), MaxTokens: 24, Stream: i%2 == 0,
 		}
 		wg.Add(1)
 		go func() {
@@ -74,11 +74,11 @@
 
 // An engine's answers all break. The caller must be told so, with what may
 // have run, and never that it did not.
-func TestAnswersThatAllBreakAreRefusedAsMayHaveRun(t *testing.T) {
+func TestRequestWhoseAnswersAllBreakIsRefusedAsUnknown(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, small(quick), 2)
-	faultAll(engines, standin.StreamFaults{Kind: standin.StreamCut, After: 2})
-	request := harness.Completion{Model: "demo", Prompt: newPrompt("memo"), MaxTokens: 8}
+	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2)
+	injectStreamFaults(engines, standin.StreamFaults{Kind: standin.StreamCut, After: 2})
+	request := harness.Completion{Model: "demo", Prompt: uniquePrompt("memo"), MaxTokens: 8}
 	for _, stream := range []bool{false, true} {
 		request.Stream = stream
 		reply := harness.Complete(t.Context(), c.Entries()[0].Entry, request)
@@ -93,14 +93,14 @@
 // no backend server may have begun the request.
 func TestRefusedAsNotRunDidNotRun(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, small(quick), 1, "-token-interval", "5ms")
+	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 1, "-token-interval", "5ms")
 	service := c.StartService("audit-1", "audit")
 	entry := c.Entries()[0]
 	awaitService(t, entry, "audit")
 
 	t.Run("engine is full", func(t *testing.T) {
 		engines[0].Fault(standin.FaultOrder{Faults: standin.Faults{FullQueue: true}})
-		request := harness.Completion{Model: "demo", Prompt: newPrompt("full"), MaxTokens: 4, TimeoutMillis: 2000}
+		request := harness.Completion{Model: "demo", Prompt: uniquePrompt("full"), MaxTokens: 4, TimeoutMillis: 2000}
 		reply := harness.Complete(t.Context(), entry.Entry, request)
 		assert.Assert(t, reply.Refusal != nil, "%+v", reply)
 		checkReply(t, c, request, reply)
@@ -109,7 +109,7 @@
 	})
 	t.Run("service says not started", func(t *testing.T) {
 		service.Fault(standin.FaultOrder{Faults: standin.Faults{FullQueue: true}})
-		call := harness.ServiceRequest{Service: "audit", Method: http.MethodPost, Path: "/", Body: []byte(newPrompt("note"))}
+		call := harness.ServiceRequest{Service: "audit", Method: http.MethodPost, Path: "/", Body: []byte(uniquePrompt("note"))}
 		reply := harness.CallService(t.Context(), entry.Entry, call)
 		assert.Assert(t, reply.Refusal != nil, "%+v", reply)
 		assert.Equal(t, reply.Refusal.Ran, failure.RanNo)
@@ -117,14 +117,14 @@
 		service.Fault(standin.FaultOrder{})
 	})
 	t.Run("deadline is too short", func(t *testing.T) {
-		request := harness.Completion{Model: "demo", Prompt: newPrompt("late"), MaxTokens: 400, TimeoutMillis: 300}
+		request := harness.Completion{Model: "demo", Prompt: uniquePrompt("late"), MaxTokens: 400, TimeoutMillis: 300}
 		reply := harness.Complete(t.Context(), entry.Entry, request)
 		assert.Assert(t, reply.Refusal != nil, "%+v", reply)
 		checkReply(t, c, request, reply)
 	})
 	t.Run("no engine is left", func(t *testing.T) {
 		engines[0].Kill()
-		request := harness.Completion{Model: "demo", Prompt: newPrompt("gone"), MaxTokens: 4, TimeoutMillis: 8000}
+		request := harness.Completion{Model: "demo", Prompt: uniquePrompt("gone"), MaxTokens: 4, TimeoutMillis: 8000}
 		reply := harness.Complete(t.Context(), entry.Entry, request)
 		assert.Assert(t, reply.Refusal != nil, "%+v", reply)
 		checkReply(t, c, request, reply)
@@ -134,19 +134,19 @@
 // An auditor watches a memo being drafted when a VM of its group dies, and
 // finds half a memo. The entry must go on at the next token on another group:
 // no token lost, none twice, and the auditor sees a pause at most.
-func TestStreamGoesOnWhenItsGroupLosesAMember(t *testing.T) {
-	c := harness.NewCluster(t, small(quick))
+func TestStreamContinuesWhenItsGroupLosesAMember(t *testing.T) {
+	c := harness.NewCluster(t, twoNodeSpec(shortTimeouts))
 	c.Found(blackboard.GroupSpec{Name: "memos", Model: "demo", Replicas: 2, VMsPerReplica: 2, Worth: 10})
 	c.StartEngines(4, "vm", "d1", "-token-interval", "20ms", "-group-timeout", "1s")
 	c.AwaitGroups("demo", 2)
 	entry := c.Entries()[0]
-	awaitAnswer(t, entry, harness.Completion{Model: "demo", Prompt: newPrompt("ready?"), MaxTokens: 1})
+	awaitAnswer(t, entry, harness.Completion{Model: "demo", Prompt: uniquePrompt("ready?"), MaxTokens: 1})
 
-	request := harness.Completion{Model: "demo", Prompt: newPrompt("memo"), MaxTokens: 100, Stream: true}
+	request := harness.Completion{Model: "demo", Prompt: uniquePrompt("memo"), MaxTokens: 100, Stream: true}
 	answered := make(chan harness.Reply, 1)
 	go func() { answered <- harness.Complete(t.Context(), entry.Entry, request) }()
 	harness.Await(t, "the run begins", func() bool { return len(c.RunsOf(request.Prompt)) == 1 })
-	memberBeside(t, c, c.RunsOf(request.Prompt)[0]).Kill()
+	nonHeadMember(t, c, c.RunsOf(request.Prompt)[0]).Kill()
 	reply := <-answered
 	assert.Assert(t, reply.Right(request), "%+v", reply)
 	runs := c.RunsOf(request.Prompt)
@@ -154,8 +154,8 @@
 	assert.Assert(t, runs[1].Offset > 0, "the second run began anew: %+v", runs[1])
 }
 
-// memberBeside returns a member of the run's group that is not its head.
-func memberBeside(t *testing.T, c *harness.Cluster, run standin.Run) *harness.Standin {
+// nonHeadMember returns a member of the run's group that is not its head.
+func nonHeadMember(t *testing.T, c *harness.Cluster, run standin.Run) *harness.Standin {
 	t.Helper()
 	status, err := c.Status()
 	assert.NilError(t, err)
--- a/test/process/at_most_once_test.go
+++ b/test/process/at_most_once_test.go
@@ -19,9 +19,9 @@
 // answer or be told that it is under way.
 func TestResendsOnAllEntriesRunOnce(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "10ms")
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "10ms")
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 20, Key: "note-1", NonIdempotent: true,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 20, Key: "note-1", NonIdempotent: true,
 	}
 	var wg sync.WaitGroup
 	for round := range 3 {
@@ -54,16 +54,16 @@
 // true one; a second run is not.
 func TestEntryKilledAfterDispatchRunsOnce(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "50ms")
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "50ms")
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 40, Key: "note-2", NonIdempotent: true, TimeoutMillis: 3000,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 40, Key: "note-2", NonIdempotent: true, TimeoutMillis: 3000,
 	}
 	victim := c.Node("n4")
-	lost := make(chan harness.Reply, 1)
-	go func() { lost <- harness.Complete(t.Context(), victim.Entry, request) }()
+	interrupted := make(chan harness.Reply, 1)
+	go func() { interrupted <- harness.Complete(t.Context(), victim.Entry, request) }()
 	harness.Await(t, "the run begins", func() bool { return len(c.RunsOf(request.Prompt)) == 1 })
 	victim.Kill()
-	assert.Assert(t, !(<-lost).Whole)
+	assert.Assert(t, !(<-interrupted).Whole)
 
 	reply := resendUntilFinal(t, c, request)
 	assert.Assert(t, !reply.Whole, "%+v", reply)
@@ -76,17 +76,17 @@
 // may never run either; and nobody may be told that it did not run.
 func TestEntryKilledBeforeDispatchDoesNotRunTwice(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, harness.Standard(), 1)
+	c, engines := startServingCluster(t, harness.Standard(), 1)
 	engines[0].Kill()
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 4, Key: "note-3", NonIdempotent: true, TimeoutMillis: 2500,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 4, Key: "note-3", NonIdempotent: true, TimeoutMillis: 2500,
 	}
 	victim := c.Node("n4")
-	lost := make(chan harness.Reply, 1)
-	go func() { lost <- harness.Complete(t.Context(), victim.Entry, request) }()
-	harness.Await(t, "the claim is granted", func() bool { return logHas(victim, "event=claim") })
+	interrupted := make(chan harness.Reply, 1)
+	go func() { interrupted <- harness.Complete(t.Context(), victim.Entry, request) }()
+	harness.Await(t, "the claim is granted", func() bool { return logContains(victim, "event=claim") })
 	victim.Kill()
-	<-lost
+	<-interrupted
 	engines[0].Start()
 	c.AwaitGroups("demo", 1)
 
@@ -99,11 +99,11 @@
 // The answer of a transfer note is lost on its way back, while the control
 // leader, which holds the record of the run, is killed. The terminal resends:
 // it must get the recorded answer from what the other replicas hold.
-func TestRecordedAnswerOutlivesTheLeader(t *testing.T) {
+func TestRecordedAnswerSurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 1, "-token-interval", "20ms")
+	c, _ := startServingCluster(t, harness.Standard(), 1, "-token-interval", "20ms")
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 10, Key: "note-4", NonIdempotent: true,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 10, Key: "note-4", NonIdempotent: true,
 	}
 	entry := c.Node("n4")
 	first := make(chan harness.Reply, 1)
@@ -120,9 +120,9 @@
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// resendUntilUnknown sends a call whose outcome is lost until it is told so for
+// resendUntilOutcomeUnknown sends a call whose outcome is lost until it is told so for
 // good. The first resends may find the first send still under way.
-func resendUntilUnknown(t *testing.T, n *harness.Node, call harness.ServiceRequest) {
+func resendUntilOutcomeUnknown(t *testing.T, n *harness.Node, call harness.ServiceRequest) {
 	t.Helper()
 	harness.Await(t, "the outcome is unknown for good", func() bool {
 		again := harness.CallService(t.Context(), n.Entry, call)
@@ -137,7 +137,7 @@
 // by the entry nor for the caller's resend; with and without a key.
 func TestPlainServiceCallThatBreaksRunsOnce(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, small(quick), 1)
+	c, _ := startServingCluster(t, twoNodeSpec(shortTimeouts), 1)
 	services := []*harness.Standin{c.StartService("records-1", "records"), c.StartService("records-2", "records")}
 	entry := c.Entries()[0]
 	awaitService(t, entry, "records")
@@ -152,7 +152,7 @@
 					s.Fault(standin.FaultOrder{Faults: faults})
 				}
 				call := harness.ServiceRequest{
-					Service: "records", Method: http.MethodPost, Path: "/custody", Body: []byte(newPrompt("custody")),
+					Service: "records", Method: http.MethodPost, Path: "/custody", Body: []byte(uniquePrompt("custody")),
 					Key: key, TimeoutMillis: 1500,
 				}
 				reply := harness.CallService(t.Context(), entry.Entry, call)
@@ -162,7 +162,7 @@
 					s.Fault(standin.FaultOrder{})
 				}
 				if key != "" {
-					resendUntilUnknown(t, entry, call)
+					resendUntilOutcomeUnknown(t, entry, call)
 				}
 				assert.Equal(t, len(c.RunsOf(standin.BodyHash(call.Body))), 1)
 				awaitService(t, entry, "records")
@@ -175,20 +175,20 @@
 // control replicas and dies before it could record the answer. A resend can't
 // get that answer; it must not get a second run either.
 func TestEntryKilledBetweenAnswerAndRecordRunsOnce(t *testing.T) {
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "20ms")
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "20ms")
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 20, Key: "note-7", NonIdempotent: true, TimeoutMillis: 3000,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 20, Key: "note-7", NonIdempotent: true, TimeoutMillis: 3000,
 	}
 	victim := c.Node("n4")
-	lost := make(chan harness.Reply, 1)
-	go func() { lost <- harness.Complete(t.Context(), victim.Entry, request) }()
+	interrupted := make(chan harness.Reply, 1)
+	go func() { interrupted <- harness.Complete(t.Context(), victim.Entry, request) }()
 	harness.Await(t, "the run begins", func() bool { return len(c.RunsOf(request.Prompt)) == 1 })
 	for _, n := range c.Nodes {
 		n.Peers.CutFrom(victim)
 	}
 	harness.Await(t, "the run ends", func() bool { return c.RunsOf(request.Prompt)[0].Outcome != "" })
 	victim.Kill()
-	assert.Assert(t, !(<-lost).Whole)
+	assert.Assert(t, !(<-interrupted).Whole)
 
 	reply := resendUntilFinal(t, c, request)
 	assert.Assert(t, !reply.Whole, "%+v", reply)
@@ -201,10 +201,10 @@
 // dispatch, must not say "not run" of a key that others may have sent, and no
 // resend may run twice.
 func TestLostAnswerOfAClaimRunsAtMostOnce(t *testing.T) {
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "5ms")
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "5ms")
 	cut := c.Node("n4")
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 4, Key: "note-8", NonIdempotent: true, TimeoutMillis: 2500,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 4, Key: "note-8", NonIdempotent: true, TimeoutMillis: 2500,
 	}
 	for _, n := range c.Nodes {
 		n.Peers.CutFromOneWay(cut, harness.Back)
--- a/test/process/configuration_test.go
+++ b/test/process/configuration_test.go
@@ -15,7 +15,7 @@
 )
 
 // founded is the standard cluster with all its voters.
-func founded(t *testing.T, groups ...blackboard.GroupSpec) *harness.Cluster {
+func startFoundedCluster(t *testing.T, groups ...blackboard.GroupSpec) *harness.Cluster {
 	t.Helper()
 	c := harness.NewCluster(t, harness.Standard())
 	c.Found(groups...)
@@ -69,7 +69,7 @@
 	return reply.Revision, err
 }
 
-func configuration(n *harness.Node) (blackboard.Configuration, error) {
+func readConfiguration(n *harness.Node) (blackboard.Configuration, error) {
 	var config blackboard.Configuration
 	err := harness.Operate(n, http.MethodGet, adminapi.PathConfiguration, nil, &config)
 	return config, err
@@ -84,7 +84,7 @@
 	})
 }
 
-func controls(c *harness.Cluster) []*harness.Node {
+func controlNodes(c *harness.Cluster) []*harness.Node {
 	var out []*harness.Node
 	for _, n := range c.Nodes {
 		if n.Spec.Control {
@@ -100,8 +100,8 @@
 // applied without the revision it was made against, or anew under its own id.
 func TestOperatorsRacingUnderOneRevisionGetOneWinner(t *testing.T) {
 	t.Parallel()
-	c := founded(t)
-	nodes := controls(c)
+	c := startFoundedCluster(t)
+	nodes := controlNodes(c)
 	for round := range uint64(3) {
 		expect := 1 + round
 		var mu sync.Mutex
@@ -129,7 +129,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, again, revision)
 		}
-		config, err := configuration(nodes[1])
+		config, err := readConfiguration(nodes[1])
 		assert.NilError(t, err)
 		assert.Equal(t, config.Revision, expect+1)
 	}
@@ -139,9 +139,9 @@
 // and operators have put another preset in force. It believes that it leads:
 // it would answer operators from its old board, accept a change, or give
 // entries a lease on the old preset.
-func TestFrozenLeaderMisleadsNobodyWhenItWakes(t *testing.T) {
+func TestPausedLeaderServesNoStaleStateAfterResume(t *testing.T) {
 	t.Parallel()
-	c := founded(t)
+	c := startFoundedCluster(t)
 	old := leaderOf(t, c)
 	old.Pause()
 	leader := newLeader(t, c, old)
@@ -154,18 +154,18 @@
 	awaitInForce(t, leader, revision)
 	old.Resume()
 	for range 40 {
-		config, err := configuration(old)
+		config, err := readConfiguration(old)
 		if err == nil {
 			assert.Equal(t, config.ActivePreset, "peak")
 		}
 		_, err = usePreset(old, "stale", 1, "maintenance")
 		assert.Assert(t, err != nil)
 		for _, n := range c.Entries() {
-			assert.Assert(t, !logHas(n, "configuration_never_reverts"))
+			assert.Assert(t, !logContains(n, "configuration_never_reverts"))
 		}
 	}
 	harness.Await(t, "the old leader follows", func() bool {
-		config, err := configuration(old)
+		config, err := readConfiguration(old)
 		return err == nil && config.Revision == revision
 	})
 }
@@ -174,9 +174,9 @@
 // own operator and its own entry still reach it. Neither may be told anything
 // that the others have replaced, and a change must come into force although
 // the cut-off entry never hears of it.
-func TestLeaderBehindACutAnswersNoOperatorAndItsEntryStops(t *testing.T) {
+func TestIsolatedLeaderRefusesOperatorsAndItsEntryStopsAdmitting(t *testing.T) {
 	t.Parallel()
-	c := founded(t)
+	c := startFoundedCluster(t)
 	old := leaderOf(t, c)
 	isolate(c, old)
 	leader := newLeader(t, c, old)
@@ -188,7 +188,7 @@
 	})
 	awaitInForce(t, leader, revision)
 	assert.Assert(t, !old.Ready(), "in force everywhere, yet the cut-off entry admits")
-	_, err := configuration(old)
+	_, err := readConfiguration(old)
 	assert.Assert(t, err != nil, "the cut-off leader answers an operator")
 	_, err = usePreset(old, "behind", 1, "maintenance")
 	assert.Assert(t, err != nil, "the cut-off leader takes a change")
@@ -202,7 +202,7 @@
 		return true
 	})
 	harness.Await(t, "one configuration everywhere", func() bool {
-		config, err := configuration(old)
+		config, err := readConfiguration(old)
 		return err == nil && config.Revision == revision && config.ActivePreset == "peak"
 	})
 }
@@ -210,9 +210,9 @@
 // Every process is killed at once (a power cut) after a change was accepted.
 // What was accepted must be there when they come back, and entries must not
 // serve anything older.
-func TestAcceptedChangeSurvivesThePowerCut(t *testing.T) {
+func TestAcceptedChangeSurvivesAPowerCut(t *testing.T) {
 	t.Parallel()
-	c := founded(t)
+	c := startFoundedCluster(t)
 	for i := range uint64(5) {
 		preset := []string{"peak", "maintenance"}[i%2]
 		harness.Await(t, "change "+preset, func() bool {
@@ -229,7 +229,7 @@
 			n.Start()
 		}
 		c.AwaitReady()
-		config, err := configuration(leaderOf(t, c))
+		config, err := readConfiguration(leaderOf(t, c))
 		assert.NilError(t, err)
 		assert.Equal(t, config.Revision, 2+i)
 		assert.Equal(t, config.ActivePreset, preset)
@@ -242,15 +242,15 @@
 // repair it.
 func TestLostDisksAreRepairedWithoutAnOperator(t *testing.T) {
 	t.Parallel()
-	c := founded(t)
-	before := identities(t, c)
+	c := startFoundedCluster(t)
+	before := voterIdentities(t, c)
 	for i, name := range []string{"n2", "n3", "n1"} {
 		n := c.Node(name)
 		n.Kill()
 		n.LoseData()
 		n.Start()
 		awaitVoters(t, c, before)
-		after := identities(t, c)
+		after := voterIdentities(t, c)
 		assert.Assert(t, after[name] != before[name], "an empty disk came back under its old identity")
 		before = after
 		expect := uint64(1 + i)
@@ -261,7 +261,7 @@
 	}
 }
 
-func identities(t *testing.T, c *harness.Cluster) map[string]string {
+func voterIdentities(t *testing.T, c *harness.Cluster) map[string]string {
 	t.Helper()
 	ids := map[string]string{}
 	harness.Await(t, "status", func() bool {
@@ -282,7 +282,7 @@
 func awaitVoters(t *testing.T, c *harness.Cluster, old map[string]string) {
 	t.Helper()
 	harness.Await(t, "three voters", func() bool {
-		now := identities(t, c)
+		now := voterIdentities(t, c)
 		changed := old == nil
 		for vm, id := range now {
 			changed = changed || old[vm] != id
@@ -295,13 +295,13 @@
 // operators make changes: each is accepted once or refused, none is lost.
 func TestOneWayCutsLoseNoAcceptedChange(t *testing.T) {
 	t.Parallel()
-	c := founded(t)
+	c := startFoundedCluster(t)
 	revision := uint64(1)
 	for i := range 4 {
-		n := controls(c)[i%3]
+		n := controlNodes(c)[i%3]
 		n.Peers.CutOneWay(harness.Direction(i % 2))
 		harness.Await(t, "a change during the cut", func() bool {
-			for _, o := range controls(c) {
+			for _, o := range controlNodes(c) {
 				if got, err := usePreset(o, "cut"+strconv.Itoa(i), revision, "peak"); err == nil {
 					assert.Equal(t, got, revision+1)
 					return true
@@ -313,8 +313,8 @@
 		n.Peers.Heal()
 	}
 	harness.Await(t, "all agree", func() bool {
-		for _, o := range controls(c) {
-			if config, err := configuration(o); err != nil || config.Revision != revision {
+		for _, o := range controlNodes(c) {
+			if config, err := readConfiguration(o); err != nil || config.Revision != revision {
 				return false
 			}
 		}
--- a/test/process/crashing_request_test.go
+++ b/test/process/crashing_request_test.go
@@ -18,12 +18,12 @@
 // beside it, their whole answers.
 func TestRequestThatCrashesEnginesIsStopped(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, small(quick), 3, "-token-interval", "5ms")
+	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 3, "-token-interval", "5ms")
 	for _, e := range engines {
 		e.Fault(standin.FaultOrder{Faults: standin.Faults{CrashMarker: "ledger 7"}})
 	}
 	entries := c.Entries()
-	poison := harness.Completion{Model: "demo", Prompt: newPrompt("ledger 7"), MaxTokens: 8}
+	poison := harness.Completion{Model: "demo", Prompt: uniquePrompt("ledger 7"), MaxTokens: 8}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for i := range 6 {
@@ -36,8 +36,8 @@
 					return
 				default:
 				}
-				innocent := harness.Completion{Model: "demo", Prompt: newPrompt("ledger 8"), MaxTokens: 40}
-				answerInTheEnd(t, entries[i%len(entries)], innocent)
+				unrelated := harness.Completion{Model: "demo", Prompt: uniquePrompt("ledger 8"), MaxTokens: 40}
+				retryUntilAnswered(t, entries[i%len(entries)], unrelated)
 			}
 		}()
 	}
@@ -65,9 +65,9 @@
 	assert.Assert(t, crashes <= 2, "%d engines crashed", crashes)
 }
 
-// answerInTheEnd sends a request as callers do, until it is answered. No
-// innocent request may be taken for the crashing one.
-func answerInTheEnd(t *testing.T, n *harness.Node, request harness.Completion) {
+// retryUntilAnswered sends a request as callers do, until it is answered. No
+// unrelated request may be taken for the crashing one.
+func retryUntilAnswered(t *testing.T, n *harness.Node, request harness.Completion) {
 	t.Helper()
 	harness.Await(t, "an answer for "+request.Prompt, func() bool {
 		reply := harness.Complete(t.Context(), n.Entry, request)
--- a/test/process/whole_path_test.go
+++ b/test/process/end_to_end_test.go
@@ -14,7 +14,7 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-const firstDocument = `
+const initialDocument = `
 active_preset = "ordinary"
 
 [[workspace]]
@@ -42,10 +42,10 @@
 // The whole system as processes: founded and configured by the tool, one
 // serving group of two VMs, a plain service, and each of four entries
 // answering for them.
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	t.Parallel()
 	c := harness.NewCluster(t, harness.Standard())
-	first := c.Document("first.toml", withKey(firstDocument))
+	first := c.Document("first.toml", withWorkspaceKey(initialDocument))
 	out, status := c.Tool("init", "-configuration", first, "-timeout", "60s")
 	assert.Equal(t, status, 0, out)
 	c.StartEngines(3, "vm", "d1", "-load-time", "50ms", "-token-interval", "1ms")
@@ -79,7 +79,7 @@
 	t.Run("refusals are typed", func(t *testing.T) { checkRefusals(t, c.Entries()[0]) })
 }
 
-func withKey(document string) string {
+func withWorkspaceKey(document string) string {
 	return replaceKey(document, harness.KeyHash(harness.WorkspaceKey))
 }
 
--- a/test/process/graceful_stop_test.go
+++ b/test/process/graceful_stop_test.go
@@ -13,15 +13,15 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// inFlight starts streams of about a second on an entry, waits until each has
+// startRequests starts streams of about a second on an entry, waits until each has
 // begun on a backend server, and returns a function that waits for all.
-func inFlight(t *testing.T, c *harness.Cluster, entry string, count int) (wait func()) {
+func startRequests(t *testing.T, c *harness.Cluster, entry string, count int) (wait func()) {
 	t.Helper()
 	var wg sync.WaitGroup
 	requests := make([]harness.Completion, count)
 	for i := range requests {
 		requests[i] = harness.Completion{
-			Model: "demo", Prompt: newPrompt("in flight"), MaxTokens: 60, Stream: i%2 == 0, Key: "flight-" + newPrompt(""),
+			Model: "demo", Prompt: uniquePrompt("in flight"), MaxTokens: 60, Stream: i%2 == 0, Key: "flight-" + uniquePrompt(""),
 		}
 		wg.Add(1)
 		go func() {
@@ -46,64 +46,64 @@
 // upgraded. The platform sends SIGTERM to an entry with streams and plain
 // answers open: all must end whole, without a second run, and the process
 // with status 0.
-func TestEntryStopsWithoutACut(t *testing.T) {
+func TestEntryShutdownCompletesOpenRequests(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, small(quick), 2, "-token-interval", "20ms")
+	c, _ := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "20ms")
 	entry := c.Node("n2")
-	wait := inFlight(t, c, entry.Entry, 8)
+	wait := startRequests(t, c, entry.Entry, 8)
 	entry.Terminate()
 	wait()
 	assert.Equal(t, entry.Wait(20*time.Second), 0)
 }
 
 // The same with the process that leads the control replicas, itself an entry.
-func TestControlLeaderStopsWithoutACut(t *testing.T) {
+func TestControlLeaderShutdownCompletesOpenRequests(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "20ms")
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "20ms")
 	leader := leaderOf(t, c)
 	other := c.Node("n4")
-	waitOwn := inFlight(t, c, leader.Entry, 4)
-	waitOther := inFlight(t, c, other.Entry, 4)
+	waitOwn := startRequests(t, c, leader.Entry, 4)
+	waitOther := startRequests(t, c, other.Entry, 4)
 	leader.Terminate()
 	waitOwn()
 	waitOther()
 	assert.Equal(t, leader.Wait(20*time.Second), 0)
-	awaitAnswer(t, other, harness.Completion{Model: "demo", Prompt: newPrompt("after"), MaxTokens: 2})
+	awaitAnswer(t, other, harness.Completion{Model: "demo", Prompt: uniquePrompt("after"), MaxTokens: 2})
 }
 
 // An operator drains a group's VM for maintenance while it answers. What is in
 // flight must end there, and after a few seconds nothing new may begin there.
-func TestDrainedVMFinishesAndGetsNothingNew(t *testing.T) {
+func TestDrainedVMFinishesAndGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, small(quick), 2, "-token-interval", "20ms")
+	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "20ms")
 	entry := c.Entries()[0]
-	wait := inFlight(t, c, entry.Entry, 8)
+	wait := startRequests(t, c, entry.Entry, 8)
 	c.Change(blackboard.ConfigChange{ChangeID: "drain", DrainVMs: []string{engines[0].ID}})
 	wait()
-	checkNothingNewOn(t, entry, engines[0])
+	checkNoNewRequests(t, entry, engines[0])
 }
 
 // A backend server announces that it is leaving, as before its own upgrade.
-func TestLeavingEngineFinishesAndGetsNothingNew(t *testing.T) {
+func TestLeavingEngineFinishesAndGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, small(quick), 2, "-token-interval", "20ms")
+	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "20ms")
 	entry := c.Entries()[0]
-	wait := inFlight(t, c, entry.Entry, 8)
+	wait := startRequests(t, c, entry.Entry, 8)
 	leaving := true
 	engines[0].Fault(standin.FaultOrder{Leaving: &leaving})
 	wait()
-	checkNothingNewOn(t, entry, engines[0])
+	checkNoNewRequests(t, entry, engines[0])
 }
 
-// leaveTime is after how long a leaving backend server gets no new work.
-const leaveTime = 5 * time.Second
+// leaveDelay is after how long a leaving backend server gets no new work.
+const leaveDelay = 5 * time.Second
 
-func checkNothingNewOn(t *testing.T, entry *harness.Node, leaving *harness.Standin) {
+func checkNoNewRequests(t *testing.T, entry *harness.Node, leaving *harness.Standin) {
 	t.Helper()
-	time.Sleep(leaveTime)
+	time.Sleep(leaveDelay)
 	before := len(leaving.Runs())
 	for i := range 10 {
-		request := harness.Completion{Model: "demo", Prompt: newPrompt("new " + strconv.Itoa(i)), MaxTokens: 2}
+		request := harness.Completion{Model: "demo", Prompt: uniquePrompt("new " + strconv.Itoa(i)), MaxTokens: 2}
 		reply := harness.Complete(t.Context(), entry.Entry, request)
 		assert.Assert(t, reply.Right(request), "%+v", reply)
 	}
--- a/test/process/helpers_test.go
+++ b/test/process/helpers_test.go
@@ -32,28 +32,28 @@
 
 var prompts atomic.Int64
 
-// newPrompt returns a prompt that no other request of this run has, so that
+// uniquePrompt returns a prompt that no other request of this run has, so that
 // its runs can be counted.
-func newPrompt(text string) string {
+func uniquePrompt(text string) string {
 	return fmt.Sprintf("%s #%d", text, prompts.Add(1))
 }
 
-// smallSystem is a founded cluster with so many serving groups of one VM each
+// startServingCluster is a founded cluster with so many serving groups of one VM each
 // for the model "demo", whose entries all answer.
-func smallSystem(t *testing.T, spec harness.ClusterSpec, groups int, flags ...string) (*harness.Cluster, []*harness.Standin) {
+func startServingCluster(t *testing.T, spec harness.ClusterSpec, groups int, flags ...string) (*harness.Cluster, []*harness.Standin) {
 	t.Helper()
 	c := harness.NewCluster(t, spec)
 	c.Found(blackboard.GroupSpec{Name: "memos", Model: "demo", Replicas: groups, VMsPerReplica: 1, Worth: 10})
 	engines := c.StartEngines(groups, "vm", "d1", flags...)
 	c.AwaitGroups("demo", groups)
 	for _, n := range c.Entries() {
-		awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: newPrompt("ready?"), MaxTokens: 1})
+		awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: uniquePrompt("ready?"), MaxTokens: 1})
 	}
 	return c, engines
 }
 
 // small is one control and entry process and one entry-only process.
-func small(adjust func(*settings.Settings)) harness.ClusterSpec {
+func twoNodeSpec(adjust func(*settings.Settings)) harness.ClusterSpec {
 	return harness.ClusterSpec{
 		Nodes: []harness.NodeSpec{
 			{Name: "n1", DataCentre: "dc1", Entry: true, Control: true},
@@ -66,27 +66,27 @@
 	}
 }
 
-// quick shortens the deadlines of progress, so that stalls end soon.
-func quick(s *settings.Settings) {
+// shortTimeouts shortens the deadlines of progress, so that stalls end soon.
+func shortTimeouts(s *settings.Settings) {
 	s.Entry.HeaderTimeoutMillis = 500
 	s.Entry.FirstTokenTimeoutMillis = 1000
 	s.Entry.TokenGapMillis = 500
 }
 
-// requestsForARetry is how many admitted requests earn a workspace one retry
+// requestsPerRetry is how many admitted requests earn a workspace one retry
 // (admission.DefaultRetryRatio).
-const requestsForARetry = 10
+const requestsPerRetry = 10
 
 // earnRetries lets the workspace earn so many retries on an entry: in a test
 // more of its requests fail than in a working day.
 func earnRetries(t *testing.T, n *harness.Node, retries int) {
 	t.Helper()
-	for range retries * requestsForARetry {
-		awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: newPrompt("ordinary"), MaxTokens: 1})
+	for range retries * requestsPerRetry {
+		awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: uniquePrompt("ordinary"), MaxTokens: 1})
 	}
 }
 
-func faultAll(standins []*harness.Standin, f standin.StreamFaults) {
+func injectStreamFaults(standins []*harness.Standin, f standin.StreamFaults) {
 	for _, s := range standins {
 		s.Fault(standin.FaultOrder{Faults: standin.Faults{Stream: f}})
 	}
@@ -133,7 +133,7 @@
 	return last
 }
 
-func logHas(n *harness.Node, text string) bool { return strings.Contains(n.Log(), text) }
+func logContains(n *harness.Node, text string) bool { return strings.Contains(n.Log(), text) }
 
 func leaderOf(t *testing.T, c *harness.Cluster) *harness.Node {
 	t.Helper()
--- a/test/process/keyed_test.go
+++ b/test/process/idempotency_key_test.go
@@ -15,8 +15,8 @@
 // entry runs it anew, and an audit gets two summaries of one ledger.
 func TestIdempotentResendsOnAllEntriesRunOnce(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "20ms")
-	request := harness.Completion{Model: "demo", Prompt: newPrompt("summary"), MaxTokens: 40, Key: "ledger-7"}
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "20ms")
+	request := harness.Completion{Model: "demo", Prompt: uniquePrompt("summary"), MaxTokens: 40, Key: "ledger-7"}
 	var wait sync.WaitGroup
 	replies := make([]harness.Reply, 2*len(c.Entries()))
 	for i := range replies {
@@ -44,14 +44,14 @@
 // second entry resumes after the tokens that it has.
 func TestHolderKilledWhileAnotherEntryRelays(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "20ms")
-	request := harness.Completion{Model: "demo", Prompt: newPrompt("memo"), MaxTokens: 150, Key: "memo-7", Stream: true}
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "20ms")
+	request := harness.Completion{Model: "demo", Prompt: uniquePrompt("memo"), MaxTokens: 150, Key: "memo-7", Stream: true}
 	first := c.Node("n4")
 	go harness.Complete(t.Context(), first.Entry, request)
 	harness.Await(t, "the first runs", func() bool { return len(c.RunsOf(request.Prompt)) == 1 })
 	second := make(chan harness.Reply, 1)
 	go func() { second <- harness.Complete(t.Context(), c.Node("n1").Entry, request) }()
-	harness.Await(t, "the second has attached", func() bool { return logHas(c.Node("n1"), "event=attach") })
+	harness.Await(t, "the second has attached", func() bool { return logContains(c.Node("n1"), "event=attach") })
 	first.Kill()
 	reply := <-second
 	assert.Assert(t, reply.Right(request), "%+v", reply)
--- a/test/process/true_refusals_test.go
+++ b/test/process/refusals_test.go
@@ -10,9 +10,9 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// cutOff cuts an entry from every control replica, and waits until its lease
+// expireLease cuts an entry from every control replica, and waits until its lease
 // has run out.
-func cutOff(t *testing.T, c *harness.Cluster, n *harness.Node) {
+func expireLease(t *testing.T, c *harness.Cluster, n *harness.Node) {
 	t.Helper()
 	for _, other := range c.Nodes {
 		other.Peers.CutFrom(n)
@@ -31,22 +31,22 @@
 // can't know of the first send. Told "not run", the terminal would make a
 // second note under a new key.
 func TestStaleEntryDoesNotSayThatAnEarlierSendDidNotRun(t *testing.T) {
-	c, _ := smallSystem(t, harness.Standard(), 1)
+	c, _ := startServingCluster(t, harness.Standard(), 1)
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 4, Key: "note-5", NonIdempotent: true,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 4, Key: "note-5", NonIdempotent: true,
 	}
 	first := harness.Complete(t.Context(), c.Node("n1").Entry, request)
 	assert.Assert(t, first.Right(request), "%+v", first)
 
 	cut := c.Node("n4")
-	cutOff(t, c, cut)
+	expireLease(t, c, cut)
 	again := harness.Complete(t.Context(), cut.Entry, request)
 	assert.Assert(t, again.Refusal != nil, "%+v", again)
 	assert.Equal(t, again.Refusal.Ran, failure.RanUnknown, "%+v", again.Refusal)
 	assert.Assert(t, again.RetryAfter != "")
 
 	fresh := request
-	fresh.Key, fresh.Prompt, fresh.NonIdempotent = "", newPrompt("lookup"), false
+	fresh.Key, fresh.Prompt, fresh.NonIdempotent = "", uniquePrompt("lookup"), false
 	refused := harness.Complete(t.Context(), cut.Entry, fresh)
 	assert.Assert(t, refused.Refusal != nil, "%+v", refused)
 	assert.Equal(t, refused.Refusal.Ran, failure.RanNo, "%+v", refused.Refusal)
@@ -55,11 +55,11 @@
 // The same with an entry that is stopping: the first send is under way on it
 // or on another when the resend arrives.
 func TestStoppingEntryDoesNotSayThatAnEarlierSendDidNotRun(t *testing.T) {
-	c, _ := smallSystem(t, harness.Standard(), 1, "-token-interval", "50ms")
+	c, _ := startServingCluster(t, harness.Standard(), 1, "-token-interval", "50ms")
 	stopping := c.Node("n4")
-	wait := inFlight(t, c, stopping.Entry, 2)
+	wait := startRequests(t, c, stopping.Entry, 2)
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 2, Key: "note-6", NonIdempotent: true,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 2, Key: "note-6", NonIdempotent: true,
 	}
 	first := harness.Complete(t.Context(), c.Node("n1").Entry, request)
 	assert.Assert(t, first.Right(request), "%+v", first)
@@ -78,15 +78,15 @@
 // A caller whose key is good gets 401 and gives up, or is paged: the entry has
 // restarted while cut off from the control replicas and knows no workspace
 // yet. It must say that it is not ready and when to come back.
-func TestRestartedEntryDoesNotDisownItsCallers(t *testing.T) {
-	c, _ := smallSystem(t, harness.Standard(), 1)
+func TestRestartedIsolatedEntryDoesNotRejectValidKeys(t *testing.T) {
+	c, _ := startServingCluster(t, harness.Standard(), 1)
 	entry := c.Node("n4")
 	for _, other := range c.Nodes {
 		other.Peers.Cut()
 	}
 	entry.Kill()
 	entry.Start()
-	request := harness.Completion{Model: "demo", Prompt: newPrompt("lookup"), MaxTokens: 4}
+	request := harness.Completion{Model: "demo", Prompt: uniquePrompt("lookup"), MaxTokens: 4}
 	var reply harness.Reply
 	harness.Await(t, "the entry listens", func() bool {
 		reply = harness.Complete(t.Context(), entry.Entry, request)
--- a/test/process/second_signal_test.go
+++ b/test/process/second_signal_test.go
@@ -19,20 +19,20 @@
 func TestASecondSignalOrTheLimitEndsAStop(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name  string
-		limit int64
-		again bool
+		name             string
+		drainMillis      int64
+		sendSecondSignal bool
 	}{{"second signal", 60_000, true}, {"limit", 1_000, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			system, _ := smallSystem(t, small(func(s *settings.Settings) { s.Entry.DrainMillis = c.limit }), 1, "-token-interval", "200ms")
+			system, _ := startServingCluster(t, twoNodeSpec(func(s *settings.Settings) { s.Entry.DrainMillis = c.drainMillis }), 1, "-token-interval", "200ms")
 			entry := system.Node("n2")
-			request := harness.Completion{Model: "demo", Prompt: newPrompt("endless"), MaxTokens: 1000, Stream: true}
+			request := harness.Completion{Model: "demo", Prompt: uniquePrompt("endless"), MaxTokens: 1000, Stream: true}
 			done := make(chan harness.Reply, 1)
 			go func() { done <- harness.Complete(t.Context(), entry.Entry, request) }()
 			harness.Await(t, "the stream runs", func() bool { return len(system.RunsOf(request.Prompt)) == 1 })
 			entry.Terminate()
-			harness.Await(t, "the entry drains", func() bool { return logHas(entry, "event=drain ") })
-			if c.again {
+			harness.Await(t, "the entry drains", func() bool { return logContains(entry, "event=drain ") })
+			if c.sendSecondSignal {
 				entry.Terminate()
 			}
 			assert.Equal(t, entry.Wait(30*time.Second), 3)
@@ -46,7 +46,7 @@
 // it is refused; a reset connection makes it send the same again.
 func TestABodyFarOverTheLimitIsAnswered(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, small(func(*settings.Settings) {}), 1)
+	c, _ := startServingCluster(t, twoNodeSpec(func(*settings.Settings) {}), 1)
 	for range 5 {
 		request := harness.Completion{Model: "demo", Prompt: strings.Repeat("x", 12<<20), MaxTokens: 1}
 		reply := harness.Complete(t.Context(), c.Node("n1").Entry, request)
--- a/test/process/silence_test.go
+++ b/test/process/silent_connections_test.go
@@ -17,12 +17,12 @@
 // answered over new ones.
 func TestSilentEngineConnectionsAreReplaced(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, small(quick), 2, "-token-interval", "10ms")
+	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "10ms")
 	entry := c.Entries()[0].Entry
-	ask := func(count int) (wait func()) {
+	startLookups := func(count int) (wait func()) {
 		var wg sync.WaitGroup
 		for range count {
-			request := harness.Completion{Model: "demo", Prompt: newPrompt("lookup"), MaxTokens: 100, Stream: true}
+			request := harness.Completion{Model: "demo", Prompt: uniquePrompt("lookup"), MaxTokens: 100, Stream: true}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
@@ -32,9 +32,9 @@
 		}
 		return wg.Wait
 	}
-	ask(8)()
+	startLookups(8)()
 	before := len(c.Runs())
-	wait := ask(4)
+	wait := startLookups(4)
 	// The connections go silent in the middle of streams: before a stream's
 	// header the client's own deadline would find it.
 	harness.Await(t, "four streams run", func() bool { return len(c.Runs()) >= before+4 })
@@ -44,14 +44,14 @@
 	}
 	assert.Assert(t, silenced > 0)
 	wait()
-	ask(8)()
+	startLookups(8)()
 }
 
 // The same with a plain service, whose answer has no keep-alives: a call on a
 // silent connection waits for its deadline. It must be the last one that does.
 func TestSilentServiceConnectionsAreReplaced(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, small(quick), 1)
+	c, _ := startServingCluster(t, twoNodeSpec(shortTimeouts), 1)
 	service := c.StartService("audit-1", "audit")
 	entry := c.Entries()[0]
 	awaitService(t, entry, "audit")
@@ -78,12 +78,12 @@
 // force on every entry over new ones.
 func TestSilentConnectionsBetweenOwnProcessesAreReplaced(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 1)
+	c, _ := startServingCluster(t, harness.Standard(), 1)
 	for _, n := range c.Nodes {
 		n.Peers.Silence()
 	}
 	c.Change(blackboard.ConfigChange{ChangeID: "class", Classes: []blackboard.RequestClass{{Name: "night", Worth: 1}}})
 	for _, n := range c.Entries() {
-		awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: newPrompt("night"), MaxTokens: 2, Class: "night"})
+		awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: uniquePrompt("night"), MaxTokens: 2, Class: "night"})
 	}
 }
--- a/test/process/unread_log_test.go
+++ b/test/process/unread_log_test.go
@@ -17,21 +17,21 @@
 // answered, and a stop must end the process.
 func TestAnEntryWhoseLogNobodyReadsAnswersAndStops(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, small(func(*settings.Settings) {}), 1, "-token-interval", "1ms")
+	c, _ := startServingCluster(t, twoNodeSpec(func(*settings.Settings) {}), 1, "-token-interval", "1ms")
 	n := c.Entries()[1]
 	n.Terminate()
-	assert.Equal(t, n.Wait(stopLimit), 0)
+	assert.Equal(t, n.Wait(stopTimeout), 0)
 	n.StopReading()
 	n.Start()
-	awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: newPrompt("again?"), MaxTokens: 1})
+	awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: uniquePrompt("again?"), MaxTokens: 1})
 	for i := range 300 {
-		request := harness.Completion{Model: "demo", Prompt: newPrompt(fmt.Sprint("request ", i)), MaxTokens: 4}
+		request := harness.Completion{Model: "demo", Prompt: uniquePrompt(fmt.Sprint("request ", i)), MaxTokens: 4}
 		reply := harness.Complete(t.Context(), n.Entry, request)
 		assert.Assert(t, reply.Right(request), "request %d: %+v", i, reply)
 	}
 	n.Terminate()
-	assert.Equal(t, n.Wait(stopLimit), 0)
+	assert.Equal(t, n.Wait(stopTimeout), 0)
 }
 
-// stopLimit is how long a stop may take before the test calls it hung.
-const stopLimit = 60 * time.Second
+// stopTimeout is how long a stop may take before the test calls it hung.
+const stopTimeout = 60 * time.Second
