--- a/test/process/answers_test.go
+++ b/test/process/answers_test.go
@@ -14,11 +14,11 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// A memo comes back half-written, with a sentence twice, or with another
-// caller's words. An engine's answer was cut, doubled, crossed, had a hole, a
-// false end mark or no JSON, came to a standstill or came late; the entry
-// passed it on as whole. Each kind of bad answer happens once on each of two
-// groups, and every caller must still get the whole answer to its own prompt.
+// Guards against an incomplete or corrupted engine answer that the entry passes on as complete.
+// The engine cuts or stalls its stream, repeats or omits a token, sends an event of another
+// attempt, a false end mark, a malformed line or an overlong one, or sends late. Every kind of
+// bad answer happens once on each of two groups. Every caller must still receive the complete
+// answer to its own prompt.
 func TestBadAnswersNeverReachACallerAsComplete(t *testing.T) {
 	t.Parallel()
 	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "1ms")
@@ -44,9 +44,9 @@
 	}
 }
 
-// Forty callers ask at once while every tenth answer or so goes wrong, each in
-// another way. Answers cross in the engines, the entry and the connections
-// between; nobody may get a token that is not its own.
+// Guards against answers that are swapped between concurrent callers in the engines, the entry
+// or the connections between them. Forty callers send at once, and about every tenth answer
+// is mixed up, duplicated or cut. No caller may receive a token of another caller's answer.
 func TestConcurrentCallersGetTheirOwnAnswers(t *testing.T) {
 	t.Parallel()
 	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 3, "-token-interval", "1ms", "-slots", "32")
@@ -72,8 +72,8 @@
 	wg.Wait()
 }
 
-// An engine's answers all break. The caller must be told so, with what may
-// have run, and never that it did not.
+// Guards against a refusal that says "not run" although the request may have run. All answers
+// of the engines break, so the refusal must say that the outcome is unknown.
 func TestRequestWhoseAnswersAllBreakIsRefusedAsUnknown(t *testing.T) {
 	t.Parallel()
 	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2)
@@ -88,9 +88,9 @@
 	}
 }
 
-// A caller is told "not run" and sends its work elsewhere, though it ran. Each
-// cause of a refusal is brought about once; where the answer says "not run",
-// no backend server may have begun the request.
+// Guards against a caller that resends its request elsewhere because a refusal wrongly says
+// "not run". The test provokes every cause of a refusal once. Where the refusal says "not run",
+// no backend server may have started the request.
 func TestRefusedAsNotRunDidNotRun(t *testing.T) {
 	t.Parallel()
 	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 1, "-token-interval", "5ms")
@@ -122,7 +122,7 @@
 		assert.Assert(t, reply.Refusal != nil, "%+v", reply)
 		checkReply(t, c, request, reply)
 	})
-	t.Run("no engine is left", func(t *testing.T) {
+	t.Run("no engine is running", func(t *testing.T) {
 		engines[0].Kill()
 		request := harness.Completion{Model: "demo", Prompt: uniquePrompt("gone"), MaxTokens: 4, TimeoutMillis: 8000}
 		reply := harness.Complete(t.Context(), entry.Entry, request)
@@ -131,9 +131,9 @@
 	})
 }
 
-// An auditor watches a memo being drafted when a VM of its group dies, and
-// finds half a memo. The entry must go on at the next token on another group:
-// no token lost, none twice, and the auditor sees a pause at most.
+// Guards against a stream that ends halfway when a VM of its group dies. The entry must resume
+// at the next token on another group: no token is lost or repeated, and the caller notices
+// at most a pause.
 func TestStreamContinuesWhenItsGroupLosesAMember(t *testing.T) {
 	c := harness.NewCluster(t, twoNodeSpec(shortTimeouts))
 	c.Found(blackboard.GroupSpec{Name: "memos", Model: "demo", Replicas: 2, VMsPerReplica: 2, Worth: 10})
@@ -151,10 +151,10 @@
 	assert.Assert(t, reply.Right(request), "%+v", reply)
 	runs := c.RunsOf(request.Prompt)
 	assert.Equal(t, len(runs), 2)
-	assert.Assert(t, runs[1].Offset > 0, "the second run began anew: %+v", runs[1])
+	assert.Assert(t, runs[1].Offset > 0, "the second run restarted at the first token: %+v", runs[1])
 }
 
-// nonHeadMember returns a member of the run's group that is not its head.
+// nonHeadMember returns a member of the run's group other than the group's head.
 func nonHeadMember(t *testing.T, c *harness.Cluster, run standin.Run) *harness.Standin {
 	t.Helper()
 	status, err := c.Status()
--- a/test/process/at_most_once_test.go
+++ b/test/process/at_most_once_test.go
@@ -13,10 +13,9 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// Two transfer notes with different volumes reach an auditor: the terminal
-// sent its request to every entry at once, as its balancer timed out. All carry
-// one key and are marked non-idempotent; one may run, the others must get its
-// answer or be told that it is under way.
+// Guards against a non-idempotent request that runs twice because its caller sends it to every
+// entry at once after a time-out. All sends carry the same key. One send may run. The others
+// must receive its answer or a refusal that does not say "not run".
 func TestResendsOnAllEntriesRunOnce(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "10ms")
@@ -48,10 +47,9 @@
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// A transfer note is under way when the entry that sent it to an engine is
-// killed. The terminal resends to the other entries until it gets a final
-// answer. The run's outcome is lost with the entry, so "unknown" is the only
-// true one; a second run is not.
+// Guards against a second run of a non-idempotent request whose entry is killed after dispatch.
+// The caller resends to the other entries until it receives a final answer. The result of the
+// run is lost with the entry, so the only correct final answer is "outcome unknown".
 func TestEntryKilledAfterDispatchRunsOnce(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "50ms")
@@ -71,9 +69,9 @@
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// The same, but the entry is killed between its claim and the dispatch: it
-// waits for a serving group when it dies. The claim stays with it, so a resend
-// may never run either; and nobody may be told that it did not run.
+// Guards against a second run, or a false "not run", when an entry is killed between its claim
+// and the dispatch, while it waits for a serving group. The killed entry still owns the claim,
+// so a resend may never run.
 func TestEntryKilledBeforeDispatchDoesNotRunTwice(t *testing.T) {
 	t.Parallel()
 	c, engines := startServingCluster(t, harness.Standard(), 1)
@@ -96,9 +94,9 @@
 	assert.Assert(t, reply.Whole == (runs == 1), "%+v", reply)
 }
 
-// The answer of a transfer note is lost on its way back, while the control
-// leader, which holds the record of the run, is killed. The terminal resends:
-// it must get the recorded answer from what the other replicas hold.
+// Guards against the loss of a recorded answer with the control leader. The leader, which holds
+// the record of the run, is killed during the run. A resend must receive the recorded answer
+// from the other control replicas.
 func TestRecordedAnswerSurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, harness.Standard(), 1, "-token-interval", "20ms")
@@ -113,18 +111,18 @@
 	reply := <-first
 	assert.Assert(t, reply.Right(request), "%+v", reply)
 
-	// The entry that ran it keeps the answer too; only the record may answer.
+	// The entry that ran the request also caches the answer. Without that entry, only the record can answer.
 	entry.Kill()
 	again := resendUntilFinal(t, c, request)
 	assert.Assert(t, again.Right(request), "%+v", again)
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// resendUntilOutcomeUnknown sends a call whose outcome is lost until it is told so for
-// good. The first resends may find the first send still under way.
+// resendUntilOutcomeUnknown resends a call whose outcome is lost until the refusal has the final
+// type "outcome unknown". The first resends may still find the original call in progress.
 func resendUntilOutcomeUnknown(t *testing.T, n *harness.Node, call harness.ServiceRequest) {
 	t.Helper()
-	harness.Await(t, "the outcome is unknown for good", func() bool {
+	harness.Await(t, "the refusal says finally that the outcome is unknown", func() bool {
 		again := harness.CallService(t.Context(), n.Entry, call)
 		assert.Assert(t, again.Refusal != nil, "%+v", again)
 		assert.Equal(t, again.Refusal.Ran, failure.RanUnknown, "%+v", again.Refusal)
@@ -132,9 +130,9 @@
 	})
 }
 
-// A plain service writes a custody record and its answer is cut, stalls, or
-// its process dies. The call may have written, so it is not repeated, neither
-// by the entry nor for the caller's resend; with and without a key.
+// Guards against a repeated call to a plain service whose answer is cut or stalls, or whose
+// process crashes. The call may have had its effect, so neither the entry nor a resend by the
+// caller may repeat it, with or without an idempotency key.
 func TestPlainServiceCallThatBreaksRunsOnce(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, twoNodeSpec(shortTimeouts), 1)
@@ -171,9 +169,9 @@
 	}
 }
 
-// The engine has finished a transfer note, and its entry is cut off from the
-// control replicas and dies before it could record the answer. A resend can't
-// get that answer; it must not get a second run either.
+// Guards against a second run when an entry is cut off from the control replicas and dies after
+// the engine has finished, but before the entry has recorded the answer. A resend can't
+// receive that answer and must not start a second run.
 func TestEntryKilledBetweenAnswerAndRecordRunsOnce(t *testing.T) {
 	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "20ms")
 	request := harness.Completion{
@@ -196,10 +194,10 @@
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// An entry asks for a claim and the answer is lost, though the claim was
-// granted: answers from the control replicas to that entry are cut. It must not
-// dispatch, must not say "not run" of a key that others may have sent, and no
-// resend may run twice.
+// Guards against a second run when a claim is granted but the grant is lost on its way to the
+// entry: the network drops the control replicas' answers to that entry. The entry must not
+// dispatch. It must not say "not run", because other entries may have received the same key.
+// No resend may lead to a second run.
 func TestLostAnswerOfAClaimRunsAtMostOnce(t *testing.T) {
 	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "5ms")
 	cut := c.Node("n4")
--- a/test/process/idempotency_key_test.go
+++ b/test/process/idempotency_key_test.go
@@ -10,9 +10,10 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// A lookup with an idempotency key is sent again, to every entry, while the
-// first send still runs, and once more after it. Without a common holder each
-// entry runs it anew, and an audit gets two summaries of one ledger.
+// Guards against several runs of one idempotency key. The request is sent to every entry while
+// the first send still runs, and once more after it has completed. Without a common holder of
+// the key each entry would run the request itself, and the callers would receive different
+// answers.
 func TestIdempotentResendsOnAllEntriesRunOnce(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "20ms")
@@ -39,19 +40,19 @@
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// The entry that runs a keyed request is killed while another entry relays the
-// same answer to a second caller. That caller must get its whole answer: the
-// second entry resumes after the tokens that it has.
+// Guards against a cut answer when the entry that runs a keyed request is killed while another
+// entry relays the same answer to a second caller. That caller must receive its complete
+// answer: the second entry resumes after the tokens that it already has.
 func TestHolderKilledWhileAnotherEntryRelays(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "20ms")
 	request := harness.Completion{Model: "demo", Prompt: uniquePrompt("memo"), MaxTokens: 150, Key: "memo-7", Stream: true}
 	first := c.Node("n4")
 	go harness.Complete(t.Context(), first.Entry, request)
-	harness.Await(t, "the first runs", func() bool { return len(c.RunsOf(request.Prompt)) == 1 })
+	harness.Await(t, "the first request runs", func() bool { return len(c.RunsOf(request.Prompt)) == 1 })
 	second := make(chan harness.Reply, 1)
 	go func() { second <- harness.Complete(t.Context(), c.Node("n1").Entry, request) }()
-	harness.Await(t, "the second has attached", func() bool { return logContains(c.Node("n1"), "event=attach") })
+	harness.Await(t, "the second request has attached to the first", func() bool { return logContains(c.Node("n1"), "event=attach") })
 	first.Kill()
 	reply := <-second
 	assert.Assert(t, reply.Right(request), "%+v", reply)
