--- a/test/process/configuration_test.go
+++ b/test/process/configuration_test.go
@@ -14,7 +14,7 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// founded is the standard cluster with all its voters.
+// startFoundedCluster starts the standard cluster, bootstraps it and waits for all its voters.
 func startFoundedCluster(t *testing.T, groups ...blackboard.GroupSpec) *harness.Cluster {
 	t.Helper()
 	c := harness.NewCluster(t, harness.Standard())
@@ -24,7 +24,7 @@
 	return c
 }
 
-// isolate cuts a node off from all other processes of the system, both ways.
+// isolate drops all traffic between a node and all other processes of the system, both ways.
 func isolate(c *harness.Cluster, cut *harness.Node) {
 	cut.Peers.Cut()
 	for _, n := range c.Nodes {
@@ -40,7 +40,7 @@
 	}
 }
 
-// newLeader waits for a leader other than the old one, asking the others.
+// newLeader waits until a control node other than old reports a leader other than old.
 func newLeader(t *testing.T, c *harness.Cluster, old *harness.Node) *harness.Node {
 	t.Helper()
 	var leader *harness.Node
@@ -94,10 +94,10 @@
 	return out
 }
 
-// Two operators put different presets in force, both made against the same
-// revision, and one of them loses the answer and sends again. Both believe
-// they won, or the resend undoes a later change. Cause: a change that is
-// applied without the revision it was made against, or anew under its own id.
+// Guards against two operators who both believe that their change was accepted, and against a
+// resend that undoes a later change. Either happens if a change is applied without a check of the
+// revision that it was based on, or applied a second time under its own id. The operators
+// change the preset at the same revision, and a winner sends its change again.
 func TestOperatorsRacingUnderOneRevisionGetOneWinner(t *testing.T) {
 	t.Parallel()
 	c := startFoundedCluster(t)
@@ -135,10 +135,9 @@
 	}
 }
 
-// The leader's VM stops (SIGSTOP) and wakes long after another has taken over
-// and operators have put another preset in force. It believes that it leads:
-// it would answer operators from its old board, accept a change, or give
-// entries a lease on the old preset.
+// Guards against a paused leader (SIGSTOP) that resumes after another leader has taken over and
+// operators have activated another preset. It still believes that it leads. It must not answer
+// operators from its old board, accept a change or grant entries a lease on the old preset.
 func TestPausedLeaderServesNoStaleStateAfterResume(t *testing.T) {
 	t.Parallel()
 	c := startFoundedCluster(t)
@@ -164,16 +163,16 @@
 			assert.Assert(t, !logContains(n, "configuration_never_reverts"))
 		}
 	}
-	harness.Await(t, "the old leader follows", func() bool {
+	harness.Await(t, "the old leader has the new configuration", func() bool {
 		config, err := readConfiguration(old)
 		return err == nil && config.Revision == revision
 	})
 }
 
-// A control VM that leads is cut off silently from all others for long; its
-// own operator and its own entry still reach it. Neither may be told anything
-// that the others have replaced, and a change must come into force although
-// the cut-off entry never hears of it.
+// Guards against stale answers from an isolated leader. A network partition silently isolates
+// the leading control VM for long, while its own operator and its own entry still reach it.
+// Neither may receive state that the other replicas have replaced. A change must come into
+// force although the isolated entry never receives it.
 func TestIsolatedLeaderRefusesOperatorsAndItsEntryStopsAdmitting(t *testing.T) {
 	t.Parallel()
 	c := startFoundedCluster(t)
@@ -187,11 +186,11 @@
 		return err == nil
 	})
 	awaitInForce(t, leader, revision)
-	assert.Assert(t, !old.Ready(), "in force everywhere, yet the cut-off entry admits")
+	assert.Assert(t, !old.Ready(), "the change is in force everywhere, but the isolated entry still admits requests")
 	_, err := readConfiguration(old)
-	assert.Assert(t, err != nil, "the cut-off leader answers an operator")
+	assert.Assert(t, err != nil, "the isolated leader answers an operator")
 	_, err = usePreset(old, "behind", 1, "maintenance")
-	assert.Assert(t, err != nil, "the cut-off leader takes a change")
+	assert.Assert(t, err != nil, "the isolated leader accepts a change")
 	heal(c)
 	harness.Await(t, "all entries ready again", func() bool {
 		for _, n := range c.Entries() {
@@ -201,15 +200,15 @@
 		}
 		return true
 	})
-	harness.Await(t, "one configuration everywhere", func() bool {
+	harness.Await(t, "the old leader has the new configuration", func() bool {
 		config, err := readConfiguration(old)
 		return err == nil && config.Revision == revision && config.ActivePreset == "peak"
 	})
 }
 
-// Every process is killed at once (a power cut) after a change was accepted.
-// What was accepted must be there when they come back, and entries must not
-// serve anything older.
+// Guards against the loss of an accepted change in a power cut. Every process is killed at once
+// after a change was accepted. After the restart the change must be there, and entries must
+// not serve an older configuration.
 func TestAcceptedChangeSurvivesAPowerCut(t *testing.T) {
 	t.Parallel()
 	c := startFoundedCluster(t)
@@ -236,10 +235,10 @@
 	}
 }
 
-// A control VM loses its disk and comes back empty; right after it has been
-// replaced a second one loses its disk. Under its old identity an empty replica
-// could vote twice and lose what was accepted. Nobody is there at night to
-// repair it.
+// Guards against the loss of accepted changes when control VMs lose their disks one after the
+// other. A replica that restarts empty under its old identity could vote twice. Each lost
+// replica must be replaced under a new identity without an operator, because nobody is present
+// at night.
 func TestLostDisksAreRepairedWithoutAnOperator(t *testing.T) {
 	t.Parallel()
 	c := startFoundedCluster(t)
@@ -251,7 +250,7 @@
 		n.Start()
 		awaitVoters(t, c, before)
 		after := voterIdentities(t, c)
-		assert.Assert(t, after[name] != before[name], "an empty disk came back under its old identity")
+		assert.Assert(t, after[name] != before[name], "the replica restarted with an empty disk under its old identity")
 		before = after
 		expect := uint64(1 + i)
 		harness.Await(t, "a change after the repair", func() bool {
@@ -261,6 +260,7 @@
 	}
 }
 
+// voterIdentities returns the replica id of every voter, keyed by its VM.
 func voterIdentities(t *testing.T, c *harness.Cluster) map[string]string {
 	t.Helper()
 	ids := map[string]string{}
@@ -277,8 +277,8 @@
 	return ids
 }
 
-// awaitVoters waits for three voters, one of them under an identity that is
-// not among the old ones if any are given.
+// awaitVoters waits for three voters. If old is not nil, at least one of the voters must have
+// an identity that is not in old.
 func awaitVoters(t *testing.T, c *harness.Cluster, old map[string]string) {
 	t.Helper()
 	harness.Await(t, "three voters", func() bool {
@@ -291,8 +291,8 @@
 	})
 }
 
-// The paths to one control VM lose one direction only, again and again, while
-// operators make changes: each is accepted once or refused, none is lost.
+// Guards against lost or doubly applied changes while the paths to one control VM drop one
+// direction only, again and again. Every change is accepted once or refused, and none is lost.
 func TestOneWayCutsLoseNoAcceptedChange(t *testing.T) {
 	t.Parallel()
 	c := startFoundedCluster(t)
@@ -312,7 +312,7 @@
 		revision++
 		n.Peers.Heal()
 	}
-	harness.Await(t, "all agree", func() bool {
+	harness.Await(t, "all control nodes have the same revision", func() bool {
 		for _, o := range controlNodes(c) {
 			if config, err := readConfiguration(o); err != nil || config.Revision != revision {
 				return false
