--- a/test/process/groups_test.go
+++ b/test/process/groups_test.go
@@ -12,8 +12,9 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// pairs is a founded cluster with groups of two VMs for the model "demo" and
-// so many engines in the domains.
+// startTwoVMGroups starts a bootstrapped cluster with the given number of groups of two VMs for
+// the model "demo". domains maps each fabric domain to its number of engines. The returned
+// map holds the engines by id.
 func startTwoVMGroups(t *testing.T, groups int, domains map[string]int, flags ...string) (*harness.Cluster, map[string]*harness.Standin) {
 	t.Helper()
 	c := startFoundedCluster(t, blackboard.GroupSpec{Name: "memos", Model: "demo", Replicas: groups, VMsPerReplica: 2, Worth: 10})
@@ -27,6 +28,7 @@
 	return c, engines
 }
 
+// awaitGroup waits until the group with this id exists and returns it.
 func awaitGroup(t *testing.T, c *harness.Cluster, id string) blackboard.Group {
 	t.Helper()
 	var found blackboard.Group
@@ -42,9 +44,9 @@
 	return found
 }
 
-// awaitServingAfter waits until a group serves that was formed after an epoch. A group
-// whose lost member stays silent keeps its slot until the member confirms its
-// release, so the new one may have another id.
+// awaitServingAfter waits until a group with an epoch later than the given one serves. A group
+// whose lost member stays silent keeps its slot until the member confirms its release, so
+// the new group may have another id.
 func awaitServingAfter(t *testing.T, c *harness.Cluster, epoch uint64) blackboard.Group {
 	t.Helper()
 	var found blackboard.Group
@@ -60,7 +62,8 @@
 	return found
 }
 
-// awaitTargetClosed waits until every entry has stopped routing to an epoch.
+// awaitTargetClosed waits until every running entry has logged that it no longer routes to the
+// group. offsets holds the log length of each entry from which the search starts.
 func awaitTargetClosed(t *testing.T, c *harness.Cluster, id string, offsets map[string]int) {
 	t.Helper()
 	for _, n := range c.Entries() {
@@ -73,6 +76,7 @@
 	}
 }
 
+// logOffsets returns the current log length of every entry, in bytes, by node name.
 func logOffsets(c *harness.Cluster) map[string]int {
 	offsets := map[string]int{}
 	for _, n := range c.Entries() {
@@ -81,9 +85,8 @@
 	return offsets
 }
 
-// checkOneHeadPerEpoch checks what engines ran: no run of an epoch began on a head
-// after the group's next epoch had begun to run elsewhere, and every run was
-// under an epoch that the blackboard gave to that very VM.
+// checkOneHeadPerEpoch checks that all runs of an epoch were on one head. seen holds the head
+// that each epoch is known to have run on, and gains the heads of runs.
 func checkOneHeadPerEpoch(t *testing.T, runs []standin.Run, seen map[uint64]string) {
 	t.Helper()
 	for _, r := range runs {
@@ -96,9 +99,9 @@
 	}
 }
 
-// A member of a serving group is killed (kill -9). Work sent to the group from
-// then on waits for tokens that never come. Every entry must stop routing to
-// the group, and a spare of the domain must take the member's place.
+// Guards against requests that wait for tokens from a group that has lost a member. A member of
+// a serving group is killed (SIGKILL). Every entry must stop routing to the group, and a spare
+// VM of the domain must replace the member.
 func TestKilledMemberEndsRoutingAndIsReplaced(t *testing.T) {
 	t.Parallel()
 	c, engines := startTwoVMGroups(t, 1, map[string]int{"d1": 3}, "-token-interval", "5ms")
@@ -115,14 +118,14 @@
 		awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: uniquePrompt("after the kill"), MaxTokens: 3})
 	}
 	for _, r := range c.Runs()[ran:] {
-		assert.Equal(t, r.Epoch, after.Epoch, "ran on a group with a member missing")
+		assert.Equal(t, r.Epoch, after.Epoch, "the request ran on a group with a missing member")
 	}
 	checkOneHeadPerEpoch(t, c.Runs(), map[uint64]string{})
 }
 
-// A member freezes (SIGSTOP) for long. Its group is given up and the spare
-// takes its place; then the member wakes and believes that it is still in the
-// old group. It must not be in two groups, and nothing may run in the old one.
+// Guards against a member that is paused (SIGSTOP) until its group is released and a spare VM has
+// replaced it. When the member resumes, it still believes that it belongs to the old group.
+// It must not be in two groups, and no request may run in the old group.
 func TestPausedMemberDoesNotReturnToItsOldGroup(t *testing.T) {
 	t.Parallel()
 	c, engines := startTwoVMGroups(t, 1, map[string]int{"d1": 3})
@@ -134,7 +137,7 @@
 	awaitServingAfter(t, c, before.Epoch)
 	ran := len(c.Runs())
 	frozen.Resume()
-	harness.Await(t, "the returned VM is free or in the new epoch", func() bool {
+	harness.Await(t, "the resumed VM is free or in the new epoch", func() bool {
 		s, err := c.Status()
 		if err != nil {
 			return false
@@ -148,11 +151,13 @@
 	})
 	awaitAnswer(t, c.Node("n4"), harness.Completion{Model: "demo", Prompt: uniquePrompt("after the return"), MaxTokens: 3})
 	for _, r := range c.Runs()[ran:] {
-		assert.Assert(t, r.Epoch != before.Epoch, "the old epoch ran after the new one served")
+		assert.Assert(t, r.Epoch != before.Epoch, "a request ran in the old epoch after the new epoch served")
 	}
 	assertAtMostOneGroupPerVM(t, c)
 }
 
+// assertAtMostOneGroupPerVM checks that no VM is a member of two groups that are neither
+// released nor broken.
 func assertAtMostOneGroupPerVM(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	s, err := c.Status()
@@ -169,9 +174,9 @@
 	}
 }
 
-// A whole fabric domain goes dark at once, and with it the leader of the
-// control replicas. The group is rebuilt in the other domain by the next
-// leader, in a later term.
+// Guards against a group that is not rebuilt when a complete fabric domain fails at once together
+// with the leader of the control replicas. The next leader, in a later term, must rebuild the
+// group in the other domain.
 func TestLossOfADomainAndTheLeaderTogether(t *testing.T) {
 	t.Parallel()
 	c, engines := startTwoVMGroups(t, 1, map[string]int{"d1": 2, "d2": 2})
@@ -191,8 +196,8 @@
 	assertAtMostOneGroupPerVM(t, c)
 }
 
-// A second VM is lost right after the repair of the first, on engines that
-// ignore fencing numbers, while the leader changes.
+// Guards against overlapping groups when a second VM is lost right after the repair of the first
+// loss, on engines that ignore fencing tokens, while the leader changes.
 func TestSecondLossRightAfterARepair(t *testing.T) {
 	t.Parallel()
 	c, engines := startTwoVMGroups(t, 1, map[string]int{"d1": 4}, "-fencing", "ignore")
@@ -213,8 +218,9 @@
 	checkOneHeadPerEpoch(t, c.Runs(), map[uint64]string{})
 }
 
-// One entry is cut off from its peers and hears of no backend server. It must
-// not make the leader tear groups down that all others hear of.
+// Guards against a leader that releases groups because its own entry is isolated. That entry
+// receives no announcements of backend servers and nothing from the other control nodes, while
+// all other entries still receive the announcements.
 func TestOneIsolatedEntryReleasesNoGroups(t *testing.T) {
 	t.Parallel()
 	c, _ := startTwoVMGroups(t, 2, map[string]int{"d1": 4})
