--- a/test/process/graceful_stop_test.go
+++ b/test/process/graceful_stop_test.go
@@ -13,8 +13,9 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// startRequests starts streams of about a second on an entry, waits until each has
-// begun on a backend server, and returns a function that waits for all.
+// startRequests starts count requests of about a second each on an entry, every other one
+// streamed. It waits until all have started on a backend server. The returned function waits
+// until all have completed, and checks that each ran once.
 func startRequests(t *testing.T, c *harness.Cluster, entry string, count int) (wait func()) {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -31,21 +32,20 @@
 		}()
 	}
 	for _, r := range requests {
-		harness.Await(t, "each is in flight", func() bool { return len(c.RunsOf(r.Prompt)) > 0 })
+		harness.Await(t, "the request is in flight", func() bool { return len(c.RunsOf(r.Prompt)) > 0 })
 	}
 	return func() {
 		t.Helper()
 		wg.Wait()
 		for _, r := range requests {
-			assert.Equal(t, len(c.RunsOf(r.Prompt)), 1, "run again: "+r.Prompt)
+			assert.Equal(t, len(c.RunsOf(r.Prompt)), 1, "the request ran more than once: "+r.Prompt)
 		}
 	}
 }
 
-// Drafts are cut off in the middle of a sentence whenever an entry is
-// upgraded. The platform sends SIGTERM to an entry with streams and plain
-// answers open: all must end whole, without a second run, and the process
-// with status 0.
+// Guards against answers that break off when an entry is upgraded. The platform sends SIGTERM to
+// an entry with open streams and plain answers. All must complete without a second run, and the
+// process must exit with status 0.
 func TestEntryShutdownCompletesOpenRequests(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "20ms")
@@ -56,7 +56,8 @@
 	assert.Equal(t, entry.Wait(20*time.Second), 0)
 }
 
-// The same with the process that leads the control replicas, itself an entry.
+// Guards against answers that break off, on any entry, when the control leader receives SIGTERM.
+// The leader is itself an entry.
 func TestControlLeaderShutdownCompletesOpenRequests(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "20ms")
@@ -71,8 +72,9 @@
 	awaitAnswer(t, other, harness.Completion{Model: "demo", Prompt: uniquePrompt("after"), MaxTokens: 2})
 }
 
-// An operator drains a group's VM for maintenance while it answers. What is in
-// flight must end there, and after a few seconds nothing new may begin there.
+// Guards against broken or new requests on a VM that an operator drains for maintenance while it
+// answers. Requests in flight must complete there, and after a few seconds no new request may
+// start there.
 func TestDrainedVMFinishesAndGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "20ms")
@@ -83,7 +85,8 @@
 	checkNoNewRequests(t, entry, engines[0])
 }
 
-// A backend server announces that it is leaving, as before its own upgrade.
+// Guards against broken or new requests on a backend server that announces that it is leaving,
+// as it does before its own upgrade.
 func TestLeavingEngineFinishesAndGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "20ms")
@@ -95,9 +98,10 @@
 	checkNoNewRequests(t, entry, engines[0])
 }
 
-// leaveDelay is after how long a leaving backend server gets no new work.
+// leaveDelay is the time after which a leaving backend server must receive no new requests.
 const leaveDelay = 5 * time.Second
 
+// checkNoNewRequests waits leaveDelay and checks that requests are answered without leaving.
 func checkNoNewRequests(t *testing.T, entry *harness.Node, leaving *harness.Standin) {
 	t.Helper()
 	time.Sleep(leaveDelay)
--- a/test/process/second_signal_test.go
+++ b/test/process/second_signal_test.go
@@ -13,16 +13,16 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// An operator stops an entry for maintenance, and one stream goes on for
-// minutes. The second signal must end the process at once, and its status must
-// say that work was cut off; so must the settings' limit, without a signal.
+// Guards against an entry that never stops because one stream goes on for minutes. A second
+// SIGTERM must end the process at once, with an exit status that reports requests cut off.
+// The drain limit in the settings must do the same without a second signal.
 func TestASecondSignalOrTheLimitEndsAStop(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name             string
 		drainMillis      int64
 		sendSecondSignal bool
-	}{{"second signal", 60_000, true}, {"limit", 1_000, false}} {
+	}{{"second signal", 60_000, true}, {"drain limit", 1_000, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			system, _ := startServingCluster(t, twoNodeSpec(func(s *settings.Settings) { s.Entry.DrainMillis = c.drainMillis }), 1, "-token-interval", "200ms")
 			entry := system.Node("n2")
@@ -37,13 +37,13 @@
 			}
 			assert.Equal(t, entry.Wait(30*time.Second), 3)
 			reply := <-done
-			assert.Assert(t, !reply.Whole, "a cut answer passed as whole")
+			assert.Assert(t, !reply.Whole, "a cut answer was accepted as complete")
 		})
 	}
 }
 
-// A job posts a body of megabytes, twelve times the limit. It must learn why
-// it is refused; a reset connection makes it send the same again.
+// Guards against a reset connection in place of a refusal when a body is far over the size limit:
+// 12 MiB, twelve times the limit. After a reset the caller would send the same body again.
 func TestABodyFarOverTheLimitIsAnswered(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, twoNodeSpec(func(*settings.Settings) {}), 1)
--- a/test/process/unread_log_test.go
+++ b/test/process/unread_log_test.go
@@ -11,9 +11,9 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// What gathers an entry's log hangs and reads nothing more. The pipe is full
-// after some seventy requests; if a line waited for its reader, each later request
-// would as well, and the process could not even be stopped. All requests must be
+// Guards against an entry that blocks on its own log. The collector of the log hangs, and the
+// pipe is full after some seventy requests. If writing a line waited for the reader, each later
+// request would wait too, and the process could not even be stopped. All requests must be
 // answered, and a stop must end the process.
 func TestAnEntryWhoseLogNobodyReadsAnswersAndStops(t *testing.T) {
 	t.Parallel()
@@ -33,5 +33,5 @@
 	assert.Equal(t, n.Wait(stopTimeout), 0)
 }
 
-// stopTimeout is how long a stop may take before the test calls it hung.
+// stopTimeout is the time after which the test takes a stop as hung.
 const stopTimeout = 60 * time.Second
