--- a/test/process/crashing_request_test.go
+++ b/test/process/crashing_request_test.go
@@ -11,11 +11,10 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// One ledger's exception summary crashes each engine that drafts it, and its
-// caller sends it again without end, to every entry: group after group goes
-// down, and with them everyone's drafts. After its second crash the request
-// must get its final answer everywhere, and all others, also those that ran
-// beside it, their whole answers.
+// Guards against a request that crashes each engine that runs it, while its caller resends it
+// to every entry: it would take down one group after the other, with all requests that run
+// there. After its second crash every entry must refuse the request finally. All other
+// requests, including those that ran beside it, must receive their complete answers.
 func TestRequestThatCrashesEnginesIsStopped(t *testing.T) {
 	t.Parallel()
 	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 3, "-token-interval", "5ms")
@@ -49,7 +48,7 @@
 		return reply.Refusal != nil && reply.Refusal.Type == failure.TypePoisoned
 	})
 	for _, n := range entries {
-		harness.Await(t, n.Spec.Name+" knows the crashing request", func() bool {
+		harness.Await(t, n.Spec.Name+" refuses the crashing request", func() bool {
 			reply := harness.Complete(t.Context(), n.Entry, poison)
 			return reply.Refusal != nil && reply.Refusal.Type == failure.TypePoisoned
 		})
@@ -65,8 +64,8 @@
 	assert.Assert(t, crashes <= 2, "%d engines crashed", crashes)
 }
 
-// retryUntilAnswered sends a request as callers do, until it is answered. No
-// unrelated request may be taken for the crashing one.
+// retryUntilAnswered resends a request until it is answered. An unrelated request must not be
+// refused as the crashing one.
 func retryUntilAnswered(t *testing.T, n *harness.Node, request harness.Completion) {
 	t.Helper()
 	harness.Await(t, "an answer for "+request.Prompt, func() bool {
--- a/test/process/random_run_test.go
+++ b/test/process/random_run_test.go
@@ -9,24 +9,24 @@
 	"github.com/citronstep/citronstep/test/workload"
 )
 
-// Callers resend without end while engines give bad answers, processes are
-// killed, frozen, cut off and stopped as planned. In the end no answer may be
-// lost, doubled, crossed or cut, nothing non-idempotent may have run twice, and
-// no "not run" may be false. Longer: go run ./test/soak -h.
+// Guards against lost, duplicated, mixed-up or cut answers, second runs of non-idempotent
+// requests, and false "not run" refusals. Callers resend without end while engines give bad
+// answers and processes are killed, paused, isolated and stopped by a seeded plan.
+// For longer runs see go run ./test/soak -h.
 func TestRandomRun(t *testing.T) {
 	t.Parallel()
 	checkRun(t, workload.Options{Seed: 1, Duration: 15 * time.Second, Callers: 8})
 }
 
-// Guards against answers that are wrong or missing while backend servers name rate limits.
+// Guards against wrong or missing answers while backend servers announce rate limits.
 func TestRandomRunWithRateLimits(t *testing.T) {
 	t.Parallel()
 	report := checkRun(t, workload.Options{Seed: 2, Duration: 15 * time.Second, Callers: 8, RateLimits: true})
 	assert.Assert(t, report.RateLimits > 0)
 }
 
-// Seeds that failed once, each with its cause. They run shorter here than by
-// command, where they run as they failed.
+// Repeats seeds that once failed, each with its cause. Here they run for a shorter time than in
+// ./test/soak, where they failed.
 func TestSeedsThatFailedOnce(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -34,7 +34,7 @@
 		cause string
 	}{
 		{305, "never ended: the proxy kept a delay that it could not take off a blocked connection"},
-		{306, "no leader for a minute: the soak took the disk of a second control VM before the first voted again"},
+		{306, "no leader for a minute: the soak deleted the data of a second control VM before the first voted again"},
 	} {
 		t.Run(c.cause, func(t *testing.T) {
 			checkRun(t, workload.Options{Seed: c.seed, Duration: 6 * time.Second, Callers: 4, Overlap: 3, Groups: 4})
--- a/test/process/refusals_test.go
+++ b/test/process/refusals_test.go
@@ -10,8 +10,8 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// expireLease cuts an entry from every control replica, and waits until its lease
-// has run out.
+// expireLease cuts an entry off from every control replica and waits until the entry's lease has
+// expired.
 func expireLease(t *testing.T, c *harness.Cluster, n *harness.Node) {
 	t.Helper()
 	for _, other := range c.Nodes {
@@ -20,16 +20,17 @@
 	harness.Await(t, n.Spec.Name+" has lost its lease", func() bool { return !n.Ready() })
 }
 
+// healPeers ends all cuts of the links between the nodes.
 func healPeers(c *harness.Cluster) {
 	for _, n := range c.Nodes {
 		n.Peers.Heal()
 	}
 }
 
-// A transfer note runs through one entry and its answer is lost. The terminal
-// resends it to an entry that is cut off from the control replicas, which
-// can't know of the first send. Told "not run", the terminal would make a
-// second note under a new key.
+// Guards against a false "not run" from an isolated entry. A non-idempotent request has run
+// through another entry. Its caller resends it to an entry that is cut off from the control
+// replicas and can't know of the first send. After "not run" the caller would send the
+// request under a new key, and it would run twice.
 func TestStaleEntryDoesNotSayThatAnEarlierSendDidNotRun(t *testing.T) {
 	c, _ := startServingCluster(t, harness.Standard(), 1)
 	request := harness.Completion{
@@ -52,8 +53,8 @@
 	assert.Equal(t, refused.Refusal.Ran, failure.RanNo, "%+v", refused.Refusal)
 }
 
-// The same with an entry that is stopping: the first send is under way on it
-// or on another when the resend arrives.
+// Guards against a false "not run" from a stopping entry when the request has run through
+// another entry.
 func TestStoppingEntryDoesNotSayThatAnEarlierSendDidNotRun(t *testing.T) {
 	c, _ := startServingCluster(t, harness.Standard(), 1, "-token-interval", "50ms")
 	stopping := c.Node("n4")
@@ -75,9 +76,9 @@
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// A caller whose key is good gets 401 and gives up, or is paged: the entry has
-// restarted while cut off from the control replicas and knows no workspace
-// yet. It must say that it is not ready and when to come back.
+// Guards against status 401 for a valid workspace key. The entry has restarted while cut off from
+// the control replicas, so it knows no workspace yet. It must refuse as not ready, with a
+// Retry-After: callers give up after 401.
 func TestRestartedIsolatedEntryDoesNotRejectValidKeys(t *testing.T) {
 	c, _ := startServingCluster(t, harness.Standard(), 1)
 	entry := c.Node("n4")
--- a/test/process/silent_connections_test.go
+++ b/test/process/silent_connections_test.go
@@ -11,10 +11,10 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// Lookups hang all afternoon while new connections work at once: a firewall
-// between entry and engines has lost track of the open connections. Requests
-// under way on them, and those that find them idle in the pool, must be
-// answered over new ones.
+// Guards against requests that hang on dead connections. A firewall between entry and engines
+// loses the state of the open connections and drops their packets, while new connections work.
+// Requests in flight on the dead connections, and requests that take an idle one from the pool,
+// must be answered over new connections.
 func TestSilentEngineConnectionsAreReplaced(t *testing.T) {
 	t.Parallel()
 	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "10ms")
@@ -35,8 +35,8 @@
 	startLookups(8)()
 	before := len(c.Runs())
 	wait := startLookups(4)
-	// The connections go silent in the middle of streams: before a stream's
-	// header the client's own deadline would find it.
+	// The test silences the connections in the middle of streams. Before a stream's
+	// header, the client's own header timeout would detect the dead connection.
 	harness.Await(t, "four streams run", func() bool { return len(c.Runs()) >= before+4 })
 	silenced := 0
 	for _, e := range engines {
@@ -47,8 +47,8 @@
 	startLookups(8)()
 }
 
-// The same with a plain service, whose answer has no keep-alives: a call on a
-// silent connection waits for its deadline. It must be the last one that does.
+// Guards against repeated time-outs on dead connections to a plain service, whose answers have no
+// keep-alives. A call on a dead connection waits until its deadline. No later call may do so.
 func TestSilentServiceConnectionsAreReplaced(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, twoNodeSpec(shortTimeouts), 1)
@@ -73,9 +73,9 @@
 	}
 }
 
-// Entries stop following the configuration though all is well: the connections
-// between the system's own processes have gone silent. A change must come into
-// force on every entry over new ones.
+// Guards against entries that stop following the configuration because the open connections
+// between the system's own processes drop all packets. A change must come into force on every
+// entry over new connections.
 func TestSilentConnectionsBetweenOwnProcessesAreReplaced(t *testing.T) {
 	t.Parallel()
 	c, _ := startServingCluster(t, harness.Standard(), 1)
