--- a/test/process/harness/build.go
+++ b/test/process/harness/build.go
@@ -39,12 +39,12 @@
 	// Without a wish of its own the run has few clusters at once: each is up to
 	// a dozen processes that must get their share of the machine.
 	if f := flag.Lookup("test.parallel"); f != nil && f.Value.String() == strconv.Itoa(runtime.GOMAXPROCS(0)) {
-		_ = f.Value.Set(strconv.Itoa(clustersAtOnce))
+		_ = f.Value.Set(strconv.Itoa(maxParallelClusters))
 	}
 	return m.Run()
 }
 
-const clustersAtOnce = 4
+const maxParallelClusters = 4
 
 // RemovePrograms removes the programs built by this process.
 func RemovePrograms() {
--- a/test/process/harness/caller.go
+++ b/test/process/harness/caller.go
@@ -66,11 +66,11 @@
 	if r.TimeoutMillis > 0 {
 		header.Set("Citronstep-Timeout-Ms", strconv.Itoa(r.TimeoutMillis))
 	}
-	read := readWhole
+	read := readCompletion
 	if r.Stream {
-		read = readStream
+		read = readCompletionStream
 	}
-	return exchange(ctx, http.MethodPost, "http://"+entry+"/v1/completions", header, body, read)
+	return roundTrip(ctx, http.MethodPost, "http://"+entry+"/v1/completions", header, body, read)
 }
 
 // ServiceRequest is a caller's call of a plain service.
@@ -96,7 +96,7 @@
 		header.Set("Citronstep-Timeout-Ms", strconv.Itoa(r.TimeoutMillis))
 	}
 	url := "http://" + entry + "/services/" + r.Service + r.Path
-	return exchange(ctx, r.Method, url, header, r.Body, readBody)
+	return roundTrip(ctx, r.Method, url, header, r.Body, readServiceAnswer)
 }
 
 func setIf(h http.Header, name, value string) {
@@ -105,7 +105,7 @@
 	}
 }
 
-func exchange(
+func roundTrip(
 	ctx context.Context, method, url string, header http.Header, body []byte, read func(*http.Response, *Reply),
 ) Reply {
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
@@ -116,7 +116,7 @@
 	}
 	request.Header = header
 	request.Header.Set("Authorization", "Bearer "+WorkspaceKey)
-	response, err := direct.Do(request)
+	response, err := noKeepAliveClient.Do(request)
 	if err != nil {
 		return Reply{Lost: err}
 	}
@@ -140,7 +140,7 @@
 	Error *failure.Error `json:"error"`
 }
 
-func readWhole(response *http.Response, reply *Reply) {
+func readCompletion(response *http.Response, reply *Reply) {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		reply.Lost = err
@@ -158,9 +158,9 @@
 	}
 }
 
-func readStream(response *http.Response, reply *Reply) {
+func readCompletionStream(response *http.Response, reply *Reply) {
 	if response.StatusCode != http.StatusOK {
-		readWhole(response, reply)
+		readCompletion(response, reply)
 		return
 	}
 	lines := bufio.NewScanner(response.Body)
@@ -193,9 +193,9 @@
 	}
 }
 
-// readBody takes an answer with the system's request id and a failure's shape
+// readServiceAnswer takes an answer with the system's request id and a failure's shape
 // for the system's own refusal.
-func readBody(response *http.Response, reply *Reply) {
+func readServiceAnswer(response *http.Response, reply *Reply) {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		reply.Lost = err
--- a/test/process/harness/cluster.go
+++ b/test/process/harness/cluster.go
@@ -91,14 +91,14 @@
 		backend:  c.write("backend.token", BackendToken),
 	}
 	path := Program(t, "citronstepd")
-	listens := make([]*settings.Settings, 0, len(spec.Nodes))
+	nodeSettings := make([]*settings.Settings, 0, len(spec.Nodes))
 	for _, n := range spec.Nodes {
-		node, s := c.prepare(n)
+		node, s := c.newNode(n)
 		c.Nodes = append(c.Nodes, node)
-		listens = append(listens, s)
+		nodeSettings = append(nodeSettings, s)
 	}
 	for i, node := range c.Nodes {
-		s := listens[i]
+		s := nodeSettings[i]
 		s.Peers.Control = c.controlPeers()
 		if spec.Adjust != nil {
 			spec.Adjust(s)
@@ -132,7 +132,7 @@
 	return out
 }
 
-func (c *Cluster) prepare(spec NodeSpec) (*Node, *settings.Settings) {
+func (c *Cluster) newNode(spec NodeSpec) (*Node, *settings.Settings) {
 	c.T.Helper()
 	folder := filepath.Join(c.folder, spec.Name)
 	if err := os.MkdirAll(folder, 0o700); err != nil {
@@ -156,11 +156,11 @@
 	s.Entry.BackendTokenFile = c.tokens.backend
 	s.Admin.TokenFile = c.tokens.admin
 	s.Peers.TokenFile = c.tokens.peer
-	c.addresses(node, s)
+	c.assignAddresses(node, s)
 	return node, s
 }
 
-func (c *Cluster) addresses(node *Node, s *settings.Settings) {
+func (c *Cluster) assignAddresses(node *Node, s *settings.Settings) {
 	name := node.Spec.Name
 	node.source = fmt.Sprintf("127.0.1.%d", len(c.Nodes)+1)
 	s.Peers.Listen = FreeAddressOn(c.T, node.source)
--- a/test/process/harness/link.go
+++ b/test/process/harness/link.go
@@ -48,23 +48,23 @@
 func (l *Link) Address() string { return l.relay.listener.Addr().String() }
 
 // Cut loses both directions of all connections, old and new.
-func (l *Link) Cut() { l.relay.setAll(drop{true, true}) }
+func (l *Link) Cut() { l.relay.setAll(droppedDirections{true, true}) }
 
 // CutOneWay loses one direction of all connections.
 func (l *Link) CutOneWay(d Direction) {
-	var lost drop
-	lost[d] = true
-	l.relay.setAll(lost)
+	var dropped droppedDirections
+	dropped[d] = true
+	l.relay.setAll(dropped)
 }
 
 // CutFrom loses both directions of one node's connections.
-func (l *Link) CutFrom(n *Node) { l.relay.setSource(n.source, drop{true, true}) }
+func (l *Link) CutFrom(n *Node) { l.relay.setSource(n.source, droppedDirections{true, true}) }
 
 // CutFromOneWay loses one direction of one node's connections.
 func (l *Link) CutFromOneWay(n *Node, d Direction) {
-	var lost drop
-	lost[d] = true
-	l.relay.setSource(n.source, lost)
+	var dropped droppedDirections
+	dropped[d] = true
+	l.relay.setSource(n.source, dropped)
 }
 
 // Delay holds up what is sent either way, each piece for so long; 0 ends it.
--- a/test/process/harness/operator.go
+++ b/test/process/harness/operator.go
@@ -20,9 +20,9 @@
 // operatorTimeout bounds one call of the admin API.
 const operatorTimeout = 10 * time.Second
 
-// direct makes a connection for each request, so that a request is sent once:
+// noKeepAliveClient makes a connection for each request, so that a request is sent once:
 // a reused connection that breaks would make net/http send it again.
-var direct = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+var noKeepAliveClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // WorkspaceKey is the key of the workspace "dev" that Found makes.
 const WorkspaceKey = "dev-key"
@@ -46,7 +46,7 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+AdminToken)
 	request.Header.Set("Content-Type", "application/json")
-	client := *direct
+	client := *noKeepAliveClient
 	client.Timeout = operatorTimeout
 	response, err := client.Do(request)
 	if err != nil {
@@ -58,12 +58,12 @@
 		return errors.Trace(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusalOf(response.StatusCode, data)
+		return parseRefusal(response.StatusCode, data)
 	}
 	return errors.Trace(json.Unmarshal(data, reply))
 }
 
-func refusalOf(status int, data []byte) error {
+func parseRefusal(status int, data []byte) error {
 	var refusal failure.Body
 	if json.Unmarshal(data, &refusal) == nil && refusal.Error != nil {
 		return refusal.Error
@@ -87,14 +87,14 @@
 	}
 	var reply adminapi.InitReply
 	var last error
-	node := c.firstControl()
+	node := c.firstRunningControl()
 	Await(c.T, "cluster is founded", func() bool {
 		last = Operate(node, http.MethodPost, adminapi.PathInit, adminapi.InitRequest{Initial: initial}, &reply)
 		return last == nil
 	})
 }
 
-func (c *Cluster) firstControl() *Node {
+func (c *Cluster) firstRunningControl() *Node {
 	for _, n := range c.Nodes {
 		if n.Spec.Control && n.Running() {
 			return n
@@ -125,7 +125,7 @@
 	c.T.Helper()
 	shown := ""
 	// Each new reason is noted, so that a change that is never accepted says why.
-	note := func(err error) {
+	logNewReason := func(err error) {
 		if err != nil && err.Error() != shown {
 			shown = err.Error()
 			c.T.Logf("change %s: %s", change.ChangeID, shown)
@@ -134,16 +134,16 @@
 	Await(c.T, "change "+change.ChangeID+" is accepted", func() bool {
 		status, err := c.Status()
 		if err != nil {
-			note(err)
+			logNewReason(err)
 			return false
 		}
 		change.Expect = status.ConfigRevision
 		var reply adminapi.ChangeReply
-		err = Operate(c.firstControl(), http.MethodPost, adminapi.PathConfiguration, change, &reply)
+		err = Operate(c.firstRunningControl(), http.MethodPost, adminapi.PathConfiguration, change, &reply)
 		if failure.Is(err, failure.TypeBadRequest) {
 			c.T.Fatalf("change %s: %v", change.ChangeID, err)
 		}
-		note(err)
+		logNewReason(err)
 		return err == nil
 	})
 }
@@ -178,7 +178,7 @@
 
 // Ready asks a node's entry whether its balancer may send callers.
 func (n *Node) Ready() bool {
-	client := *direct
+	client := *noKeepAliveClient
 	client.Timeout = operatorTimeout
 	response, err := client.Get("http://" + n.Entry + "/ready")
 	if err != nil {
--- a/test/process/harness/orphans_linux.go
+++ b/test/process/harness/orphans_linux.go
@@ -2,8 +2,8 @@
 
 import "syscall"
 
-// dieWithTest makes a process end with the test process, also when that one is
+// killedWithParent makes a process end with the test process, also when that one is
 // killed or runs out of its time and so never comes to its cleanups.
-func dieWithTest() *syscall.SysProcAttr {
+func killedWithParent() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
--- a/test/process/harness/orphans_other.go
+++ b/test/process/harness/orphans_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// dieWithTest has no counterpart here: processes outlive a killed test.
-func dieWithTest() *syscall.SysProcAttr { return nil }
+// killedWithParent has no counterpart here: processes outlive a killed test.
+func killedWithParent() *syscall.SysProcAttr { return nil }
--- a/test/process/harness/ports.go
+++ b/test/process/harness/ports.go
@@ -15,18 +15,18 @@
 // the block's first port for as long as it lives, so that two test processes
 // side by side never pick the same port between the look and the use.
 const (
-	firstPort = 15000
-	blockSize = 1600
-	blocks    = 11
-	loopback  = "127.0.0.1"
+	firstPort  = 15000
+	blockSize  = 1600
+	blockCount = 11
+	loopback   = "127.0.0.1"
 )
 
 var ports struct {
 	sync.Mutex
 	// held keeps the block; first is its first port.
-	held  net.Listener
-	first int
-	next  int
+	blockListener net.Listener
+	first         int
+	next          int
 }
 
 // FreeAddress returns an address on the loopback interface that nobody listens
@@ -41,8 +41,8 @@
 	t.Helper()
 	ports.Lock()
 	defer ports.Unlock()
-	if ports.held == nil && !holdBlock() {
-		t.Fatalf("no free block of ports: %d test processes run already", blocks)
+	if ports.blockListener == nil && !reserveBlock() {
+		t.Fatalf("no free block of ports: %d test processes run already", blockCount)
 	}
 	for range blockSize {
 		ports.next = ports.next%(blockSize-1) + 1
@@ -58,14 +58,14 @@
 	return ""
 }
 
-// holdBlock takes the first block that no other test process holds, beginning
+// reserveBlock takes the first block that no other test process holds, beginning
 // at one that depends on the process.
-func holdBlock() bool {
-	for i := range blocks {
-		first := firstPort + (os.Getpid()+i)%blocks*blockSize
+func reserveBlock() bool {
+	for i := range blockCount {
+		first := firstPort + (os.Getpid()+i)%blockCount*blockSize
 		held, err := net.Listen("tcp", net.JoinHostPort(loopback, strconv.Itoa(first)))
 		if err == nil {
-			ports.held, ports.first = held, first
+			ports.blockListener, ports.first = held, first
 			return true
 		}
 	}
--- a/test/process/harness/process.go
+++ b/test/process/harness/process.go
@@ -17,8 +17,8 @@
 	startTimeout = 30 * time.Second
 	// stopTimeout bounds the wait for the end of a killed process.
 	stopTimeout = 10 * time.Second
-	// logTail is how much of a process's log a failed test shows.
-	logTail = 6 << 10
+	// logTailBytes is how much of a process's log a failed test shows.
+	logTailBytes = 6 << 10
 )
 
 // Process is a process that this package started.
@@ -30,8 +30,8 @@
 	args    []string
 	logPath string
 
-	// unread makes the next start one whose standard output nobody reads.
-	unread bool
+	// stdoutUnread makes the next start one whose standard output nobody reads.
+	stdoutUnread bool
 
 	mu      sync.Mutex
 	command *exec.Cmd
@@ -60,12 +60,12 @@
 	command := exec.Command(p.path, p.args...)
 	stdout := &lineBuffer{}
 	command.Stdout = io.MultiWriter(stdout, log)
-	if p.unread {
-		command.Stdout = p.unreadPipe()
+	if p.stdoutUnread {
+		command.Stdout = p.newUnreadPipe()
 	}
 	command.Stderr = log
 	command.Env = append(os.Environ(), "CITRONSTEP_INVARIANTS_FATAL=1")
-	command.SysProcAttr = dieWithTest()
+	command.SysProcAttr = killedWithParent()
 	if err := command.Start(); err != nil {
 		_ = log.Close()
 		p.t.Fatalf("starting %s: %v", p.Name, err)
@@ -79,9 +79,9 @@
 
 // StopReading makes the process, from its next start on, one whose standard output
 // is a pipe that nobody reads. Its log holds nothing then but standard error.
-func (p *Process) StopReading() { p.unread = true }
+func (p *Process) StopReading() { p.stdoutUnread = true }
 
-func (p *Process) unreadPipe() *os.File {
+func (p *Process) newUnreadPipe() *os.File {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		p.t.Fatalf("pipe of %s: %v", p.Name, err)
@@ -197,7 +197,7 @@
 		return
 	}
 	text := p.Log()
-	p.t.Logf("end of the log of %s:\n%s", p.Name, text[max(0, len(text)-logTail):])
+	p.t.Logf("end of the log of %s:\n%s", p.Name, text[max(0, len(text)-logTailBytes):])
 }
 
 // lineBuffer gathers standard output.
@@ -216,9 +216,9 @@
 func (b *lineBuffer) lines() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	whole := strings.LastIndexByte(b.text.String(), '\n')
-	if whole < 0 {
+	lastNewline := strings.LastIndexByte(b.text.String(), '\n')
+	if lastNewline < 0 {
 		return nil
 	}
-	return strings.Split(b.text.String()[:whole], "\n")
+	return strings.Split(b.text.String()[:lastNewline], "\n")
 }
--- a/test/process/harness/relay.go
+++ b/test/process/harness/relay.go
@@ -16,8 +16,8 @@
 	Back
 )
 
-// drop says which bytes a relay throws away.
-type drop [2]bool
+// droppedDirections says which bytes a relay throws away.
+type droppedDirections [2]bool
 
 // relay passes connections on, and can lose one or both directions of all, of
 // one process's, or of the open connections. Lost bytes are read and thrown
@@ -29,16 +29,16 @@
 	listener net.Listener
 	wg       sync.WaitGroup
 
-	mu     sync.Mutex
-	all    drop
-	bySrc  map[string]drop
-	delay  time.Duration
-	conns  map[*relayed]struct{}
-	closed bool
+	mu       sync.Mutex
+	all      droppedDirections
+	bySource map[string]droppedDirections
+	delay    time.Duration
+	conns    map[*relayedConn]struct{}
+	closed   bool
 }
 
-// relayed is one connection through the relay.
-type relayed struct {
+// relayedConn is one connection through the relay.
+type relayedConn struct {
 	relay *relay
 	// source is the IP number that the connection comes from. Each node of a
 	// cluster has one of its own in the loopback range.
@@ -56,7 +56,7 @@
 	}
 	r := &relay{
 		upstream: upstream, listener: listener,
-		bySrc: map[string]drop{}, conns: map[*relayed]struct{}{},
+		bySource: map[string]droppedDirections{}, conns: map[*relayedConn]struct{}{},
 	}
 	r.wg.Add(1)
 	go r.accept()
@@ -83,11 +83,11 @@
 		return
 	}
 	defer func() { _ = server.Close() }()
-	c := &relayed{relay: r, source: sourceOf(client), ends: [2]net.Conn{client, server}}
-	if !r.enter(c) {
+	c := &relayedConn{relay: r, source: sourceOf(client), ends: [2]net.Conn{client, server}}
+	if !r.register(c) {
 		return
 	}
-	defer r.leave(c)
+	defer r.unregister(c)
 	back := make(chan struct{})
 	go func() {
 		defer close(back)
@@ -108,19 +108,19 @@
 // copy passes one direction on until either end closes, and closes both.
 // While the direction is lost it goes on reading, so that the sender sees a
 // connection that takes its bytes; the end of a lost connection is lost too.
-func (c *relayed) copy(d Direction) {
+func (c *relayedConn) copy(d Direction) {
 	from, to := c.ends[d], c.ends[1-d]
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if c.lost(d) {
+		if c.drops(d) {
 			if err != nil {
 				c.awaitHealed(d)
 				break
 			}
 			continue
 		}
-		time.Sleep(c.relay.delayed())
+		time.Sleep(c.relay.currentDelay())
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				break
@@ -136,17 +136,17 @@
 
 // awaitHealed keeps the far end of a lost connection open, as a partition
 // would, until the relay ends or the direction works again.
-func (c *relayed) awaitHealed(d Direction) {
-	for c.lost(d) && !c.relay.ended() {
+func (c *relayedConn) awaitHealed(d Direction) {
+	for c.drops(d) && !c.relay.isClosed() {
 		time.Sleep(pollInterval)
 	}
 }
 
-func (c *relayed) lost(d Direction) bool {
+func (c *relayedConn) drops(d Direction) bool {
 	r := c.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return c.silenced || r.all[d] || r.bySrc[c.source][d]
+	return c.silenced || r.all[d] || r.bySource[c.source][d]
 }
 
 func (r *relay) setDelay(d time.Duration) {
@@ -155,20 +155,20 @@
 	r.delay = d
 }
 
-// delayed returns how long bytes are held up before they are passed on.
-func (r *relay) delayed() time.Duration {
+// currentDelay returns how long bytes are held up before they are passed on.
+func (r *relay) currentDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.delay
 }
 
-func (r *relay) ended() bool {
+func (r *relay) isClosed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.closed
 }
 
-func (r *relay) enter(c *relayed) bool {
+func (r *relay) register(c *relayedConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -178,30 +178,30 @@
 	return true
 }
 
-func (r *relay) leave(c *relayed) {
+func (r *relay) unregister(c *relayedConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
 }
 
-func (r *relay) setAll(d drop) {
+func (r *relay) setAll(d droppedDirections) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all = d
 }
 
-func (r *relay) setSource(source string, d drop) {
+func (r *relay) setSource(source string, d droppedDirections) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.bySrc[source] = d
+	r.bySource[source] = d
 }
 
 // heal lets everything through again, but for silenced connections, whose
 // streams have holes by now: those end.
 func (r *relay) heal() {
 	r.mu.Lock()
-	r.all = drop{}
-	r.bySrc = map[string]drop{}
+	r.all = droppedDirections{}
+	r.bySource = map[string]droppedDirections{}
 	r.mu.Unlock()
 	r.closeConns()
 }
--- a/test/process/harness/relay_test.go
+++ b/test/process/harness/relay_test.go
@@ -47,18 +47,18 @@
 
 const (
 	// answerTimeout bounds the wait for an answer that must come, and
-	// silenceTime is how long one that must not come is awaited.
+	// silenceWindow is how long one that must not come is awaited.
 	answerTimeout = 20 * time.Second
-	silenceTime   = 150 * time.Millisecond
+	silenceWindow = 150 * time.Millisecond
 )
 
 // echoes tells whether a byte comes back.
-func echoes(t *testing.T, c net.Conn) bool { return comesBack(t, c, answerTimeout) }
+func echoes(t *testing.T, c net.Conn) bool { return echoesWithin(t, c, answerTimeout) }
 
-// silent tells that no byte comes back.
-func silent(t *testing.T, c net.Conn) bool { return !comesBack(t, c, silenceTime) }
+// isSilent tells that no byte comes back.
+func isSilent(t *testing.T, c net.Conn) bool { return !echoesWithin(t, c, silenceWindow) }
 
-func comesBack(t *testing.T, c net.Conn, within time.Duration) bool {
+func echoesWithin(t *testing.T, c net.Conn, within time.Duration) bool {
 	t.Helper()
 	_, err := c.Write([]byte("x"))
 	assert.NilError(t, err)
@@ -72,7 +72,7 @@
 	old := dial(t, l)
 	assert.Assert(t, echoes(t, old))
 	assert.Equal(t, l.Silence(), 1)
-	assert.Assert(t, silent(t, old))
+	assert.Assert(t, isSilent(t, old))
 	assert.Assert(t, echoes(t, dial(t, l)))
 }
 
@@ -83,24 +83,24 @@
 		"both ways":            l.Cut,
 		"forward":              func() { l.CutOneWay(Forward) },
 		"back":                 func() { l.CutOneWay(Back) },
-		"from this address":    func() { l.relay.setSource(loopback, drop{true, true}) },
-		"its answers, one way": func() { l.relay.setSource(loopback, drop{Back: true}) },
+		"from this address":    func() { l.relay.setSource(loopback, droppedDirections{true, true}) },
+		"its answers, one way": func() { l.relay.setSource(loopback, droppedDirections{Back: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cut()
-			assert.Assert(t, silent(t, dial(t, l)))
+			assert.Assert(t, isSilent(t, dial(t, l)))
 			l.Heal()
 			assert.Assert(t, echoes(t, dial(t, l)))
 		})
 	}
-	l.relay.setSource("127.0.9.9", drop{true, true})
+	l.relay.setSource("127.0.9.9", droppedDirections{true, true})
 	assert.Assert(t, echoes(t, dial(t, l)))
 }
 
 func TestToxicsAct(t *testing.T) {
 	l := NewLink(t, "echo", echoServer(t))
 	l.AddToxic(Toxic{Name: "stop", Type: "timeout", Attributes: map[string]int{"timeout": 0}})
-	assert.Assert(t, silent(t, dial(t, l)))
+	assert.Assert(t, isSilent(t, dial(t, l)))
 	l.ResetToxics()
 	assert.Assert(t, echoes(t, dial(t, l)))
 }
--- a/test/process/harness/standins.go
+++ b/test/process/harness/standins.go
@@ -90,7 +90,7 @@
 		s.t.Fatalf("fault of %s: %v", s.ID, err)
 	}
 	Await(s.t, s.ID+" takes its faults", func() bool {
-		response, err := direct.Post("http://"+s.Direct+standin.PathFaults, "application/json", bytes.NewReader(body))
+		response, err := noKeepAliveClient.Post("http://"+s.Direct+standin.PathFaults, "application/json", bytes.NewReader(body))
 		if err != nil {
 			return false
 		}
