--- a/test/process/at_most_once_test.go
+++ b/test/process/at_most_once_test.go
@@ -111,7 +111,8 @@
 	reply := <-first
 	assert.Assert(t, reply.Right(request), "%+v", reply)
 
-	// The entry that ran the request also caches the answer. Without that entry, only the record can answer.
+	// The entry that ran the request also caches the answer. Without that entry, only the record
+	// can answer.
 	entry.Kill()
 	again := resendUntilFinal(t, c, request)
 	assert.Assert(t, again.Right(request), "%+v", again)
