--- a/test/process/harness/doc.go
+++ b/test/process/harness/doc.go
@@ -1,10 +1,9 @@
-// Package harness starts the system's real processes for tests: the daemon,
-// the operators' tool and the stand-ins, each with its own settings file and
-// folder, with links between them that can be cut, slowed or made silent.
+// Package harness starts the system's real processes for tests: the daemon, the operators' tool
+// and the stand-ins. Each process has its own settings and folder. Links between the processes
+// can be cut, slowed or silenced.
 //
-// A Link is a relay of our own, which knows the process at the other end and
-// can cut one direction or silence single connections, in front of a
-// toxiproxy proxy, which delays, slows and resets. Processes are started, stopped and
-// signalled by the ids of those that this package started, and all end with
-// the test.
+// A Link is a relay followed by a toxiproxy proxy. The relay knows the node at the other end of
+// each connection, and can drop one direction or silence single connections. The proxy delays,
+// slows and resets. The package stops and signals only processes that it has started, by their
+// process ids, and all of them end with the test.
 package harness
--- a/test/process/harness/link.go
+++ b/test/process/harness/link.go
@@ -10,19 +10,19 @@
 )
 
 func init() {
-	// Toxiproxy logs each connection, and each one that a killed process refuses.
+	// Toxiproxy logs each connection, and each connection that a killed process refuses.
 	logrus.SetLevel(logrus.FatalLevel)
 }
 
-// Link leads to one process. Others are told the link's address in place of
-// the process's own.
+// Link forwards connections to one process. Other processes are given the link's address in
+// place of the process's own.
 type Link struct {
 	t     T
 	relay *relay
 	proxy *toxiproxy.Proxy
 }
 
-// NewLink starts a link to upstream.
+// NewLink starts a link to the address upstream. The link ends with the test.
 func NewLink(t T, name, upstream string) *Link {
 	t.Helper()
 	proxy := toxiproxy.NewProxy()
@@ -44,45 +44,45 @@
 	return &Link{t: t, relay: relay, proxy: proxy}
 }
 
-// Address returns the address under which others reach the process.
+// Address returns the address at which other processes connect to the link.
 func (l *Link) Address() string { return l.relay.listener.Addr().String() }
 
-// Cut loses both directions of all connections, old and new.
+// Cut drops both directions of all connections, existing and new.
 func (l *Link) Cut() { l.relay.setAll(droppedDirections{true, true}) }
 
-// CutOneWay loses one direction of all connections.
+// CutOneWay drops one direction of all connections, existing and new.
 func (l *Link) CutOneWay(d Direction) {
 	var dropped droppedDirections
 	dropped[d] = true
 	l.relay.setAll(dropped)
 }
 
-// CutFrom loses both directions of one node's connections.
+// CutFrom drops both directions of the connections that come from one node.
 func (l *Link) CutFrom(n *Node) { l.relay.setSource(n.source, droppedDirections{true, true}) }
 
-// CutFromOneWay loses one direction of one node's connections.
+// CutFromOneWay drops one direction of the connections that come from one node.
 func (l *Link) CutFromOneWay(n *Node, d Direction) {
 	var dropped droppedDirections
 	dropped[d] = true
 	l.relay.setSource(n.source, dropped)
 }
 
-// Delay holds up what is sent either way, each piece for so long; 0 ends it.
+// Delay holds back each piece of data by d, in both directions. 0 ends the delay.
 func (l *Link) Delay(d time.Duration) { l.relay.setDelay(d) }
 
-// Heal ends all cuts. Connections that were open are closed.
+// Heal ends all cuts and closes the connections that are open.
 func (l *Link) Heal() { l.relay.heal() }
 
-// Silence makes the open connections silent for good; new ones work. It
-// returns how many there were.
+// Silence drops all further data of the open connections for good. New connections work. It
+// returns the number of connections silenced.
 func (l *Link) Silence() int { return l.relay.silence() }
 
 // Reset closes all open connections.
 func (l *Link) Reset() { l.relay.closeConns() }
 
-// Toxic is one of toxiproxy's: "latency" with latency and jitter in
-// milliseconds, "bandwidth" with rate in KB a second, "timeout", "reset_peer",
-// "slicer", "limit_data".
+// Toxic is a fault of toxiproxy. Type is "latency" with the attributes latency and jitter in
+// milliseconds, "bandwidth" with rate in KB/s, "timeout", "reset_peer", "slicer" or
+// "limit_data".
 type Toxic struct {
 	Name       string         `json:"name"`
 	Type       string         `json:"type"`
@@ -91,8 +91,8 @@
 	Attributes map[string]int `json:"attributes"`
 }
 
-// AddToxic adds a toxic to the answers of the process, or, with Stream
-// "upstream", to what is sent to it.
+// AddToxic applies a toxic to the data that the process sends or, with Stream "upstream", to the
+// data sent to the process. A Toxicity of 0 stands for 1: all connections.
 func (l *Link) AddToxic(x Toxic) {
 	l.t.Helper()
 	if x.Toxicity == 0 {
--- a/test/process/harness/relay.go
+++ b/test/process/harness/relay.go
@@ -9,20 +9,19 @@
 // Direction is one of the two directions of a link.
 type Direction int
 
-// The directions: Forward is from the caller to the process that the link
-// leads to, Back is the other.
+// Forward is the direction from the connecting process to the process behind the link. Back is
+// the opposite direction.
 const (
 	Forward Direction = iota
 	Back
 )
 
-// droppedDirections says which bytes a relay throws away.
+// droppedDirections holds, by Direction, whether a relay drops the data.
 type droppedDirections [2]bool
 
-// relay passes connections on, and can lose one or both directions of all, of
-// one process's, or of the open connections. Lost bytes are read and thrown
-// away: neither end is told, as when a network partition or a middlebox loses
-// packets.
+// relay forwards connections. It can drop one or both directions of all connections or of one
+// node's connections, and silence the open connections. It reads dropped data and discards it,
+// without notice to either end, as a network partition or a middlebox does that drops packets.
 type relay struct {
 	upstream string
 
@@ -40,8 +39,8 @@
 // relayedConn is one connection through the relay.
 type relayedConn struct {
 	relay *relay
-	// source is the IP number that the connection comes from. Each node of a
-	// cluster has one of its own in the loopback range.
+	// source is the IP address that the connection comes from. Each node of a cluster has its own
+	// address in the loopback range.
 	source   string
 	silenced bool
 	ends     [2]net.Conn
@@ -97,6 +96,7 @@
 	<-back
 }
 
+// sourceOf returns the IP address of the connection's remote end.
 func sourceOf(c net.Conn) string {
 	host, _, err := net.SplitHostPort(c.RemoteAddr().String())
 	if err != nil {
@@ -105,9 +105,9 @@
 	return host
 }
 
-// copy passes one direction on until either end closes, and closes both.
-// While the direction is lost it goes on reading, so that the sender sees a
-// connection that takes its bytes; the end of a lost connection is lost too.
+// copy forwards one direction until either end closes, and then closes both ends. While the
+// direction is dropped, copy still reads, so that the sender sees a connection that accepts
+// its data. The close of a dropped connection is not forwarded either.
 func (c *relayedConn) copy(d Direction) {
 	from, to := c.ends[d], c.ends[1-d]
 	buffer := make([]byte, 32<<10)
@@ -134,14 +134,15 @@
 	_ = to.Close()
 }
 
-// awaitHealed keeps the far end of a lost connection open, as a partition
-// would, until the relay ends or the direction works again.
+// awaitHealed keeps the other end of a dropped connection open, as a partition does, until the
+// direction works again or the relay closes.
 func (c *relayedConn) awaitHealed(d Direction) {
 	for c.drops(d) && !c.relay.isClosed() {
 		time.Sleep(pollInterval)
 	}
 }
 
+// drops reports whether the relay now drops direction d of the connection.
 func (c *relayedConn) drops(d Direction) bool {
 	r := c.relay
 	r.mu.Lock()
@@ -155,7 +156,7 @@
 	r.delay = d
 }
 
-// currentDelay returns how long bytes are held up before they are passed on.
+// currentDelay returns how long the relay holds back each piece of data.
 func (r *relay) currentDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,6 +169,7 @@
 	return r.closed
 }
 
+// register adds a connection, and reports false if the relay is closed.
 func (r *relay) register(c *relayedConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,8 +198,7 @@
 	r.bySource[source] = d
 }
 
-// heal lets everything through again, but for silenced connections, whose
-// streams have holes by now: those end.
+// heal ends all cuts and silences, and closes all open connections: their streams may have gaps.
 func (r *relay) heal() {
 	r.mu.Lock()
 	r.all = droppedDirections{}
@@ -216,8 +217,8 @@
 	}
 }
 
-// silence loses all bytes of the open connections for good; new ones work.
-// It returns how many it has silenced.
+// silence drops all further data of the open connections for good. New connections work. It
+// returns the number of connections silenced.
 func (r *relay) silence() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/test/process/harness/relay_test.go
+++ b/test/process/harness/relay_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echoServer answers each connection with what it is sent.
+// echoServer returns the address of a server that sends all received data back.
 func echoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -46,16 +46,16 @@
 }
 
 const (
-	// answerTimeout bounds the wait for an answer that must come, and
-	// silenceWindow is how long one that must not come is awaited.
+	// answerTimeout bounds the wait for an echo that must come. silenceWindow is how long a test
+	// waits for an echo that must not come.
 	answerTimeout = 20 * time.Second
 	silenceWindow = 150 * time.Millisecond
 )
 
-// echoes tells whether a byte comes back.
+// echoes reports whether a byte comes back.
 func echoes(t *testing.T, c net.Conn) bool { return echoesWithin(t, c, answerTimeout) }
 
-// isSilent tells that no byte comes back.
+// isSilent reports whether no byte comes back within silenceWindow.
 func isSilent(t *testing.T, c net.Conn) bool { return !echoesWithin(t, c, silenceWindow) }
 
 func echoesWithin(t *testing.T, c net.Conn, within time.Duration) bool {
