--- a/test/process/harness/build.go
+++ b/test/process/harness/build.go
@@ -13,10 +13,10 @@
 	"github.com/juju/errors"
 )
 
-// modulePath is the path of the module whose programs are built.
+// modulePath is the path of the Go module that holds the programs under test.
 const modulePath = "github.com/citronstep/citronstep"
 
-// programs are the packages of the programs that tests start.
+// programs maps the name of each program that tests start to its package.
 var programs = map[string]string{
 	"citronstepd":        modulePath + "/cmd/citronstepd",
 	"citronstep":         modulePath + "/cmd/citronstep",
@@ -25,28 +25,30 @@
 
 var raceBuild = flag.Bool("process-race", false, "build the processes under test with the race detector")
 
+// builder holds the folder of built programs and the path of each program built so far.
 var builder = struct {
 	sync.Mutex
 	folder string
 	built  map[string]string
 }{built: map[string]string{}}
 
-// Main runs a package's tests and removes the programs that they built. A
-// TestMain calls it.
+// Main runs a package's tests and then removes the programs that the tests built. It is to be
+// called from TestMain.
 func Main(m *testing.M) int {
 	defer RemovePrograms()
 	flag.Parse()
-	// Without a wish of its own the run has few clusters at once: each is up to
-	// a dozen processes that must get their share of the machine.
+	// Unless -test.parallel was set, few clusters run at once: a cluster has up to
+	// a dozen processes, which need their share of the machine.
 	if f := flag.Lookup("test.parallel"); f != nil && f.Value.String() == strconv.Itoa(runtime.GOMAXPROCS(0)) {
 		_ = f.Value.Set(strconv.Itoa(maxParallelClusters))
 	}
 	return m.Run()
 }
 
+// maxParallelClusters is the default for -test.parallel in packages that start clusters.
 const maxParallelClusters = 4
 
-// RemovePrograms removes the programs built by this process.
+// RemovePrograms removes the programs that this test process has built.
 func RemovePrograms() {
 	builder.Lock()
 	defer builder.Unlock()
@@ -57,7 +59,7 @@
 	builder.built = map[string]string{}
 }
 
-// Program builds a program once and returns its path.
+// Program returns the path of a program and builds it on the first call.
 func Program(t T, name string) string {
 	t.Helper()
 	builder.Lock()
--- a/test/process/harness/orphans_linux.go
+++ b/test/process/harness/orphans_linux.go
@@ -2,8 +2,8 @@
 
 import "syscall"
 
-// killedWithParent makes a process end with the test process, also when that one is
-// killed or runs out of its time and so never comes to its cleanups.
+// killedWithParent returns attributes with which the kernel kills a child when the test process
+// ends. This covers a test process that is killed or times out and so runs no cleanups.
 func killedWithParent() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
--- a/test/process/harness/orphans_other.go
+++ b/test/process/harness/orphans_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// killedWithParent has no counterpart here: processes outlive a killed test.
+// killedWithParent returns nil: on other systems the children outlive a killed test process.
 func killedWithParent() *syscall.SysProcAttr { return nil }
--- a/test/process/harness/ports.go
+++ b/test/process/harness/ports.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// Ports come from below the range from which Linux takes the ports of outgoing
-// connections (32768 and up): a port of a process that a test has killed would
-// else be taken by someone's connection before the process is back.
+// Ports are below 32768, where Linux's range for the local ports of outgoing connections begins.
+// Otherwise an outgoing connection could take the port of a killed process before the process
+// restarts.
 //
-// They are dealt out in blocks. A test process holds its block by listening on
-// the block's first port for as long as it lives, so that two test processes
-// side by side never pick the same port between the look and the use.
+// Each test process allocates ports from a block of its own. It reserves the block by listening
+// on the block's first port until it ends. Otherwise two test processes that run at once could
+// pick the same port between the check that the port is free and its use.
 const (
 	firstPort  = 15000
 	blockSize  = 1600
@@ -23,20 +23,21 @@
 
 var ports struct {
 	sync.Mutex
-	// held keeps the block; first is its first port.
+	// blockListener reserves the block and first is the block's first port. next is the offset in
+	// the block of the port that was returned last.
 	blockListener net.Listener
 	first         int
 	next          int
 }
 
-// FreeAddress returns an address on the loopback interface that nobody listens
-// on and that no other call of this process has returned of late.
+// FreeAddress returns a loopback address that has no listener. It returns the same address again
+// only after all others of this process's block.
 func FreeAddress(t T) string {
 	t.Helper()
 	return FreeAddressOn(t, loopback)
 }
 
-// FreeAddressOn is FreeAddress on an IP number of the loopback range.
+// FreeAddressOn is FreeAddress for a given IP address of the loopback range.
 func FreeAddressOn(t T, host string) string {
 	t.Helper()
 	ports.Lock()
@@ -58,8 +59,8 @@
 	return ""
 }
 
-// reserveBlock takes the first block that no other test process holds, beginning
-// at one that depends on the process.
+// reserveBlock reserves the first block that no other test process has reserved. The search
+// starts at a block that depends on the process id.
 func reserveBlock() bool {
 	for i := range blockCount {
 		first := firstPort + (os.Getpid()+i)%blockCount*blockSize
--- a/test/process/harness/process.go
+++ b/test/process/harness/process.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// startTimeout bounds the wait for a process to say that it is ready.
+	// startTimeout bounds the wait for a process to report that it is ready.
 	startTimeout = 30 * time.Second
 	// stopTimeout bounds the wait for the end of a killed process.
 	stopTimeout = 10 * time.Second
-	// logTailBytes is how much of a process's log a failed test shows.
+	// logTailBytes is how much of the end of a process's log a failed test prints.
 	logTailBytes = 6 << 10
 )
 
-// Process is a process that this package started.
+// Process is a child process that this package started.
 type Process struct {
 	Name string
 
@@ -30,7 +30,7 @@
 	args    []string
 	logPath string
 
-	// stdoutUnread makes the next start one whose standard output nobody reads.
+	// stdoutUnread makes the next start attach standard output to a pipe that nobody reads.
 	stdoutUnread bool
 
 	mu      sync.Mutex
@@ -40,8 +40,8 @@
 	status  int
 }
 
-// StartProcess starts a program with its log in folder. The process is killed
-// when the test ends, and its log is shown if the test has failed.
+// StartProcess starts a program that logs to the file NAME.log in folder. When the test ends, the
+// process is killed, and the end of its log is printed if the test has failed.
 func StartProcess(t T, name, folder, path string, args ...string) *Process {
 	t.Helper()
 	p := &Process{Name: name, t: t, path: path, args: args, logPath: filepath.Join(folder, name+".log")}
@@ -50,7 +50,7 @@
 	return p
 }
 
-// Start starts the process, or starts it again after its end.
+// Start starts the process, or restarts it after its end.
 func (p *Process) Start() {
 	p.t.Helper()
 	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -77,8 +77,8 @@
 	go p.reap(command, log, done)
 }
 
-// StopReading makes the process, from its next start on, one whose standard output
-// is a pipe that nobody reads. Its log holds nothing then but standard error.
+// StopReading attaches standard output, from the next start on, to a pipe that nobody reads. The
+// log then receives standard error only.
 func (p *Process) StopReading() { p.stdoutUnread = true }
 
 func (p *Process) newUnreadPipe() *os.File {
@@ -93,6 +93,7 @@
 	return writer
 }
 
+// reap waits for the end of the process, keeps its exit status and closes done.
 func (p *Process) reap(command *exec.Cmd, log *os.File, done chan struct{}) {
 	_ = command.Wait()
 	_ = log.Close()
@@ -102,14 +103,14 @@
 	close(done)
 }
 
-// PID returns the id of the running process.
+// PID returns the process id.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.command.Process.Pid
 }
 
-// Running tells whether the process has not ended.
+// Running reports whether the process has not ended.
 func (p *Process) Running() bool {
 	select {
 	case <-p.ended():
@@ -119,6 +120,7 @@
 	}
 }
 
+// ended returns a channel that is closed when the process has ended.
 func (p *Process) ended() chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,7 +133,7 @@
 	_ = p.command.Process.Signal(s)
 }
 
-// Kill ends the process by SIGKILL and waits for its end.
+// Kill sends SIGKILL and waits for the end of the process.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	select {
@@ -141,20 +143,20 @@
 	}
 }
 
-// Pause stops the process by SIGSTOP.
+// Pause suspends the process by SIGSTOP.
 func (p *Process) Pause() { p.signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process by SIGCONT.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Terminate asks the process to end by SIGTERM, and does not wait.
+// Terminate sends SIGTERM and does not wait.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// Reload asks the process by SIGHUP to read its settings again.
+// Reload sends SIGHUP, on which the process reads its settings again.
 func (p *Process) Reload() { p.signal(syscall.SIGHUP) }
 
-// Wait waits for the end and returns the exit status, which is -1 for an end
-// by signal. The test fails when the process has not ended in time.
+// Wait waits for the end of the process and returns its exit status, which is -1 after an end by
+// signal. The test fails if the process has not ended within timeout.
 func (p *Process) Wait(timeout time.Duration) int {
 	p.t.Helper()
 	select {
@@ -167,13 +169,14 @@
 	return p.status
 }
 
-// Log returns all that the process has written.
+// Log returns everything that the process has written to its log since its first start.
 func (p *Process) Log() string {
 	text, _ := os.ReadFile(p.logPath)
 	return string(text)
 }
 
-// AwaitLines waits for so many lines on standard output and returns them.
+// AwaitLines waits until the process has printed count lines on standard output, and returns
+// all lines printed so far.
 func (p *Process) AwaitLines(count int) []string {
 	p.t.Helper()
 	deadline := time.Now().Add(startTimeout)
@@ -200,19 +203,20 @@
 	p.t.Logf("end of the log of %s:\n%s", p.Name, text[max(0, len(text)-logTailBytes):])
 }
 
-// lineBuffer gathers standard output.
+// lineBuffer collects standard output.
 type lineBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// Write gathers p.
+// Write implements io.Writer.
 func (b *lineBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
+// lines returns the complete lines written so far.
 func (b *lineBuffer) lines() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
