--- a/test/process/harness/caller.go
+++ b/test/process/harness/caller.go
@@ -17,10 +17,10 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// callerTimeout ends a call that the system neither answers nor refuses.
+// callerTimeout is the time after which a call fails that the system neither answers nor refuses.
 const callerTimeout = 90 * time.Second
 
-// Completion is a caller's request.
+// Completion is a completion request as a caller sends it.
 type Completion struct {
 	Model         string
 	Prompt        string
@@ -32,24 +32,25 @@
 	TimeoutMillis int
 }
 
-// Reply is what a caller got.
+// Reply is the result of a call as the caller received it.
 type Reply struct {
 	Status    int
 	RequestID string
-	// Text is the answer so far; Whole says that its end mark came.
+	// Text is the answer received so far. Whole reports that the answer is complete: its end mark
+	// has arrived.
 	Text  string
 	Whole bool
-	// Refusal is the system's typed refusal.
+	// Refusal is the typed error with which the system refused the request, or nil.
 	Refusal    *failure.Error
 	RetryAfter string
-	// Lost is the error of a connection that broke before the end.
+	// Lost is the error of a connection that broke before the end of the answer, or nil.
 	Lost error
-	// Header and Body are a plain service's answer.
+	// Header and Body are the answer of a plain service.
 	Header http.Header
 	Body   []byte
 }
 
-// Complete makes one call of POST /v1/completions on an entry's address.
+// Complete sends one POST /v1/completions to an entry's address.
 func Complete(ctx context.Context, entry string, r Completion) Reply {
 	body, err := json.Marshal(map[string]any{
 		"model": r.Model, "prompt": r.Prompt, "max_tokens": r.MaxTokens, "stream": r.Stream,
@@ -73,11 +74,11 @@
 	return roundTrip(ctx, http.MethodPost, "http://"+entry+"/v1/completions", header, body, read)
 }
 
-// ServiceRequest is a caller's call of a plain service.
+// ServiceRequest is a call to a plain service as a caller sends it.
 type ServiceRequest struct {
 	Service string
 	Method  string
-	// Path follows /services/NAME.
+	// Path is the part of the URL path after /services/NAME.
 	Path          string
 	Body          []byte
 	Key           string
@@ -85,7 +86,7 @@
 	TimeoutMillis int
 }
 
-// CallService makes one call of a plain service on an entry's address.
+// CallService sends one call of a plain service to an entry's address.
 func CallService(ctx context.Context, entry string, r ServiceRequest) Reply {
 	header := http.Header{}
 	setIf(header, "Idempotency-Key", r.Key)
@@ -105,6 +106,7 @@
 	}
 }
 
+// roundTrip sends one request with the workspace key and lets read fill in the rest of the reply.
 func roundTrip(
 	ctx context.Context, method, url string, header http.Header, body []byte, read func(*http.Response, *Reply),
 ) Reply {
@@ -131,7 +133,7 @@
 	return reply
 }
 
-// completionEvent is the part of an answer or event that a caller reads.
+// completionEvent is the part of a completion, or of a streamed event, that a caller evaluates.
 type completionEvent struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -140,6 +142,7 @@
 	Error *failure.Error `json:"error"`
 }
 
+// readCompletion reads an answer that is not streamed, or a refusal.
 func readCompletion(response *http.Response, reply *Reply) {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -158,6 +161,8 @@
 	}
 }
 
+// readCompletionStream reads the server-sent events of a streamed answer until the end mark, a
+// refusal or a broken connection.
 func readCompletionStream(response *http.Response, reply *Reply) {
 	if response.StatusCode != http.StatusOK {
 		readCompletion(response, reply)
@@ -193,8 +198,8 @@
 	}
 }
 
-// readServiceAnswer takes an answer with the system's request id and a failure's shape
-// for the system's own refusal.
+// readServiceAnswer reads the answer of a plain service. An error status with a failure body is
+// taken as the system's own refusal.
 func readServiceAnswer(response *http.Response, reply *Reply) {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -209,12 +214,12 @@
 	reply.Whole = reply.Refusal == nil
 }
 
-// Right tells whether the reply is the whole answer to the request.
+// Right reports whether the reply is the complete and expected answer to the request.
 func (r Reply) Right(request Completion) bool {
 	return r.Whole && r.Text == standin.ExpectedText(request.Prompt, request.MaxTokens)
 }
 
-// Echo decodes a plain service's answer.
+// Echo decodes the answer of a plain stand-in service.
 func (r Reply) Echo() (standin.ServiceEcho, error) {
 	var echo standin.ServiceEcho
 	err := json.Unmarshal(r.Body, &echo)
--- a/test/process/harness/cluster.go
+++ b/test/process/harness/cluster.go
@@ -19,7 +19,7 @@
 	BackendToken  = "backend-secret"
 )
 
-// NodeSpec asks for one daemon process.
+// NodeSpec specifies one daemon process and its roles.
 type NodeSpec struct {
 	Name       string
 	DataCentre string
@@ -27,15 +27,15 @@
 	Control    bool
 }
 
-// ClusterSpec asks for a cluster.
+// ClusterSpec specifies a cluster.
 type ClusterSpec struct {
 	Nodes []NodeSpec
-	// Adjust changes a node's settings before it starts.
+	// Adjust, if not nil, changes each node's settings before the node starts.
 	Adjust func(*settings.Settings)
 }
 
-// Standard is three control and entry processes in three data centres and one
-// entry-only process.
+// Standard returns a spec of three nodes with both control and entry, in three data centres, and
+// one entry-only node.
 func Standard() ClusterSpec {
 	return ClusterSpec{Nodes: []NodeSpec{
 		{Name: "n1", DataCentre: "dc1", Entry: true, Control: true},
@@ -45,19 +45,19 @@
 	}}
 }
 
-// Node is one daemon process.
+// Node is one daemon process with its addresses, links and folder.
 type Node struct {
 	*Process
 	Spec NodeSpec
-	// Entry is where callers connect, Admin where operators do; both past no
-	// link.
+	// Entry is the address for callers and Admin the one for operators. Neither passes through
+	// a link.
 	Entry string
 	Admin string
-	// Peers is the link that the other processes of the system use, and
-	// Announce the one that backend servers use.
+	// Peers is the link through which the system's other processes connect, and Announce the link
+	// through which backend servers connect.
 	Peers    *Link
 	Announce *Link
-	// source is the IP number that the node's calls to its peers come from.
+	// source is the IP address that the node's connections to its peers come from.
 	source string
 	// Folder holds the node's settings, log and data.
 	Folder string
@@ -66,7 +66,7 @@
 // DataFolder returns the folder of the node's durable state.
 func (n *Node) DataFolder() string { return filepath.Join(n.Folder, "data") }
 
-// LoseData removes the node's durable state. The process must not run.
+// LoseData deletes the node's durable state. The process must not be running.
 func (n *Node) LoseData() { _ = os.RemoveAll(n.DataFolder()) }
 
 // Cluster is a system under test.
@@ -80,7 +80,7 @@
 
 type tokenFiles struct{ admin, peer, announce, backend string }
 
-// NewCluster starts the daemons of spec. It does not found the cluster.
+// NewCluster starts the daemons of spec. It does not bootstrap the cluster: see Found.
 func NewCluster(t T, spec ClusterSpec) *Cluster {
 	t.Helper()
 	c := &Cluster{T: t, folder: t.TempDir()}
@@ -109,7 +109,7 @@
 	return c
 }
 
-// Node returns the node of that name.
+// Node returns the node with this name, and fails the test if there is none.
 func (c *Cluster) Node(name string) *Node {
 	c.T.Helper()
 	for _, n := range c.Nodes {
@@ -132,6 +132,8 @@
 	return out
 }
 
+// newNode returns a node with its folder and settings, not yet started. The control peers in its
+// settings are still missing.
 func (c *Cluster) newNode(spec NodeSpec) (*Node, *settings.Settings) {
 	c.T.Helper()
 	folder := filepath.Join(c.folder, spec.Name)
@@ -160,6 +162,8 @@
 	return node, s
 }
 
+// assignAddresses gives a node its listen addresses and starts the links to it. The settings
+// advertise the links' addresses, so that other processes connect through the links.
 func (c *Cluster) assignAddresses(node *Node, s *settings.Settings) {
 	name := node.Spec.Name
 	node.source = fmt.Sprintf("127.0.1.%d", len(c.Nodes)+1)
@@ -174,6 +178,7 @@
 	node.Admin = s.Admin.Listen
 }
 
+// controlPeers returns the addresses of the links to all control nodes.
 func (c *Cluster) controlPeers() []string {
 	var out []string
 	for _, n := range c.Nodes {
@@ -193,6 +198,7 @@
 	return c.write(filepath.Join(n.Spec.Name, "settings.toml"), string(body))
 }
 
+// write writes a file in the cluster's folder and returns its path.
 func (c *Cluster) write(name, text string) string {
 	c.T.Helper()
 	path := filepath.Join(c.folder, name)
--- a/test/process/harness/operator.go
+++ b/test/process/harness/operator.go
@@ -20,21 +20,21 @@
 // operatorTimeout bounds one call of the admin API.
 const operatorTimeout = 10 * time.Second
 
-// noKeepAliveClient makes a connection for each request, so that a request is sent once:
-// a reused connection that breaks would make net/http send it again.
+// noKeepAliveClient opens a connection for each request, so that each request is sent only once:
+// net/http resends a request when a reused connection breaks.
 var noKeepAliveClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// WorkspaceKey is the key of the workspace "dev" that Found makes.
+// WorkspaceKey is the key of the workspace "dev", which Found creates.
 const WorkspaceKey = "dev-key"
 
-// KeyHash is a workspace key as the configuration holds it.
+// KeyHash returns the hash of a workspace key in the form that the configuration holds.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Operate makes one call of the admin API on one node. A refusal is returned
-// as *failure.Error.
+// Operate sends one admin API call to a node and decodes the answer into reply. It returns a
+// refusal as *failure.Error.
 func Operate(n *Node, method, path string, body, reply any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -63,6 +63,8 @@
 	return errors.Trace(json.Unmarshal(data, reply))
 }
 
+// parseRefusal returns the failure in the body of an error response, or an internal failure if
+// the body holds none.
 func parseRefusal(status int, data []byte) error {
 	var refusal failure.Body
 	if json.Unmarshal(data, &refusal) == nil && refusal.Error != nil {
@@ -71,8 +73,8 @@
 	return failure.New(failure.TypeInternal, "status "+strconv.Itoa(status)+": "+string(data))
 }
 
-// Found founds the cluster with the workspace "dev", a preset "ordinary" in
-// force and one group spec.
+// Found bootstraps the cluster with the workspace "dev", the active preset "ordinary" and the
+// given group specs.
 func (c *Cluster) Found(groups ...blackboard.GroupSpec) {
 	c.T.Helper()
 	initial := blackboard.ConfigChange{
@@ -104,8 +106,7 @@
 	return nil
 }
 
-// Status returns the state of the system by the first control process that
-// answers.
+// Status returns the system's status from the first control node that answers.
 func (c *Cluster) Status() (adminapi.Status, error) {
 	var last error
 	for _, n := range c.Nodes {
@@ -120,11 +121,12 @@
 	return adminapi.Status{}, last
 }
 
-// Change makes a configuration change against the newest revision.
+// Change makes a configuration change on top of the newest revision. It repeats the change until
+// the change is accepted, and fails the test if the change is malformed.
 func (c *Cluster) Change(change blackboard.ConfigChange) {
 	c.T.Helper()
 	shown := ""
-	// Each new reason is noted, so that a change that is never accepted says why.
+	// Each new error is logged, so that the log explains a change that is never accepted.
 	logNewReason := func(err error) {
 		if err != nil && err.Error() != shown {
 			shown = err.Error()
@@ -148,7 +150,7 @@
 	})
 }
 
-// AwaitGroups waits until so many serving groups of a model serve.
+// AwaitGroups waits until at least count serving groups of a model are in state serving.
 func (c *Cluster) AwaitGroups(model string, count int) {
 	c.T.Helper()
 	Await(c.T, strconv.Itoa(count)+" groups of "+model+" serve", func() bool {
@@ -166,7 +168,7 @@
 	})
 }
 
-// AwaitReady waits until every entry that runs is ready.
+// AwaitReady waits until every running entry is ready.
 func (c *Cluster) AwaitReady() {
 	c.T.Helper()
 	for _, n := range c.Entries() {
@@ -176,7 +178,7 @@
 	}
 }
 
-// Ready asks a node's entry whether its balancer may send callers.
+// Ready reports whether the node's entry answers its load balancer's health check as ready.
 func (n *Node) Ready() bool {
 	client := *noKeepAliveClient
 	client.Timeout = operatorTimeout
--- a/test/process/harness/runs_test.go
+++ b/test/process/harness/runs_test.go
@@ -12,8 +12,9 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// A test said that a memo's second run began anew. It was the first: runs came
-// in the order of the stand-ins, and the first group's engine was named last.
+// Guards against runs that are listed in the order of the stand-ins instead of their start times.
+// A test then took the first run of a request for the second, because the stand-in that ran it
+// first came last in the list.
 func TestRunsComeInTheOrderInWhichTheyStarted(t *testing.T) {
 	folder := t.TempDir()
 	at := time.Now()
--- a/test/process/harness/standins.go
+++ b/test/process/harness/standins.go
@@ -14,27 +14,26 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// Standin is one stand-in process: one engine, or one instance of a plain
-// service.
+// Standin is a stand-in process: one engine, or one instance of a plain service.
 type Standin struct {
 	*Process
 	ID string
-	// Link is what the system and other engines connect through; Direct is
-	// the stand-in's own address.
+	// Link is the link through which the system and other engines connect. Direct is the
+	// stand-in's own address.
 	Link   *Link
 	Direct string
 	t      T
 	runs   string
 }
 
-// StartEngine starts an engine as a process. flags are those of
-// citronstep-standin.
+// StartEngine starts an engine as a process. flags are command-line flags of citronstep-standin.
 func (c *Cluster) StartEngine(id, domain string, flags ...string) *Standin {
 	c.T.Helper()
 	return c.startStandin(id, append([]string{"-fabric-domain", domain}, flags...))
 }
 
-// StartEngines starts engines named PREFIX-1, PREFIX-2, ... in one domain.
+// StartEngines starts engines with the ids PREFIX-1, PREFIX-2, ... in one fabric domain. The
+// number is one digit, so count is at most nine.
 func (c *Cluster) StartEngines(count int, prefix, domain string, flags ...string) []*Standin {
 	c.T.Helper()
 	var out []*Standin
@@ -74,6 +73,7 @@
 	return s
 }
 
+// announceAddresses returns the addresses of the links on which entries receive announcements.
 func (c *Cluster) announceAddresses() []string {
 	var out []string
 	for _, n := range c.Entries() {
@@ -82,14 +82,15 @@
 	return out
 }
 
-// Fault posts a fault order to the stand-in, when it is back from a crash.
+// Fault posts a fault order to the stand-in. It repeats the order until the stand-in accepts it,
+// so that the order also reaches a stand-in that restarts after a crash.
 func (s *Standin) Fault(o standin.FaultOrder) {
 	s.t.Helper()
 	body, err := json.Marshal(o)
 	if err != nil {
 		s.t.Fatalf("fault of %s: %v", s.ID, err)
 	}
-	Await(s.t, s.ID+" takes its faults", func() bool {
+	Await(s.t, s.ID+" accepts the fault order", func() bool {
 		response, err := noKeepAliveClient.Post("http://"+s.Direct+standin.PathFaults, "application/json", bytes.NewReader(body))
 		if err != nil {
 			return false
@@ -99,8 +100,8 @@
 	})
 }
 
-// Runs returns the runs of all the process's lives, each with its last known
-// state, in the order of their starts.
+// Runs returns the runs since the first start of the process, each in its last recorded state, in
+// the order of their starts. Restarts don't clear them.
 func (s *Standin) Runs() []standin.Run {
 	file, err := os.Open(s.runs)
 	if err != nil {
@@ -127,8 +128,8 @@
 	return out
 }
 
-// Runs returns the runs of all stand-ins in the order in which they started;
-// all stand-ins read one machine's clock.
+// Runs returns the runs of all stand-ins in the order of their start times. All stand-ins read
+// the clock of the same machine.
 func (c *Cluster) Runs() []standin.Run {
 	var out []standin.Run
 	for _, s := range c.Standins {
@@ -138,7 +139,7 @@
 	return out
 }
 
-// RunsOf returns the runs of one piece of work: a prompt, or a body's hash.
+// RunsOf returns the runs of one request, identified by its prompt or by the hash of its body.
 func (c *Cluster) RunsOf(work string) []standin.Run {
 	var out []standin.Run
 	for _, run := range c.Runs() {
--- a/test/process/harness/t.go
+++ b/test/process/harness/t.go
@@ -1,7 +1,7 @@
 package harness
 
-// T is the part of testing.TB that the harness needs, so that a command can
-// start processes too.
+// T is the part of testing.TB that the harness uses. A command can implement it to start processes
+// outside of a test.
 type T interface {
 	Helper()
 	Fatalf(format string, args ...any)
--- a/test/process/harness/tool.go
+++ b/test/process/harness/tool.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Tool runs the operators' tool against all control processes and returns its
-// output and exit status.
+// Tool runs the operators' tool with the addresses of all control nodes and returns its output and
+// exit status.
 func (c *Cluster) Tool(args ...string) (output string, status int) {
 	c.T.Helper()
 	var admins []string
@@ -25,7 +25,7 @@
 	return string(out), command.ProcessState.ExitCode()
 }
 
-// Document writes a configuration document and returns its path.
+// Document writes a configuration document to a file and returns the file's path.
 func (c *Cluster) Document(name, text string) string {
 	c.T.Helper()
 	return c.write(filepath.Clean(name), text)
