--- a/test/failover/failover_test.go
+++ b/test/failover/failover_test.go
@@ -34,7 +34,7 @@
 	return 1
 }
 
-func cluster(t *testing.T) *harness.Cluster {
+func startCluster(t *testing.T) *harness.Cluster {
 	t.Helper()
 	c := harness.NewCluster(t, harness.Standard())
 	c.Found(blackboard.GroupSpec{Name: "memos", Model: "demo", Replicas: 1, VMsPerReplica: 2, Worth: 10})
@@ -57,7 +57,7 @@
 	})
 }
 
-func leader(t *testing.T, c *harness.Cluster) *harness.Node {
+func awaitLeader(t *testing.T, c *harness.Cluster) *harness.Node {
 	t.Helper()
 	var found *harness.Node
 	harness.Await(t, "a leader", func() bool {
@@ -72,8 +72,8 @@
 	return found
 }
 
-// report prints the least, median and greatest of the times.
-func report(t *testing.T, what string, times []time.Duration) {
+// logTimes prints the least, median and greatest of the times.
+func logTimes(t *testing.T, what string, times []time.Duration) {
 	t.Helper()
 	slices.Sort(times)
 	ms := func(d time.Duration) int64 { return d.Milliseconds() }
@@ -81,7 +81,7 @@
 		what, len(times), ms(times[0]), ms(times[len(times)/2]), ms(times[len(times)-1]))
 }
 
-func answers(n *harness.Node) bool {
+func answersReads(n *harness.Node) bool {
 	var config blackboard.Configuration
 	return harness.Operate(n, http.MethodGet, adminapi.PathConfiguration, nil, &config) == nil
 }
@@ -90,15 +90,15 @@
 // operator's read, which it does only as a leader that has committed in its
 // own term, or through one.
 func TestTimeToANewLeader(t *testing.T) {
-	c := cluster(t)
+	c := startCluster(t)
 	var times []time.Duration
 	for range rounds() {
-		old := leader(t, c)
+		old := awaitLeader(t, c)
 		old.Kill()
 		began := time.Now()
 		harness.Await(t, "an answer", func() bool {
 			for _, n := range c.Nodes {
-				if n != old && n.Spec.Control && answers(n) {
+				if n != old && n.Spec.Control && answersReads(n) {
 					return true
 				}
 			}
@@ -107,44 +107,44 @@
 		times = append(times, time.Since(began))
 		old.Start()
 		awaitVoters(t, c)
-		harness.Await(t, "the old leader is back", func() bool { return answers(old) })
+		harness.Await(t, "the old leader is back", func() bool { return answersReads(old) })
 	}
-	report(t, "leader killed, to a new leader's answer", times)
+	logTimes(t, "leader killed, to a new leader's answer", times)
 }
 
 // From the kill of a member until the last entry has closed its group, and
 // until a group with a spare serves.
 func TestTimeFromMemberLoss(t *testing.T) {
-	c := cluster(t)
+	c := startCluster(t)
 	engines := map[string]*harness.Standin{}
 	for _, e := range c.StartEngines(3, "vm", "d1") {
 		engines[e.ID] = e
 	}
 	var closed, repaired []time.Duration
 	for round := range rounds() {
-		g := serving(t, c, 0)
+		g := awaitServingGroup(t, c, 0)
 		awaitRouted(t, c, g.ID)
-		marks := map[string]int{}
+		offsets := map[string]int{}
 		for _, n := range c.Entries() {
-			marks[n.Spec.Name] = len(n.Log())
+			offsets[n.Spec.Name] = len(n.Log())
 		}
 		lost := engines[g.Members[1].VM]
 		lost.Kill()
 		began := time.Now()
-		later := serving(t, c, g.Epoch)
+		later := awaitServingGroup(t, c, g.Epoch)
 		repaired = append(repaired, time.Since(began))
 		assert.Assert(t, later.Epoch > g.Epoch)
-		closed = append(closed, lastClosed(t, c, g.ID, marks).Sub(began))
+		closed = append(closed, lastClosed(t, c, g.ID, offsets).Sub(began))
 		// A VM that flaps is left out longer each time, so a new one comes.
 		spare := "spare" + strconv.Itoa(round)
 		engines[spare] = c.StartEngine(spare, "d1")
-		harness.Await(t, "the new VM is free", func() bool { return free(c, spare) })
+		harness.Await(t, "the new VM is free", func() bool { return isFree(c, spare) })
 	}
-	report(t, "member killed, to the last entry's end of routing", closed)
-	report(t, "member killed, to a repaired group in service", repaired)
+	logTimes(t, "member killed, to the last entry's end of routing", closed)
+	logTimes(t, "member killed, to a repaired group in service", repaired)
 }
 
-func serving(t *testing.T, c *harness.Cluster, after uint64) blackboard.Group {
+func awaitServingGroup(t *testing.T, c *harness.Cluster, after uint64) blackboard.Group {
 	t.Helper()
 	var found blackboard.Group
 	harness.Await(t, "a group serves", func() bool {
@@ -171,7 +171,7 @@
 	}
 }
 
-func free(c *harness.Cluster, vm string) bool {
+func isFree(c *harness.Cluster, vm string) bool {
 	s, err := c.Status()
 	for _, v := range s.VMs {
 		if v.ID == vm && err == nil {
@@ -183,12 +183,12 @@
 
 // lastClosed returns when the last entry closed the group, by the time in the
 // entries' own logs; all run on one machine.
-func lastClosed(t *testing.T, c *harness.Cluster, id string, marks map[string]int) time.Time {
+func lastClosed(t *testing.T, c *harness.Cluster, id string, offsets map[string]int) time.Time {
 	t.Helper()
 	var last time.Time
 	for _, n := range c.Entries() {
 		at := time.Time{}
-		for _, line := range strings.Split(n.Log()[marks[n.Spec.Name]:], "\n") {
+		for _, line := range strings.Split(n.Log()[offsets[n.Spec.Name]:], "\n") {
 			if at.IsZero() && strings.Contains(line, "event=target_closed target="+id) {
 				stamp, _, _ := strings.Cut(strings.TrimPrefix(line, "ts="), " ")
 				var err error
@@ -207,33 +207,33 @@
 // From an accepted change until it is reported in force: with all entries
 // reachable, and with one behind a cut, whose lease has to run out first.
 func TestTimeToInForceWithAnEntryCutOff(t *testing.T) {
-	c := cluster(t)
+	c := startCluster(t)
 	cut := c.Node("n4")
-	var reachable, behind []time.Duration
+	var reachable, withEntryCut []time.Duration
 	for round := range rounds() {
-		reachable = append(reachable, inForce(t, c, "r"+strconv.Itoa(round)))
+		reachable = append(reachable, timeToInForce(t, c, "r"+strconv.Itoa(round)))
 		cut.Peers.Cut()
 		for _, n := range c.Nodes {
 			if n != cut {
 				n.Peers.CutFrom(cut)
 			}
 		}
-		behind = append(behind, inForce(t, c, "c"+strconv.Itoa(round)))
+		withEntryCut = append(withEntryCut, timeToInForce(t, c, "c"+strconv.Itoa(round)))
 		assert.Assert(t, !cut.Ready(), "in force everywhere, yet the cut-off entry admits")
 		for _, n := range c.Nodes {
 			n.Peers.Heal()
 		}
 		harness.Await(t, "the entry is back", cut.Ready)
 	}
-	report(t, "accepted to in force, all entries reachable", reachable)
-	report(t, "accepted to in force, one entry behind a cut", behind)
+	logTimes(t, "accepted to in force, all entries reachable", reachable)
+	logTimes(t, "accepted to in force, one entry behind a cut", withEntryCut)
 }
 
-func inForce(t *testing.T, c *harness.Cluster, id string) time.Duration {
+func timeToInForce(t *testing.T, c *harness.Cluster, id string) time.Duration {
 	t.Helper()
 	status, err := c.Status()
 	assert.NilError(t, err)
-	on := leader(t, c)
+	on := awaitLeader(t, c)
 	change := blackboard.ConfigChange{ChangeID: id, Expect: status.ConfigRevision, UsePreset: "peak"}
 	var reply adminapi.ChangeReply
 	assert.NilError(t, harness.Operate(on, http.MethodPost, adminapi.PathConfiguration, change, &reply))
@@ -249,7 +249,7 @@
 // From the loss of the quorum until the last entry refuses: the price of the
 // lease.
 func TestTimeFromLostQuorumToRefusal(t *testing.T) {
-	c := cluster(t)
+	c := startCluster(t)
 	var times []time.Duration
 	for range min(rounds(), 5) {
 		lost := []*harness.Node{c.Node("n1"), c.Node("n2")}
@@ -267,5 +267,5 @@
 		awaitVoters(t, c)
 		c.AwaitReady()
 	}
-	report(t, "quorum lost, to the last entry's refusal", times)
+	logTimes(t, "quorum lost, to the last entry's refusal", times)
 }
--- a/test/overhead/overhead_test.go
+++ b/test/overhead/overhead_test.go
@@ -1,5 +1,5 @@
 // Package overhead measures what an entry adds to a request, against the same
-// request sent straight to the stand-in engine, in one run.
+// request sent direct to the stand-in engine, in one run.
 //
 //	go test ./test/overhead -run TestOverhead -v -args -measure
 //
@@ -45,14 +45,14 @@
 	openStreams        int
 }
 
-func size() sizes {
+func currentSizes() sizes {
 	if *measure {
 		return sizes{1500, 20, 24, 40, 1000, 1000}
 	}
 	return sizes{5, 5, 2, 2, 20, 10}
 }
 
-type rig struct {
+type testSystem struct {
 	t       *testing.T
 	c       *harness.Cluster
 	entry   *harness.Node
@@ -60,9 +60,9 @@
 	client  *backend.HTTPClient
 }
 
-const engines = 8
+const engineCount = 8
 
-func newRig(t *testing.T, interval string) *rig {
+func newTestSystem(t *testing.T, interval string) *testSystem {
 	t.Helper()
 	spec := harness.ClusterSpec{
 		Nodes: []harness.NodeSpec{{Name: "n1", DataCentre: "dc1", Entry: true, Control: true}},
@@ -71,15 +71,15 @@
 			s.Log.Level = "warn"
 		},
 	}
-	r := &rig{t: t, c: harness.NewCluster(t, spec)}
+	r := &testSystem{t: t, c: harness.NewCluster(t, spec)}
 	r.entry = r.c.Nodes[0]
-	r.c.Found(blackboard.GroupSpec{Name: "memos", Model: "demo", Replicas: engines, VMsPerReplica: 1})
-	r.engines = r.c.StartEngines(engines, "vm", "d1", "-token-interval", interval, "-slots", "1000", "-queue-limit", "1000")
-	r.c.AwaitGroups("demo", engines)
+	r.c.Found(blackboard.GroupSpec{Name: "memos", Model: "demo", Replicas: engineCount, VMsPerReplica: 1})
+	r.engines = r.c.StartEngines(engineCount, "vm", "d1", "-token-interval", interval, "-slots", "1000", "-queue-limit", "1000")
+	r.c.AwaitGroups("demo", engineCount)
 	r.client = backend.NewHTTPClient(backend.Options{Secret: harness.BackendToken, HeaderTimeout: time.Minute})
 	t.Cleanup(r.client.Close)
 	harness.Await(t, "the entry answers", func() bool {
-		_, err := r.throughEntry("ready", 1, nil)
+		_, err := r.sendThroughEntry("ready", 1, nil)
 		return err == nil
 	})
 	return r
@@ -91,14 +91,14 @@
 	gaps  []time.Duration
 }
 
-func (r *rig) throughEntry(prompt string, tokens int, seen func()) (times, error) {
+func (r *testSystem) sendThroughEntry(prompt string, tokens int, onFirstToken func()) (times, error) {
 	body, _ := json.Marshal(map[string]any{"model": "demo", "prompt": prompt, "max_tokens": tokens, "stream": true})
 	request, err := http.NewRequest(http.MethodPost, "http://"+r.entry.Entry+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		return times{}, err
 	}
 	request.Header.Set("Authorization", "Bearer "+harness.WorkspaceKey)
-	w := newWatch(seen)
+	w := newTokenTimer(onFirstToken)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return times{}, err
@@ -111,7 +111,7 @@
 		case line == "data: [DONE]":
 			whole = true
 		case strings.HasPrefix(line, "data: ") && !strings.Contains(line, `"finish_reason":"`):
-			w.token()
+			w.recordToken()
 		}
 	}
 	if !whole || w.count != tokens {
@@ -124,8 +124,8 @@
 
 // direct sends to the engine of a group past the entry, on the same protocol
 // that the entry speaks.
-func (r *rig) direct(g blackboard.Group, prompt string, tokens int) (times, error) {
-	w := newWatch(nil)
+func (r *testSystem) sendDirect(g blackboard.Group, prompt string, tokens int) (times, error) {
+	w := newTokenTimer(nil)
 	stream, err := r.client.Generate(context.Background(), g.Members[0].Address, backend.Generation{
 		Attempt: "direct-" + strconv.FormatInt(attempts.Add(1), 10), Group: g.ID, Epoch: g.Epoch, Model: "demo",
 		Prompt: prompt, MaxTokens: tokens,
@@ -143,30 +143,30 @@
 			return times{}, err
 		}
 		if !token.End && !token.KeepAlive {
-			w.token()
+			w.recordToken()
 		}
 	}
 }
 
-type watch struct {
+type tokenTimer struct {
 	times
-	began, last time.Time
-	count       int
-	seen        func()
+	began, last  time.Time
+	count        int
+	onFirstToken func()
 }
 
-func newWatch(seen func()) *watch {
+func newTokenTimer(onFirstToken func()) *tokenTimer {
 	now := time.Now()
-	return &watch{began: now, last: now, seen: seen}
+	return &tokenTimer{began: now, last: now, onFirstToken: onFirstToken}
 }
 
-func (w *watch) token() {
+func (w *tokenTimer) recordToken() {
 	now := time.Now()
 	w.count++
 	if w.count == 1 {
 		w.first = now.Sub(w.began)
-		if w.seen != nil {
-			w.seen()
+		if w.onFirstToken != nil {
+			w.onFirstToken()
 		}
 	} else {
 		w.gaps = append(w.gaps, now.Sub(w.last))
@@ -179,85 +179,85 @@
 	return hdrhistogram.New(1, maxMicros, digits)
 }
 
-type side struct{ first, gap *hdrhistogram.Histogram }
+type latencies struct{ first, gap *hdrhistogram.Histogram }
 
-func (s side) add(x times) {
+func (s latencies) add(x times) {
 	_ = s.first.RecordValue(x.first.Microseconds())
 	for _, g := range x.gaps {
 		_ = s.gap.RecordValue(g.Microseconds())
 	}
 }
 
-func (s side) line(name string) string {
+func (s latencies) summary(name string) string {
 	return fmt.Sprintf("%-8s first token median %6d us, 95th %6d us; between tokens median %6d us, 95th %6d us",
 		name, s.first.ValueAtQuantile(50), s.first.ValueAtQuantile(95), s.gap.ValueAtQuantile(50), s.gap.ValueAtQuantile(95))
 }
 
 func TestOverhead(t *testing.T) {
-	n := size()
-	r := newRig(t, "2ms")
+	n := currentSizes()
+	r := newTestSystem(t, "2ms")
 	status, err := r.c.Status()
 	assert.NilError(t, err)
-	entry, straight := side{histogram(), histogram()}, side{histogram(), histogram()}
+	entry, direct := latencies{histogram(), histogram()}, latencies{histogram(), histogram()}
 	for i := range n.requests {
-		x, err := r.throughEntry("entry "+strconv.Itoa(i), n.tokens, nil)
+		x, err := r.sendThroughEntry("entry "+strconv.Itoa(i), n.tokens, nil)
 		assert.NilError(t, err)
 		entry.add(x)
-		x, err = r.direct(status.Groups[i%len(status.Groups)], "direct "+strconv.Itoa(i), n.tokens)
+		x, err = r.sendDirect(status.Groups[i%len(status.Groups)], "direct "+strconv.Itoa(i), n.tokens)
 		assert.NilError(t, err)
-		straight.add(x)
+		direct.add(x)
 	}
-	t.Log(straight.line("direct"))
-	t.Log(entry.line("entry"))
+	t.Log(direct.summary("direct"))
+	t.Log(entry.summary("entry"))
 }
 
 func TestThroughput(t *testing.T) {
-	n := size()
-	r := newRig(t, "0s")
-	before, began := cpu(t, r.entry), time.Now()
+	n := currentSizes()
+	r := newTestSystem(t, "0s")
+	before, began := cpuTime(t, r.entry), time.Now()
 	var wait sync.WaitGroup
 	for caller := range n.throughputCallers {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			for i := range n.throughputRequests {
-				_, err := r.throughEntry(fmt.Sprintf("load %d %d", caller, i), n.throughputTokens, nil)
+				_, err := r.sendThroughEntry(fmt.Sprintf("load %d %d", caller, i), n.throughputTokens, nil)
 				assert.Check(t, err == nil, "%v", err)
 			}
 		}()
 	}
 	wait.Wait()
-	took, used := time.Since(began), cpu(t, r.entry)-before
+	took, used := time.Since(began), cpuTime(t, r.entry)-before
 	total := float64(n.throughputCallers * n.throughputRequests * n.throughputTokens)
 	t.Logf("long answers: %.0f tokens in %v, entry used %v: %.0f tokens a second of one core", total, took, used, total/used.Seconds())
 
-	before = cpu(t, r.entry)
+	before = cpuTime(t, r.entry)
 	short := n.throughputCallers * n.throughputRequests
 	for i := range short {
-		_, err := r.throughEntry("short "+strconv.Itoa(i), 1, nil)
+		_, err := r.sendThroughEntry("short "+strconv.Itoa(i), 1, nil)
 		assert.NilError(t, err)
 	}
-	used = cpu(t, r.entry) - before
+	used = cpuTime(t, r.entry) - before
 	t.Logf("short answers: %d requests of 1 token, entry used %v: %.0f requests a second of one core", short, used, float64(short)/max(used.Seconds(), 0.01))
 }
 
 func TestOpenStreams(t *testing.T) {
-	n := size()
-	r := newRig(t, "300ms")
-	before := memory(t, r.entry)
+	n := currentSizes()
+	r := newTestSystem(t, "300ms")
+	before := residentKB(t, r.entry)
 	var wait, open sync.WaitGroup
 	for i := range n.openStreams {
 		wait.Add(1)
 		open.Add(1)
 		go func() {
 			defer wait.Done()
-			_, err := r.throughEntry("open "+strconv.Itoa(i), 40, open.Done)
+			_, err := r.sendThroughEntry("open "+strconv.Itoa(i), 40, open.Done)
 			assert.Check(t, err == nil, "%v", err)
 		}()
 	}
 	open.Wait()
-	during := memory(t, r.entry)
-	r.profile("heap")
+	during := residentKB(t, r.entry)
+	r.saveProfile("heap")
 	t.Logf("%d open streams: memory %d KB before, %d KB with them: %.1f KB a stream",
 		n.openStreams, before, during, float64(during-before)/float64(n.openStreams))
 	wait.Wait()
@@ -265,7 +265,7 @@
 
 // profile keeps a profile of the entry's process in the folder that the
 // environment names, if any.
-func (r *rig) profile(name string) {
+func (r *testSystem) saveProfile(name string) {
 	folder := os.Getenv("CITRONSTEP_PROFILES")
 	if folder == "" {
 		return
@@ -282,7 +282,7 @@
 }
 
 // cpu returns the processor time that a process has used.
-func cpu(t *testing.T, n *harness.Node) time.Duration {
+func cpuTime(t *testing.T, n *harness.Node) time.Duration {
 	t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.PID()))
 	assert.NilError(t, err)
@@ -295,7 +295,7 @@
 }
 
 // memory returns a process's resident memory in KB.
-func memory(t *testing.T, n *harness.Node) int {
+func residentKB(t *testing.T, n *harness.Node) int {
 	t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.PID()))
 	assert.NilError(t, err)
--- a/test/soak/main.go
+++ b/test/soak/main.go
@@ -25,14 +25,14 @@
 	overlap := flag.Int("overlap", 2, "how many faults go on side by side")
 	groups := flag.Int("groups", 3, "number of serving groups, of two engines each")
 	limits := flag.Bool("rate-limits", false, "backend servers name rate limits beside the faults")
-	keep := flag.Bool("logs", false, "show the end of each process's log when a run fails")
+	showLogs := flag.Bool("logs", false, "show the end of each process's log when a run fails")
 	flag.Parse()
 	status := 0
 	for i := range *runs {
 		o := workload.Options{
 			Seed: *seed + uint64(i), Duration: *duration, Callers: *callers, Overlap: *overlap, Groups: *groups, RateLimits: *limits,
 		}
-		if !one(o, *keep) {
+		if !runOnce(o, *showLogs) {
 			status = 1
 		}
 	}
@@ -40,8 +40,8 @@
 	os.Exit(status)
 }
 
-func one(o workload.Options, logs bool) bool {
-	t := &runner{logs: logs}
+func runOnce(o workload.Options, showLogs bool) bool {
+	t := &runner{showLogs: showLogs}
 	report := t.run(func() workload.Report { return workload.Run(t, o) })
 	fmt.Printf("seed %d: %d works, %d sends: %d whole, %d not run, %d unknown, %d lost; %d runs; %d faults; %d rate limits taken in; %d violations\n",
 		o.Seed, report.Works, report.Sends, report.Whole, report.NotRun, report.Unknown, report.Lost,
--- a/test/soak/runner.go
+++ b/test/soak/runner.go
@@ -11,7 +11,7 @@
 
 // runner is a harness.T outside of a test.
 type runner struct {
-	logs     bool
+	showLogs bool
 	failed   atomic.Bool
 	cleanups []func()
 }
@@ -54,7 +54,7 @@
 
 // Logf shows logs of processes, if asked for.
 func (r *runner) Logf(format string, args ...any) {
-	if r.logs {
+	if r.showLogs {
 		fmt.Printf(format+"\n", args...)
 	}
 }
--- a/test/standin/cmd/citronstep-standin/flags.go
+++ b/test/standin/cmd/citronstep-standin/flags.go
@@ -96,7 +96,7 @@
 	set.BoolVar(&x.IgnoreCancel, "fault-ignore-cancel", false, "run on after a cancel")
 	set.BoolVar(&x.FullQueue, "fault-full-queue", false, "refuse all work as busy")
 	set.Func("fault-lost-members", "comma-separated `VMs` not heard", func(s string) error {
-		x.LostMembers = list(s)
+		x.LostMembers = splitList(s)
 		return nil
 	})
 	set.Func("fault-stream", "cut, crossed, doubled, skipped, short, malformed, overlong, stalled or late",
@@ -110,7 +110,7 @@
 	set.IntVar(&x.Stream.Answers, "fault-stream-answers", 0, "only so many answers")
 }
 
-func (f *flags) count() int {
+func (f *flags) standinCount() int {
 	switch {
 	case f.weightStore != "":
 		return 1
@@ -121,7 +121,7 @@
 	}
 }
 
-func (f *flags) store() standin.WeightStoreOptions {
+func (f *flags) weightStoreOptions() standin.WeightStoreOptions {
 	return standin.WeightStoreOptions{
 		Listen: f.weightStore, BytesPerSecond: f.bytesPerSecond, ModelBytes: f.modelBytes,
 	}
@@ -130,20 +130,20 @@
 func (f *flags) commonOptions(i int, r *standin.Recorder, l log.Logger) standin.Common {
 	c := f.common
 	c.ID = f.idPrefix + "-" + strconv.Itoa(i)
-	if names := list(f.names); i < len(names) {
+	if names := splitList(f.names); i < len(names) {
 		c.ID = names[i]
 	}
 	c.Listen = f.listen(i)
-	if advertised := list(f.advertise); i < len(advertised) {
+	if advertised := splitList(f.advertise); i < len(advertised) {
 		c.Advertise = advertised[i]
 	}
-	c.Entries = list(f.announce)
+	c.Entries = splitList(f.announce)
 	c.Secret = readSecret(f.secretFile)
 	c.AnnounceSecret = readSecret(f.announceSecretFile)
 	c.Recorder = r
 	c.Logger = l
 	if f.crashExit {
-		c.OnCrash = func() { os.Exit(crashStatus) }
+		c.OnCrash = func() { os.Exit(exitCrash) }
 	}
 	return c
 }
@@ -152,7 +152,7 @@
 	o := f.engine
 	o.Common = f.commonOptions(i, r, l)
 	o.Fencing = standin.Fencing(f.fencing)
-	o.Weights = list(f.weights)
+	o.Weights = splitList(f.weights)
 	return o
 }
 
@@ -178,12 +178,12 @@
 	if err != nil {
 		// Without its secret the stand-in would take calls from anyone.
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(usageStatus)
+		os.Exit(exitUsage)
 	}
 	return strings.TrimSpace(string(secret))
 }
 
-func list(s string) []string {
+func splitList(s string) []string {
 	if s == "" {
 		return nil
 	}
--- a/test/standin/cmd/citronstep-standin/main.go
+++ b/test/standin/cmd/citronstep-standin/main.go
@@ -25,17 +25,17 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// usageStatus is the exit status for a faulty command line.
-const usageStatus = 2
+// exitUsage is the exit status for a faulty command line.
+const exitUsage = 2
 
-// crashStatus is the exit status of a process that a fault crashed.
-const crashStatus = 3
+// exitCrash is the exit status of a process that a fault crashed.
+const exitCrash = 3
 
 func main() {
 	logger := level.NewFilter(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), level.AllowInfo())
 	f, err := parseFlags(os.Args[1:])
 	if err != nil {
-		os.Exit(usageStatus)
+		os.Exit(exitUsage)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -55,16 +55,16 @@
 	}
 	var running []closer
 	defer func() {
-		for _, one := range running {
-			one.Close()
+		for _, s := range running {
+			s.Close()
 		}
 	}()
-	for i := range f.count() {
-		one, err := f.startOne(ctx, i, recorder, logger)
+	for i := range f.standinCount() {
+		started, err := f.startStandin(ctx, i, recorder, logger)
 		if err != nil {
 			return err
 		}
-		running = append(running, one)
+		running = append(running, started)
 	}
 	<-ctx.Done()
 	return nil
@@ -82,10 +82,10 @@
 	return standin.NewRecorder(sink), nil
 }
 
-func (f *flags) startOne(ctx context.Context, i int, r *standin.Recorder, l log.Logger) (closer, error) {
+func (f *flags) startStandin(ctx context.Context, i int, r *standin.Recorder, l log.Logger) (closer, error) {
 	switch {
 	case f.weightStore != "":
-		store, err := standin.StartWeightStore(ctx, f.store())
+		store, err := standin.StartWeightStore(ctx, f.weightStoreOptions())
 		if err != nil {
 			return nil, err
 		}
--- a/test/tool/tool_test.go
+++ b/test/tool/tool_test.go
@@ -24,22 +24,22 @@
 	exitConflict = 3
 	exitNotFound = 4
 	// example is the document that the README founds a cluster with.
-	example = "../../examples/one-machine/configuration.toml"
-	exact   = "-exact"
+	example   = "../../examples/one-machine/configuration.toml"
+	exactFlag = "-exact"
 )
 
-// founded starts a cluster with the README's configuration and four engines.
-func founded(t *testing.T) *harness.Cluster {
+// startClusterWithEngines starts a cluster with the README's configuration and four engines.
+func startClusterWithEngines(t *testing.T) *harness.Cluster {
 	t.Helper()
 	c := harness.NewCluster(t, harness.Standard())
-	must(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
+	runTool(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
 	c.StartEngines(4, "engine", "rack-1", "-load-time", "50ms", "-token-interval", "2ms")
-	must(t, c, exitOK, "group", "wait", "demo", "-form-wait", "60s")
+	runTool(t, c, exitOK, "group", "wait", "demo", "-form-wait", "60s")
 	c.AwaitReady()
 	return c
 }
 
-func must(t *testing.T, c *harness.Cluster, want int, args ...string) string {
+func runTool(t *testing.T, c *harness.Cluster, want int, args ...string) string {
 	t.Helper()
 	out, status := c.Tool(args...)
 	assert.Equal(t, status, want, "citronstep %s: %s", strings.Join(args, " "), out)
@@ -53,7 +53,7 @@
 	return s.ConfigRevision
 }
 
-func entries(c *harness.Cluster) string {
+func entryAddresses(c *harness.Cluster) string {
 	var all []string
 	for _, n := range c.Entries() {
 		all = append(all, n.Entry)
@@ -65,27 +65,27 @@
 // are at work. No caller may get anything but its whole answer, and the tool
 // may say "drained" only when the VM's row holds no group.
 func TestDrainUnderLoad(t *testing.T) {
-	c := founded(t)
-	must(t, c, exitOK, "diff", example)
-	must(t, c, exitOK, "preset", "use", "peak")
-	must(t, c, exitNotFound, "preset", "use", "festival")
+	c := startClusterWithEngines(t)
+	runTool(t, c, exitOK, "diff", example)
+	runTool(t, c, exitOK, "preset", "use", "peak")
+	runTool(t, c, exitNotFound, "preset", "use", "festival")
 
 	var load sync.WaitGroup
 	load.Go(func() {
-		out, status := c.Tool("load", "-entries", entries(c), "-key", "dev", "-model", "demo", exact,
+		out, status := c.Tool("load", "-entries", entryAddresses(c), "-key", "dev", "-model", "demo", exactFlag,
 			"-count", "300", "-concurrency", "4", "-max-tokens", "40", "-retries", "20")
 		assert.Check(t, is.Equal(status, exitOK), out)
 		assert.Check(t, is.Contains(out, "ok=300"), out)
 	})
-	out := must(t, c, exitOK, "drain", "vm", "engine-1")
+	out := runTool(t, c, exitOK, "drain", "vm", "engine-1")
 	assert.Assert(t, is.Contains(out, "vm engine-1 is drained"))
-	status := decodeStatus(t, must(t, c, exitOK, "status", "-json"))
+	status := decodeStatus(t, runTool(t, c, exitOK, "status", "-json"))
 	for _, v := range status.VMs {
 		assert.Assert(t, v.ID != "engine-1" || v.Group == "", "engine-1 still holds %s", v.Group)
 	}
 	load.Wait()
-	must(t, c, exitOK, "undrain", "vm", "engine-1")
-	must(t, c, exitOK, "group", "wait", "demo", "-form-wait", "60s")
+	runTool(t, c, exitOK, "undrain", "vm", "engine-1")
+	runTool(t, c, exitOK, "group", "wait", "demo", "-form-wait", "60s")
 }
 
 func decodeStatus(t *testing.T, text string) adminapi.Status {
@@ -98,9 +98,9 @@
 // Six operators change the same group at the same moment, all having seen the
 // same revision. One wins; each of the others must be told, and nothing of
 // their changes may be applied.
-func TestRaceOfOperators(t *testing.T) {
+func TestConcurrentOperatorsGetOneWinner(t *testing.T) {
 	c := harness.NewCluster(t, harness.Standard())
-	must(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
+	runTool(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
 	before := configRevision(t, c)
 	const operators = 6
 	statuses := make([]int, operators)
@@ -124,9 +124,9 @@
 // be lost whether the change was accepted or not. The tool goes on under the
 // same change id with the next leader, and a later run with that id gets the
 // same answer: the change is in force once.
-func TestChangeAcrossTheLossOfTheLeader(t *testing.T) {
+func TestChangeSurvivesLeaderLoss(t *testing.T) {
 	c := harness.NewCluster(t, harness.Standard())
-	must(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
+	runTool(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
 	before := configRevision(t, c)
 	leader := leaderOf(t, c)
 
@@ -137,10 +137,10 @@
 	})
 	leader.Kill()
 	change.Wait()
-	must(t, c, exitOK, "preset", "use", "peak", "-change-id", "peak-1", "-timeout", "60s", "-wait", "60s")
-	out := must(t, c, exitOK, "preset", "list", "-timeout", "60s")
+	runTool(t, c, exitOK, "preset", "use", "peak", "-change-id", "peak-1", "-timeout", "60s", "-wait", "60s")
+	out := runTool(t, c, exitOK, "preset", "list", "-timeout", "60s")
 	assert.Assert(t, is.Contains(out, "peak      yes"))
-	status := decodeStatus(t, must(t, c, exitOK, "status", "-json", "-timeout", "60s"))
+	status := decodeStatus(t, runTool(t, c, exitOK, "status", "-json", "-timeout", "60s"))
 	assert.Equal(t, status.ConfigRevision, before+1)
 }
 
@@ -163,10 +163,10 @@
 // work. Callers of a process that stops or starts must be told to come back,
 // never that their key is unknown: a program takes 401 for final.
 func TestRollingRestartUnderLoad(t *testing.T) {
-	c := founded(t)
+	c := startClusterWithEngines(t)
 	var load sync.WaitGroup
 	load.Go(func() {
-		out, status := c.Tool("load", "-entries", entries(c), "-key", "dev", "-model", "demo", exact,
+		out, status := c.Tool("load", "-entries", entryAddresses(c), "-key", "dev", "-model", "demo", exactFlag,
 			"-count", "2000", "-concurrency", "8", "-max-tokens", "20", "-retries", "50")
 		assert.Check(t, is.Equal(status, exitOK), out)
 		assert.Check(t, is.Contains(out, "ok=2000"), out)
