--- a/test/capacity/capacity_test.go
+++ b/test/capacity/capacity_test.go
@@ -65,28 +65,28 @@
 	return each, (sy - each*sx) / n
 }
 
-// batches is how many times a duration is measured; the median of them is
+// batchCount is how many times a duration is measured; the median of them is
 // taken, so that another program's burst does not count.
-const batches = 5
+const batchCount = 5
 
 // timeOf returns the median time of one call of f in seconds.
 func timeOf(f func()) float64 {
-	least := 20 * time.Millisecond
+	minDuration := 20 * time.Millisecond
 	if !*measure {
-		least = 0
+		minDuration = 0
 	}
 	var each []float64
-	for range batches {
+	for range batchCount {
 		calls := 0
 		began := time.Now()
-		for calls == 0 || time.Since(began) < least {
+		for calls == 0 || time.Since(began) < minDuration {
 			f()
 			calls++
 		}
 		each = append(each, time.Since(began).Seconds()/float64(calls))
 	}
 	sort.Float64s(each)
-	return each[batches/2]
+	return each[batchCount/2]
 }
 
 // heapOf returns the heap bytes that what build returns keeps alive.
@@ -119,9 +119,9 @@
 	each, none := slope(points)
 	var values []string
 	for _, p := range points {
-		values = append(values, fmt.Sprintf("%.0f: %s", p.size, number(p.value)))
+		values = append(values, fmt.Sprintf("%.0f: %s", p.size, formatNumber(p.value)))
 	}
-	r.lines = append(r.lines, fmt.Sprintf("| %s | %s | %s | %s | %s |", what, number(each), number(none), unit, strings.Join(values, ", ")))
+	r.lines = append(r.lines, fmt.Sprintf("| %s | %s | %s | %s | %s |", what, formatNumber(each), formatNumber(none), unit, strings.Join(values, ", ")))
 }
 
 func (r *report) print() {
@@ -130,7 +130,7 @@
 	}
 }
 
-func number(v float64) string {
+func formatNumber(v float64) string {
 	switch a := max(v, -v); {
 	case a >= 100:
 		return fmt.Sprintf("%.0f", v)
@@ -142,6 +142,6 @@
 }
 
 const (
-	micros = 1e6
-	kilo   = 1e3
+	microsPerSecond = 1e6
+	kilo            = 1e3
 )
--- a/test/capacity/fleet_entries_test.go
+++ b/test/capacity/fleet_entries_test.go
@@ -20,11 +20,11 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// announceEvery is the time between two announcements of a backend server.
-const announceEvery = time.Second
+// announceInterval is the time between two announcements of a backend server.
+const announceInterval = time.Second
 
-// announcers is how many announcements are under way at most.
-const announcers = 64
+// announceWorkers is how many announcements are under way at most.
+const announceWorkers = 64
 
 // fleet is the followers of a system's entries.
 type fleet struct {
@@ -36,7 +36,7 @@
 func followAll(t *testing.T, s *system, n int) *fleet {
 	t.Helper()
 	f := &fleet{t: t}
-	ctx, running := untilCleanup(t)
+	ctx, running := contextUntilCleanup(t)
 	for i := range n {
 		name := fmt.Sprintf("entry-%04d", i)
 		transport := &http.Transport{IdleConnTimeout: time.Minute}
@@ -54,9 +54,9 @@
 	return f
 }
 
-// untilCleanup returns a context that ends with the test, and a group that the test waits
+// contextUntilCleanup returns a context that ends with the test, and a group that the test waits
 // for then.
-func untilCleanup(t *testing.T) (context.Context, *sync.WaitGroup) {
+func contextUntilCleanup(t *testing.T) (context.Context, *sync.WaitGroup) {
 	ctx, cancel := context.WithCancel(context.Background())
 	running := new(sync.WaitGroup)
 	t.Cleanup(func() {
@@ -91,16 +91,16 @@
 }
 
 // announceAll announces n engines without a group to the control processes, each once
-// in announceEvery, until the test ends.
+// in announceInterval, until the test ends.
 func announceAll(t *testing.T, s *system, n int) {
 	t.Helper()
 	if n == 0 {
 		return
 	}
-	ctx, running := untilCleanup(t)
-	client := &http.Client{Timeout: announceEvery, Transport: &http.Transport{MaxIdleConnsPerHost: announcers}}
+	ctx, running := contextUntilCleanup(t)
+	client := &http.Client{Timeout: announceInterval, Transport: &http.Transport{MaxIdleConnsPerHost: announceWorkers}}
 	due := make(chan int)
-	for range announcers {
+	for range announceWorkers {
 		running.Go(func() {
 			for i := range due {
 				announceOnce(ctx, client, s.nodes[i%(len(s.nodes)-1)].Entry, i)
@@ -109,12 +109,12 @@
 	}
 	running.Go(func() {
 		defer close(due)
-		ticker := time.NewTicker(announceEvery / time.Duration(n))
+		ticker := time.NewTicker(announceInterval / time.Duration(n))
 		defer ticker.Stop()
 		began, sent := time.Now(), 0
 		for ctx.Err() == nil {
 			<-ticker.C
-			for ; time.Duration(sent)*announceEvery/time.Duration(n) < time.Since(began); sent++ {
+			for ; time.Duration(sent)*announceInterval/time.Duration(n) < time.Since(began); sent++ {
 				due <- sent % n
 			}
 		}
@@ -126,7 +126,7 @@
 func announceOnce(ctx context.Context, client *http.Client, entry string, i int) {
 	body, err := json.Marshal(&backend.Announcement{
 		ID: vmName(i), Incarnation: "first", Sequence: uint64(time.Now().UnixNano()), Kind: backend.KindEngine, Address: vmName(i) + ":9000",
-		DataCentre: "dev", FabricDomain: fmt.Sprint("rack-", i/vmsInDomain), Accelerators: 1, Phase: backend.PhaseIdle,
+		DataCentre: "dev", FabricDomain: fmt.Sprint("rack-", i/vmsPerDomain), Accelerators: 1, Phase: backend.PhaseIdle,
 	})
 	if err != nil {
 		return
@@ -143,5 +143,5 @@
 	_ = reply.Body.Close()
 }
 
-// vmsInDomain is how many VMs a fabric domain has.
-const vmsInDomain = 73
+// vmsPerDomain is how many VMs a fabric domain has.
+const vmsPerDomain = 73
--- a/test/capacity/fleet_test.go
+++ b/test/capacity/fleet_test.go
@@ -21,14 +21,14 @@
 	fleetVoters   = 5
 )
 
-// shortFleet is the least number of entries whose watches are spread.
-const shortFleet = 420
+// minSpreadFleet is the least number of entries whose watches are spread.
+const minSpreadFleet = 420
 
 // Failure: one process answers the watches of a thousand entries and has no processor time left for consensus.
 func TestFleet(t *testing.T) {
-	counts, span := []int{shortFleet}, 200*time.Millisecond
+	counts, span := []int{minSpreadFleet}, 200*time.Millisecond
 	if *measure {
-		counts, span = numbers(t, *fleets), *window
+		counts, span = parseNumbers(t, *fleets), *window
 	}
 	lines := []string{
 		"| entries | servers | role | core, % | memory, MB | in all entries, median ms | longest ms | changes | next change after the leader's end, ms | all entries started, ms |",
@@ -57,9 +57,9 @@
 	if *measure {
 		servers = *serversPerEntry * entryCount
 		announceAll(t, s, servers)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	}
-	leader := s.leadFromTheEnd()
+	leader := s.moveLeaderLast()
 	before := s.usages()
 	time.Sleep(span)
 	used := rates(before, s.usages(), span)
@@ -68,7 +68,7 @@
 
 	leader.Kill()
 	ended := time.Now()
-	s.changeByAny()
+	s.changeAfterFailover()
 	outage := time.Since(ended)
 	f.awaitConfiguration(s.revision)
 
@@ -106,9 +106,9 @@
 	return s
 }
 
-// leadFromTheEnd puts the leader last among the nodes, so that operators' calls go to
+// moveLeaderLast puts the leader last among the nodes, so that operators' calls go to
 // another, and returns it.
-func (s *system) leadFromTheEnd() *harness.Node {
+func (s *system) moveLeaderLast() *harness.Node {
 	s.t.Helper()
 	leader, last := s.leader(), len(s.nodes)-1
 	for i, n := range s.nodes {
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// changeByAny makes one change, asking until a leader takes it.
-func (s *system) changeByAny() {
+// changeAfterFailover makes one change, asking until a leader takes it.
+func (s *system) changeAfterFailover() {
 	s.t.Helper()
 	change := blackboard.ConfigChange{ChangeID: fmt.Sprint("c", s.revision), Expect: s.revision, UsePreset: "peak"}
 	harness.Await(s.t, "a change after the leader's end", func() bool {
--- a/test/capacity/nodes_test.go
+++ b/test/capacity/nodes_test.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	controls   = 3
-	vmsReplica = 2
-	// clockTick is the unit of processor time in /proc, in seconds.
-	clockTick = 0.01
-	// settle lets elections, groups and first snapshots pass unmeasured.
-	settle = 4 * time.Second
+	controlCount  = 3
+	vmsPerReplica = 2
+	// clockTickSeconds is the unit of processor time in /proc, in seconds.
+	clockTickSeconds = 0.01
+	// settleTime lets elections, groups and first snapshots pass unmeasured.
+	settleTime = 4 * time.Second
 )
 
 // system is a running system of real processes, without links between them.
@@ -45,7 +45,7 @@
 func TestNodes(t *testing.T) {
 	counts, span := []int{4}, 200*time.Millisecond
 	if *measure {
-		counts, span = numbers(t, *entries), *window
+		counts, span = parseNumbers(t, *entries), *window
 	}
 	lines := []string{
 		"| entries | role | core, % | memory, MB | read, KB/s | written, KB/s | in force, median ms | 99th ms | changes |",
@@ -59,7 +59,7 @@
 	}
 }
 
-func numbers(t *testing.T, list string) []int {
+func parseNumbers(t *testing.T, list string) []int {
 	t.Helper()
 	var all []int
 	for _, text := range strings.Split(list, ",") {
@@ -75,7 +75,7 @@
 	s.found()
 	s.awaitServing()
 	if *measure {
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	}
 	leader := s.leader()
 	before := s.usages()
@@ -94,8 +94,8 @@
 	all := make([]*settings.Settings, entryCount)
 	for i := range all {
 		name := fmt.Sprintf("n%03d", i)
-		all[i] = nodeSettings(t, filepath.Join(folder, name), name, i < controls)
-		if i < controls {
+		all[i] = nodeSettings(t, filepath.Join(folder, name), name, i < controlCount)
+		if i < controlCount {
 			control = append(control, all[i].Peers.Listen)
 		}
 	}
@@ -130,7 +130,7 @@
 	s.Peers.Advertise = s.Peers.Listen
 	s.Admin.Listen = harness.FreeAddress(t)
 	s.Control.Enabled = control
-	s.Control.Voters = controls
+	s.Control.Voters = controlCount
 	s.Control.DataFolder = filepath.Join(folder, "data")
 	return s
 }
@@ -146,7 +146,7 @@
 
 func (s *system) found() {
 	s.t.Helper()
-	s.foundWith(blackboard.GroupSpec{Name: "demo", Model: "demo", Replicas: *engines / vmsReplica, VMsPerReplica: vmsReplica})
+	s.foundWith(blackboard.GroupSpec{Name: "demo", Model: "demo", Replicas: *engines / vmsPerReplica, VMsPerReplica: vmsPerReplica})
 }
 
 // foundWith founds the cluster with two presets to change between.
@@ -184,7 +184,7 @@
 				leased++
 			}
 		}
-		return ok && serving == *engines/vmsReplica && leased == len(s.nodes)
+		return ok && serving == *engines/vmsPerReplica && leased == len(s.nodes)
 	})
 }
 
@@ -202,9 +202,9 @@
 // milliseconds from accepted to in force of each.
 func (s *system) changes(span time.Duration) []float64 {
 	s.t.Helper()
-	var taken []float64
-	for began := time.Now(); len(taken) == 0 || time.Since(began) < span; {
-		preset := []string{"peak", "ordinary"}[len(taken)%2]
+	var times []float64
+	for began := time.Now(); len(times) == 0 || time.Since(began) < span; {
+		preset := []string{"peak", "ordinary"}[len(times)%2]
 		change := blackboard.ConfigChange{ChangeID: fmt.Sprint("c", s.revision), Expect: s.revision, UsePreset: preset}
 		var reply adminapi.ChangeReply
 		assert.NilError(s.t, harness.Operate(s.nodes[0], http.MethodPost, adminapi.PathConfiguration, change, &reply))
@@ -213,16 +213,16 @@
 		path := adminapi.PathInForce + "?revision=" + strconv.FormatUint(reply.Revision, 10)
 		for !s.inForce(path) {
 			assert.Assert(s.t, time.Since(accepted) < harness.AwaitTimeout, "revision %d is not in force", reply.Revision)
-			time.Sleep(inForcePoll)
+			time.Sleep(inForcePollInterval)
 		}
-		taken = append(taken, time.Since(accepted).Seconds()*kilo)
+		times = append(times, time.Since(accepted).Seconds()*kilo)
 	}
-	sort.Float64s(taken)
-	return taken
+	sort.Float64s(times)
+	return times
 }
 
-// inForcePoll is the resolution of the times to in force.
-const inForcePoll = time.Millisecond
+// inForcePollInterval is the resolution of the times to in force.
+const inForcePollInterval = time.Millisecond
 
 func (s *system) inForce(path string) bool {
 	var answer adminapi.InForce
@@ -252,7 +252,7 @@
 	user, _ := strconv.ParseFloat(string(fields[userTime]), 64)
 	system, _ := strconv.ParseFloat(string(fields[systemTime]), 64)
 	return usage{
-		cpu:    (user + system) * clockTick,
+		cpu:    (user + system) * clockTickSeconds,
 		memory: procValue(t, folder+"status", "VmRSS:") / kilo,
 		// Bytes passed to read and write, of sockets and files alike.
 		read:    procValue(t, folder+"io", "rchar:") / kilo,
@@ -293,7 +293,7 @@
 	byRole := map[string][]usage{}
 	for i, n := range s.nodes {
 		role := "entry"
-		if i < controls {
+		if i < controlCount {
 			role = "control"
 		}
 		if n.Process.Name == leader {
--- a/test/capacity/slopes_test.go
+++ b/test/capacity/slopes_test.go
@@ -93,10 +93,10 @@
 		assert.NilError(t, err)
 		x := float64(n)
 		size = append(size, point{x, float64(len(data))})
-		encode = append(encode, point{x, micros * timeOf(func() { _, _ = b.Encode() })})
-		decode = append(decode, point{x, micros * timeOf(func() { _, _ = blackboard.Decode(data) })})
-		put = append(put, point{x, micros * applyTime(t, b, &blackboard.SetLiveness{VM: vmName(0), Incarnation: vmRow(0).Incarnation, To: blackboard.Paused})})
-		change = append(change, point{x, micros * applyTime(t, b, &blackboard.ConfigChange{ChangeID: "next", Expect: b.Config.Revision, UsePreset: "ordinary"})})
+		encode = append(encode, point{x, microsPerSecond * timeOf(func() { _, _ = b.Encode() })})
+		decode = append(decode, point{x, microsPerSecond * timeOf(func() { _, _ = blackboard.Decode(data) })})
+		put = append(put, point{x, microsPerSecond * timeToApply(t, b, &blackboard.SetLiveness{VM: vmName(0), Incarnation: vmRow(0).Incarnation, To: blackboard.Paused})})
+		change = append(change, point{x, microsPerSecond * timeToApply(t, b, &blackboard.ConfigChange{ChangeID: "next", Expect: b.Config.Revision, UsePreset: "ordinary"})})
 		heap = append(heap, point{x, heapOf(func() any { return boardOf(t, n) })})
 	}
 	r := newReport(t, "Blackboard against VMs, in serving groups of eight")
@@ -109,7 +109,7 @@
 	r.print()
 }
 
-func applyTime(t testing.TB, b *blackboard.Board, c blackboard.Command) float64 {
+func timeToApply(t testing.TB, b *blackboard.Board, c blackboard.Command) float64 {
 	t.Helper()
 	data, err := blackboard.Encode(c)
 	assert.NilError(t, err)
@@ -144,13 +144,13 @@
 		for _, n := range sizes() {
 			var b *blackboard.Board
 			heap = append(heap, point{float64(n), heapOf(func() any {
-				b = withRows(t, kind, n)
+				b = boardWithRows(t, kind, n)
 				return b
 			})})
 			data, err := b.Encode()
 			assert.NilError(t, err)
 			size = append(size, point{float64(n), float64(len(data))})
-			again = append(again, point{float64(n), micros * applyTime(t, b, rowKinds[kind](n, b))})
+			again = append(again, point{float64(n), microsPerSecond * timeToApply(t, b, rowKinds[kind](n, b))})
 		}
 		r.add(kind+": snapshot", size, "B")
 		r.add(kind+": memory", heap, "B")
@@ -159,7 +159,7 @@
 	r.print()
 }
 
-func withRows(t testing.TB, kind string, n int) *blackboard.Board {
+func boardWithRows(t testing.TB, kind string, n int) *blackboard.Board {
 	b := boardOf(t, vmsPerGroup)
 	for i := range n {
 		b = apply(t, b, rowKinds[kind](i, b))
@@ -167,14 +167,14 @@
 	return b
 }
 
-// heardOf returns a table that heard n engines in serving groups.
-func heardOf(n int, sequence uint64) *evidence.Table {
+// evidenceTableOf returns a table that heard n engines in serving groups.
+func evidenceTableOf(n int, sequence uint64) *evidence.Table {
 	table := evidence.NewTable("entry-1", 1)
-	hear(table, n, sequence, epoch)
+	addAnnouncements(table, n, sequence, epoch)
 	return table
 }
 
-func hear(table *evidence.Table, n int, sequence uint64, now time.Time) {
+func addAnnouncements(table *evidence.Table, n int, sequence uint64, now time.Time) {
 	for i := range n {
 		v := vmRow(i)
 		table.Hear(now, "entry-1", backend.Announcement{
@@ -192,9 +192,9 @@
 	var size, nothing, exchanged, heap []point
 	for _, n := range sizes() {
 		x := float64(n)
-		table := heardOf(n, 1)
+		table := evidenceTableOf(n, 1)
 		first, cursor := table.Digest(epoch, evidence.Cursor{})
-		hear(table, n, 2, epoch)
+		addAnnouncements(table, n, 2, epoch)
 		lines, newest := table.Digest(made, cursor)
 		assert.Equal(t, len(lines), n)
 		link := newLink(t)
@@ -202,13 +202,13 @@
 		size = append(size, point{x, float64(len(link.send(lines)))})
 		link = newLink(t)
 		other := evidence.NewTable("entry-2", 1)
-		exchanged = append(exchanged, point{x, micros * timeOf(func() {
+		exchanged = append(exchanged, point{x, microsPerSecond * timeOf(func() {
 			lines, _ := table.Digest(made, cursor)
 			other.Merge(epoch, "entry-1", link.receive(link.send(lines)))
 			link.answer()
 		})})
-		nothing = append(nothing, point{x, micros * timeOf(func() { _, newest = table.Digest(made, newest) })})
-		heap = append(heap, point{x, heapOf(func() any { return heardOf(n, 1) })})
+		nothing = append(nothing, point{x, microsPerSecond * timeOf(func() { _, newest = table.Digest(made, newest) })})
+		heap = append(heap, point{x, heapOf(func() any { return evidenceTableOf(n, 1) })})
 	}
 	r := newReport(t, "Evidence against VMs; a digest holds every VM once, without details and with unchanged loads")
 	r.add("digest", size, "B")
@@ -221,12 +221,12 @@
 func measureControllers(t *testing.T) {
 	var run, routable []point
 	for _, n := range sizes() {
-		b, table := boardOf(t, n), heardOf(n, 1)
+		b, table := boardOf(t, n), evidenceTableOf(n, 1)
 		table.Digest(epoch, evidence.Cursor{})
 		v := controller.View{Board: b, Evidence: table, Memory: controller.NewMemory(epoch, 0), Term: 2, LeaseUntil: epoch.Add(time.Hour)}
 		x := float64(n)
-		run = append(run, point{x, micros * timeOf(func() { controller.Run(v, epoch) })})
-		routable = append(routable, point{x, micros * timeOf(func() {
+		run = append(run, point{x, microsPerSecond * timeOf(func() { controller.Run(v, epoch) })})
+		routable = append(routable, point{x, microsPerSecond * timeOf(func() {
 			for id := range b.Groups {
 				table.Routable(epoch, b, id)
 			}
@@ -238,7 +238,7 @@
 	r.print()
 }
 
-func claims(n int) *record.Table {
+func recordTableOf(n int) *record.Table {
 	table := record.NewTable()
 	for i := range n {
 		key, attempt := fmt.Sprintf("audits/01ebf93f-4505-42df-9f25-%012d", i), fmt.Sprint(i)
@@ -256,14 +256,14 @@
 		n *= 20
 		x := float64(n)
 		var table *record.Table
-		heap = append(heap, point{x, heapOf(func() any { table = claims(n); return table })})
+		heap = append(heap, point{x, heapOf(func() any { table = recordTableOf(n); return table })})
 		assert.Equal(t, table.Len(), n)
 		data, err := table.Encode()
 		assert.NilError(t, err)
 		size = append(size, point{x, float64(len(data))})
-		encode = append(encode, point{x, micros * timeOf(func() { _, _ = table.Encode() })})
+		encode = append(encode, point{x, microsPerSecond * timeOf(func() { _, _ = table.Encode() })})
 		claim, _ := record.Encode(record.Command{Claim: &record.Claim{Key: "audits/again", Body: "b", Entry: "e", Attempt: "a", DeadlineMillis: 60_000, NowMillis: 3}})
-		one = append(one, point{x, micros * timeOf(func() { table.Apply(claim) })})
+		one = append(one, point{x, microsPerSecond * timeOf(func() { table.Apply(claim) })})
 	}
 	r := newReport(t, "At-most-once records, as tombstones without answers")
 	r.add("memory", heap, "B")
@@ -280,12 +280,12 @@
 		request := placement.Request{ID: "r", Model: "memo-large", Prefix: []uint64{1, 2, 3}, Tokens: 400}
 		c, ok := picker.Pick(epoch, request)
 		assert.Assert(t, ok && c.ID != "")
-		pick = append(pick, point{float64(n), micros * timeOf(func() { picker.Pick(epoch, request) })})
+		pick = append(pick, point{float64(n), microsPerSecond * timeOf(func() { picker.Pick(epoch, request) })})
 	}
 	for _, n := range sizes() {
 		n *= 14
 		queue, id := queueOf(t, n), 0
-		offer = append(offer, point{float64(n), micros * timeOf(func() {
+		offer = append(offer, point{float64(n), microsPerSecond * timeOf(func() {
 			id++
 			name := fmt.Sprint("x", id)
 			queue.Offer(epoch, queued(name, id))
