--- a/test/tool/tool_test.go
+++ b/test/tool/tool_test.go
@@ -1,5 +1,4 @@
-// Package tool tests the operators' tool as a process against the system as
-// processes.
+// Package tool tests the operators' tool as a process against a system of real processes.
 package tool
 
 import (
@@ -28,7 +27,8 @@
 	exactFlag = "-exact"
 )
 
-// startClusterWithEngines starts a cluster with the README's configuration and four engines.
+// startClusterWithEngines starts a cluster with the README's configuration and four engines, and
+// returns when its group serves and all entries are ready.
 func startClusterWithEngines(t *testing.T) *harness.Cluster {
 	t.Helper()
 	c := harness.NewCluster(t, harness.Standard())
@@ -39,6 +39,7 @@
 	return c
 }
 
+// runTool runs the operators' tool, checks its exit status and returns its output.
 func runTool(t *testing.T, c *harness.Cluster, want int, args ...string) string {
 	t.Helper()
 	out, status := c.Tool(args...)
@@ -53,6 +54,7 @@
 	return s.ConfigRevision
 }
 
+// entryAddresses returns the addresses of all entries in the tool's comma-separated form.
 func entryAddresses(c *harness.Cluster) string {
 	var all []string
 	for _, n := range c.Entries() {
@@ -61,9 +63,9 @@
 	return strings.Join(all, ",")
 }
 
-// An operator's day: a preset, a document, and a VM taken out while callers
-// are at work. No caller may get anything but its whole answer, and the tool
-// may say "drained" only when the VM's row holds no group.
+// Guards against broken answers, and against an early "drained", when an operator activates a
+// preset and drains a VM while callers send requests. Every caller must receive its complete
+// answer. The tool may report "drained" only when the VM's row holds no group.
 func TestDrainUnderLoad(t *testing.T) {
 	c := startClusterWithEngines(t)
 	runTool(t, c, exitOK, "diff", example)
@@ -95,9 +97,9 @@
 	return s
 }
 
-// Six operators change the same group at the same moment, all having seen the
-// same revision. One wins; each of the others must be told, and nothing of
-// their changes may be applied.
+// Guards against several accepted changes on top of one revision. Six operators change the same
+// group at the same moment, all with the same expected revision. One change is accepted. The
+// tool must report a conflict to the other operators, and must apply nothing of their changes.
 func TestConcurrentOperatorsGetOneWinner(t *testing.T) {
 	c := harness.NewCluster(t, harness.Standard())
 	runTool(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
@@ -120,10 +122,10 @@
 	assert.Equal(t, configRevision(t, c), before+1)
 }
 
-// The leader is killed while a change is on its way to it, so the answer may
-// be lost whether the change was accepted or not. The tool goes on under the
-// same change id with the next leader, and a later run with that id gets the
-// same answer: the change is in force once.
+// Guards against a lost or repeated change when the leader is killed while it receives the change.
+// The answer may be lost whether or not the change was accepted. The tool must retry under the
+// same change id with the next leader. A later run with that id must receive the same answer,
+// and the change must be applied once.
 func TestChangeSurvivesLeaderLoss(t *testing.T) {
 	c := harness.NewCluster(t, harness.Standard())
 	runTool(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
@@ -144,10 +146,11 @@
 	assert.Equal(t, status.ConfigRevision, before+1)
 }
 
+// leaderOf waits until a control replica leads and returns its node.
 func leaderOf(t *testing.T, c *harness.Cluster) *harness.Node {
 	t.Helper()
 	name := ""
-	harness.Await(t, "a leader", func() bool {
+	harness.Await(t, "a control replica leads", func() bool {
 		s, err := c.Status()
 		for _, r := range s.Replicas {
 			if err == nil && r.Role == "leader" {
@@ -159,9 +162,9 @@
 	return c.Node(name)
 }
 
-// An operator restarts all processes one after the other while callers are at
-// work. Callers of a process that stops or starts must be told to come back,
-// never that their key is unknown: a program takes 401 for final.
+// Guards against final refusals during a rolling restart under load. Callers of a process that
+// stops or starts must be asked to retry. They must never receive 401, the refusal of an
+// unknown key, because programs don't retry after it.
 func TestRollingRestartUnderLoad(t *testing.T) {
 	c := startClusterWithEngines(t)
 	var load sync.WaitGroup
@@ -175,7 +178,7 @@
 		n.Terminate()
 		assert.Check(t, is.Equal(n.Wait(harness.AwaitTimeout), exitOK))
 		n.Start()
-		harness.Await(t, n.Spec.Name+" ready", n.Ready)
+		harness.Await(t, n.Spec.Name+" is ready", n.Ready)
 	}
 	load.Wait()
 }
