--- a/test/failover/failover_test.go
+++ b/test/failover/failover_test.go
@@ -1,9 +1,9 @@
-// Package failover measures how long failures last that the system repairs by
-// itself: a lost leader, a lost member of a serving group, a dark domain.
+// Package failover measures how long the system takes to repair failures by itself: a lost
+// leader, a lost member of a serving group, an entry that is cut off, a lost quorum.
 //
 //	go test ./test/failover -v -args -measure
 //
-// Without -measure it goes through each failure once.
+// Without -measure each failure happens once.
 package failover
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-var measure = flag.Bool("measure", false, "measure each failure many times and print the figures")
+var measure = flag.Bool("measure", false, "measure each failure many times and print the times")
 
 func TestMain(m *testing.M) { os.Exit(harness.Main(m)) }
 
@@ -34,6 +34,7 @@
 	return 1
 }
 
+// startCluster starts a bootstrapped cluster with three voters and all entries ready.
 func startCluster(t *testing.T) *harness.Cluster {
 	t.Helper()
 	c := harness.NewCluster(t, harness.Standard())
@@ -57,10 +58,11 @@
 	})
 }
 
+// awaitLeader waits until a running control node leads and returns it.
 func awaitLeader(t *testing.T, c *harness.Cluster) *harness.Node {
 	t.Helper()
 	var found *harness.Node
-	harness.Await(t, "a leader", func() bool {
+	harness.Await(t, "a control replica leads", func() bool {
 		s, err := c.Status()
 		for _, r := range s.Replicas {
 			if r.Role == "leader" {
@@ -72,7 +74,8 @@
 	return found
 }
 
-// logTimes prints the least, median and greatest of the times.
+// logTimes logs the minimum, median and maximum of the times. what describes the interval
+// measured.
 func logTimes(t *testing.T, what string, times []time.Duration) {
 	t.Helper()
 	slices.Sort(times)
@@ -81,14 +84,15 @@
 		what, len(times), ms(times[0]), ms(times[len(times)/2]), ms(times[len(times)-1]))
 }
 
+// answersReads reports whether a node answers an operator's read of the configuration.
 func answersReads(n *harness.Node) bool {
 	var config blackboard.Configuration
 	return harness.Operate(n, http.MethodGet, adminapi.PathConfiguration, nil, &config) == nil
 }
 
-// From the kill of the leader until another control process answers an
-// operator's read, which it does only as a leader that has committed in its
-// own term, or through one.
+// TestTimeToANewLeader measures from the kill of the leader until another control process answers
+// an operator's read. A control process answers only as a leader that has committed an entry
+// of its own term, or by asking such a leader.
 func TestTimeToANewLeader(t *testing.T) {
 	c := startCluster(t)
 	var times []time.Duration
@@ -96,7 +100,7 @@
 		old := awaitLeader(t, c)
 		old.Kill()
 		began := time.Now()
-		harness.Await(t, "an answer", func() bool {
+		harness.Await(t, "another control process answers", func() bool {
 			for _, n := range c.Nodes {
 				if n != old && n.Spec.Control && answersReads(n) {
 					return true
@@ -107,13 +111,13 @@
 		times = append(times, time.Since(began))
 		old.Start()
 		awaitVoters(t, c)
-		harness.Await(t, "the old leader is back", func() bool { return answersReads(old) })
+		harness.Await(t, "the old leader answers again", func() bool { return answersReads(old) })
 	}
 	logTimes(t, "leader killed, to a new leader's answer", times)
 }
 
-// From the kill of a member until the last entry has closed its group, and
-// until a group with a spare serves.
+// TestTimeFromMemberLoss measures from the kill of a group member until the last entry has stopped
+// routing to the group, and until a group with a spare VM serves.
 func TestTimeFromMemberLoss(t *testing.T) {
 	c := startCluster(t)
 	engines := map[string]*harness.Standin{}
@@ -135,7 +139,7 @@
 		repaired = append(repaired, time.Since(began))
 		assert.Assert(t, later.Epoch > g.Epoch)
 		closed = append(closed, lastClosed(t, c, g.ID, offsets).Sub(began))
-		// A VM that flaps is left out longer each time, so a new one comes.
+		// A VM that keeps failing is quarantined longer each time, so each round starts a new VM.
 		spare := "spare" + strconv.Itoa(round)
 		engines[spare] = c.StartEngine(spare, "d1")
 		harness.Await(t, "the new VM is free", func() bool { return isFree(c, spare) })
@@ -144,6 +148,7 @@
 	logTimes(t, "member killed, to a repaired group in service", repaired)
 }
 
+// awaitServingGroup waits until a group with an epoch later than after serves, and returns it.
 func awaitServingGroup(t *testing.T, c *harness.Cluster, after uint64) blackboard.Group {
 	t.Helper()
 	var found blackboard.Group
@@ -159,8 +164,8 @@
 	return found
 }
 
-// awaitRouted waits until each entry's last word on a group is that it routes
-// to it.
+// awaitRouted waits until the newest log line of each entry on the group says that the entry
+// routes to it.
 func awaitRouted(t *testing.T, c *harness.Cluster, id string) {
 	t.Helper()
 	for _, n := range c.Entries() {
@@ -171,6 +176,7 @@
 	}
 }
 
+// isFree reports whether a VM is alive and in no group.
 func isFree(c *harness.Cluster, vm string) bool {
 	s, err := c.Status()
 	for _, v := range s.VMs {
@@ -181,8 +187,8 @@
 	return false
 }
 
-// lastClosed returns when the last entry closed the group, by the time in the
-// entries' own logs; all run on one machine.
+// lastClosed returns when the last entry stopped routing to the group, by the timestamps in the
+// entries' logs. All entries run on one machine, so the timestamps are comparable.
 func lastClosed(t *testing.T, c *harness.Cluster, id string, offsets map[string]int) time.Time {
 	t.Helper()
 	var last time.Time
@@ -204,8 +210,9 @@
 	return last
 }
 
-// From an accepted change until it is reported in force: with all entries
-// reachable, and with one behind a cut, whose lease has to run out first.
+// TestTimeToInForceWithAnEntryCutOff measures from the acceptance of a change until the change is
+// reported in force: first with all entries reachable, then with one entry cut off, whose
+// lease must expire first.
 func TestTimeToInForceWithAnEntryCutOff(t *testing.T) {
 	c := startCluster(t)
 	cut := c.Node("n4")
@@ -219,16 +226,17 @@
 			}
 		}
 		withEntryCut = append(withEntryCut, timeToInForce(t, c, "c"+strconv.Itoa(round)))
-		assert.Assert(t, !cut.Ready(), "in force everywhere, yet the cut-off entry admits")
+		assert.Assert(t, !cut.Ready(), "the change is in force everywhere, but the cut-off entry still admits requests")
 		for _, n := range c.Nodes {
 			n.Peers.Heal()
 		}
-		harness.Await(t, "the entry is back", cut.Ready)
+		harness.Await(t, "the entry is ready again", cut.Ready)
 	}
 	logTimes(t, "accepted to in force, all entries reachable", reachable)
 	logTimes(t, "accepted to in force, one entry behind a cut", withEntryCut)
 }
 
+// timeToInForce makes a change and returns the time from its acceptance until it is in force.
 func timeToInForce(t *testing.T, c *harness.Cluster, id string) time.Duration {
 	t.Helper()
 	status, err := c.Status()
@@ -238,7 +246,7 @@
 	var reply adminapi.ChangeReply
 	assert.NilError(t, harness.Operate(on, http.MethodPost, adminapi.PathConfiguration, change, &reply))
 	began := time.Now()
-	harness.Await(t, "in force", func() bool {
+	harness.Await(t, "the change is in force", func() bool {
 		var f adminapi.InForce
 		path := adminapi.PathInForce + "?revision=" + strconv.FormatUint(reply.Revision, 10)
 		return harness.Operate(on, http.MethodGet, path, nil, &f) == nil && f.InForce
@@ -246,8 +254,8 @@
 	return time.Since(began)
 }
 
-// From the loss of the quorum until the last entry refuses: the price of the
-// lease.
+// TestTimeFromLostQuorumToRefusal measures from the loss of the quorum until the last entry
+// refuses requests. This time is the cost of entry leases.
 func TestTimeFromLostQuorumToRefusal(t *testing.T) {
 	c := startCluster(t)
 	var times []time.Duration
