--- a/test/overhead/overhead_test.go
+++ b/test/overhead/overhead_test.go
@@ -1,9 +1,9 @@
-// Package overhead measures what an entry adds to a request, against the same
-// request sent direct to the stand-in engine, in one run.
+// Package overhead measures the latency that an entry adds to a request. It compares requests
+// through the entry with the same requests sent directly to the stand-in engine, in one run.
 //
 //	go test ./test/overhead -run TestOverhead -v -args -measure
 //
-// Without -measure it makes a few requests each way and checks the answers.
+// Without -measure it sends a few requests each way and checks the answers.
 package overhead
 
 import (
@@ -36,7 +36,7 @@
 
 func TestMain(m *testing.M) { os.Exit(harness.Main(m)) }
 
-// sizes are how much is done.
+// sizes holds the numbers of requests, tokens, callers and streams of a run.
 type sizes struct {
 	requests, tokens   int
 	throughputCallers  int
@@ -45,6 +45,7 @@
 	openStreams        int
 }
 
+// currentSizes returns the sizes for a measurement or, without -measure, for a quick check.
 func currentSizes() sizes {
 	if *measure {
 		return sizes{1500, 20, 24, 40, 1000, 1000}
@@ -52,6 +53,7 @@
 	return sizes{5, 5, 2, 2, 20, 10}
 }
 
+// testSystem is a cluster of one entry with groups of one engine each.
 type testSystem struct {
 	t       *testing.T
 	c       *harness.Cluster
@@ -62,6 +64,7 @@
 
 const engineCount = 8
 
+// newTestSystem starts a cluster whose engines take interval for each token.
 func newTestSystem(t *testing.T, interval string) *testSystem {
 	t.Helper()
 	spec := harness.ClusterSpec{
@@ -85,12 +88,14 @@
 	return r
 }
 
-// times are those of one answer.
+// times holds the times of one answer: until its first token, and between its tokens.
 type times struct {
 	first time.Duration
 	gaps  []time.Duration
 }
 
+// sendThroughEntry streams one completion through the entry. It calls onFirstToken, if not nil,
+// at the first token.
 func (r *testSystem) sendThroughEntry(prompt string, tokens int, onFirstToken func()) (times, error) {
 	body, _ := json.Marshal(map[string]any{"model": "demo", "prompt": prompt, "max_tokens": tokens, "stream": true})
 	request, err := http.NewRequest(http.MethodPost, "http://"+r.entry.Entry+"/v1/completions", bytes.NewReader(body))
@@ -122,8 +127,8 @@
 
 var attempts atomic.Int64
 
-// direct sends to the engine of a group past the entry, on the same protocol
-// that the entry speaks.
+// sendDirect streams one completion directly from the head of a group, with the protocol that the
+// entry uses.
 func (r *testSystem) sendDirect(g blackboard.Group, prompt string, tokens int) (times, error) {
 	w := newTokenTimer(nil)
 	stream, err := r.client.Generate(context.Background(), g.Members[0].Address, backend.Generation{
@@ -148,6 +153,7 @@
 	}
 }
 
+// tokenTimer measures the times of one answer.
 type tokenTimer struct {
 	times
 	began, last  time.Time
@@ -174,11 +180,13 @@
 	w.last = now
 }
 
+// histogram returns a histogram for values of 1 µs to 60 s.
 func histogram() *hdrhistogram.Histogram {
 	const maxMicros, digits = 60_000_000, 3
 	return hdrhistogram.New(1, maxMicros, digits)
 }
 
+// latencies holds the distributions, in microseconds, of the times of many answers.
 type latencies struct{ first, gap *hdrhistogram.Histogram }
 
 func (s latencies) add(x times) {
@@ -188,11 +196,13 @@
 	}
 }
 
+// summary returns the medians and 95th percentiles as one line of text.
 func (s latencies) summary(name string) string {
 	return fmt.Sprintf("%-8s first token median %6d us, 95th %6d us; between tokens median %6d us, 95th %6d us",
 		name, s.first.ValueAtQuantile(50), s.first.ValueAtQuantile(95), s.gap.ValueAtQuantile(50), s.gap.ValueAtQuantile(95))
 }
 
+// TestOverhead compares latencies through the entry and without it.
 func TestOverhead(t *testing.T) {
 	n := currentSizes()
 	r := newTestSystem(t, "2ms")
@@ -211,6 +221,7 @@
 	t.Log(entry.summary("entry"))
 }
 
+// TestThroughput measures the entry's processor time for long and for short answers.
 func TestThroughput(t *testing.T) {
 	n := currentSizes()
 	r := newTestSystem(t, "0s")
@@ -241,6 +252,7 @@
 	t.Logf("short answers: %d requests of 1 token, entry used %v: %.0f requests a second of one core", short, used, float64(short)/max(used.Seconds(), 0.01))
 }
 
+// TestOpenStreams measures the entry's memory for each open stream.
 func TestOpenStreams(t *testing.T) {
 	n := currentSizes()
 	r := newTestSystem(t, "300ms")
@@ -263,8 +275,8 @@
 	wait.Wait()
 }
 
-// profile keeps a profile of the entry's process in the folder that the
-// environment names, if any.
+// saveProfile writes a pprof profile of the entry's process to the folder that the environment
+// variable CITRONSTEP_PROFILES names. Without the variable it does nothing.
 func (r *testSystem) saveProfile(name string) {
 	folder := os.Getenv("CITRONSTEP_PROFILES")
 	if folder == "" {
@@ -281,20 +293,20 @@
 	assert.NilError(r.t, os.WriteFile(folder+"/"+name+".pprof", data, 0o600))
 }
 
-// cpu returns the processor time that a process has used.
+// cpuTime returns the processor time that a process has used since its start.
 func cpuTime(t *testing.T, n *harness.Node) time.Duration {
 	t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.PID()))
 	assert.NilError(t, err)
 	_, rest, _ := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
-	// utime and stime are the 14th and 15th fields, in ticks of 10 ms.
+	// utime and stime are fields 14 and 15 of /proc/PID/stat, in ticks of 10 ms.
 	user, _ := strconv.Atoi(fields[11])
 	system, _ := strconv.Atoi(fields[12])
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// memory returns a process's resident memory in KB.
+// residentKB returns the resident memory of a process in KB.
 func residentKB(t *testing.T, n *harness.Node) int {
 	t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.PID()))
