--- a/test/soak/main.go
+++ b/test/soak/main.go
@@ -1,10 +1,10 @@
-// Command soak drives a whole system of real processes with resending
-// callers under seeded faults, and checks every answer.
+// Command soak runs a complete system of real processes under seeded faults. Callers resend their
+// requests, and soak checks every answer.
 //
 //	go run ./test/soak -seed 1 -duration 30s
 //	go run ./test/soak -seed 1 -runs 20 -duration 1m
 //
-// It ends with status 1 when a run has found a violation.
+// It exits with status 1 if a run has found a violation or has failed.
 package main
 
 import (
@@ -20,12 +20,12 @@
 func main() {
 	seed := flag.Uint64("seed", 1, "seed of the first run")
 	runs := flag.Int("runs", 1, "number of runs, each with the next seed")
-	duration := flag.Duration("duration", 30*time.Second, "time of faults in each run")
+	duration := flag.Duration("duration", 30*time.Second, "how long faults happen in each run")
 	callers := flag.Int("callers", 8, "number of callers")
-	overlap := flag.Int("overlap", 2, "how many faults go on side by side")
+	overlap := flag.Int("overlap", 2, "number of faults that are active at once")
 	groups := flag.Int("groups", 3, "number of serving groups, of two engines each")
-	limits := flag.Bool("rate-limits", false, "backend servers name rate limits beside the faults")
-	showLogs := flag.Bool("logs", false, "show the end of each process's log when a run fails")
+	limits := flag.Bool("rate-limits", false, "backend servers also announce rate limits")
+	showLogs := flag.Bool("logs", false, "print the end of each process's log when a run fails")
 	flag.Parse()
 	status := 0
 	for i := range *runs {
@@ -40,6 +40,7 @@
 	os.Exit(status)
 }
 
+// runOnce makes one run, prints its result and reports whether it passed.
 func runOnce(o workload.Options, showLogs bool) bool {
 	t := &runner{showLogs: showLogs}
 	report := t.run(func() workload.Report { return workload.Run(t, o) })
