--- a/test/standin/cmd/citronstep-standin/main.go
+++ b/test/standin/cmd/citronstep-standin/main.go
@@ -1,13 +1,12 @@
-// Command citronstep-standin runs stand-in engines, plain services or the
-// weight store as a process, for tests and trials. It is not part of what is
-// shipped.
+// Command citronstep-standin runs stand-in engines, plain services or the weight store as a
+// process, for tests and trials. It is not shipped.
 //
 //	citronstep-standin -engines 4 -announce 127.0.0.1:8080 -fabric-domain d1
 //	citronstep-standin -service echo -instances 2 -announce 127.0.0.1:8080
 //	citronstep-standin -weight-store 127.0.0.1:7070
 //
-// When it is ready it prints one line "ready ID ADDRESS" for each stand-in.
-// It ends on SIGINT or SIGTERM.
+// When a stand-in is ready, the command prints one line "ready ID ADDRESS" for it. The command
+// ends on SIGINT or SIGTERM.
 package main
 
 import (
@@ -25,10 +24,10 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// exitUsage is the exit status for a faulty command line.
+// exitUsage is the exit status for an invalid command line or an unreadable secret file.
 const exitUsage = 2
 
-// exitCrash is the exit status of a process that a fault crashed.
+// exitCrash is the exit status when an injected crash ends the process.
 const exitCrash = 3
 
 func main() {
@@ -40,7 +39,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := run(ctx, f, logger); err != nil {
-		_ = level.Error(logger).Log("msg", "stand-in ends", "err", err)
+		_ = level.Error(logger).Log("msg", "stand-in failed", "err", err)
 		os.Exit(1)
 	}
 }
@@ -70,7 +69,8 @@
 	return nil
 }
 
-// openRecorder appends to the file, so that runs outlive the process.
+// openRecorder returns a recorder that appends runs to the file, so that runs of earlier processes
+// are kept. Without a path, runs are kept in memory only.
 func openRecorder(path string) (*standin.Recorder, error) {
 	if path == "" {
 		return standin.NewRecorder(nil), nil
@@ -82,6 +82,8 @@
 	return standin.NewRecorder(sink), nil
 }
 
+// startStandin starts the i-th stand-in of the kind that the flags select, and prints that it is
+// ready.
 func (f *flags) startStandin(ctx context.Context, i int, r *standin.Recorder, l log.Logger) (closer, error) {
 	switch {
 	case f.weightStore != "":
@@ -114,7 +116,7 @@
 	_, _ = fmt.Fprintf(w, "ready %s %s\n", id, address)
 }
 
-// parseFlags reads the command line; flag prints what is wrong with it.
+// parseFlags parses the command line. On an error, package flag has already printed the reason.
 func parseFlags(args []string) (*flags, error) {
 	f := &flags{}
 	set := flag.NewFlagSet("citronstep-standin", flag.ContinueOnError)
