--- a/test/capacity/fleet_entries_test.go
+++ b/test/capacity/fleet_entries_test.go
@@ -20,19 +20,19 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// announceInterval is the time between two announcements of a backend server.
+// announceInterval is the time between two announcements of one backend server.
 const announceInterval = time.Second
 
-// announceWorkers is how many announcements are under way at most.
+// announceWorkers is the maximum number of announcements in flight.
 const announceWorkers = 64
 
-// fleet is the followers of a system's entries.
+// fleet holds the followers of the blackboard that stand for the entries of a system.
 type fleet struct {
 	t         *testing.T
 	followers []*follow.Follower
 }
 
-// followAll starts the followers of n entries, each with connections of its own.
+// followAll starts the followers of n entries. Each follower has its own connections.
 func followAll(t *testing.T, s *system, n int) *fleet {
 	t.Helper()
 	f := &fleet{t: t}
@@ -54,8 +54,8 @@
 	return f
 }
 
-// contextUntilCleanup returns a context that ends with the test, and a group that the test waits
-// for then.
+// contextUntilCleanup returns a context that is cancelled when the test ends, and a group that the
+// test then waits for.
 func contextUntilCleanup(t *testing.T) (context.Context, *sync.WaitGroup) {
 	ctx, cancel := context.WithCancel(context.Background())
 	running := new(sync.WaitGroup)
@@ -69,15 +69,16 @@
 // awaitLeases waits until all entries hold a lease.
 func (f *fleet) awaitLeases() {
 	f.t.Helper()
-	f.await("all entries with a lease", func(e *follow.Follower) bool { return e.Lease() > 0 })
+	f.await("all entries hold a lease", func(e *follow.Follower) bool { return e.Lease() > 0 })
 }
 
-// awaitConfiguration waits until all entries hold a revision of the configuration.
+// awaitConfiguration waits until all entries have at least this revision of the configuration.
 func (f *fleet) awaitConfiguration(revision uint64) {
 	f.t.Helper()
-	f.await("the configuration at all entries", func(e *follow.Follower) bool { return e.Board().Config.Revision >= revision })
+	f.await("all entries have the configuration", func(e *follow.Follower) bool { return e.Board().Config.Revision >= revision })
 }
 
+// await waits until holds returns true for every follower.
 func (f *fleet) await(what string, holds func(*follow.Follower) bool) {
 	f.t.Helper()
 	harness.Await(f.t, what, func() bool {
@@ -90,8 +91,8 @@
 	})
 }
 
-// announceAll announces n engines without a group to the control processes, each once
-// in announceInterval, until the test ends.
+// announceAll announces n engines without a group to the control processes other than the last
+// one, each engine once per announceInterval, until the test ends.
 func announceAll(t *testing.T, s *system, n int) {
 	t.Helper()
 	if n == 0 {
@@ -121,8 +122,8 @@
 	})
 }
 
-// announceOnce sends one announcement. What is not taken is sent again a second later, as
-// by a backend server.
+// announceOnce sends one announcement. It ignores errors, because the next announcement follows
+// after announceInterval, as with a real backend server.
 func announceOnce(ctx context.Context, client *http.Client, entry string, i int) {
 	body, err := json.Marshal(&backend.Announcement{
 		ID: vmName(i), Incarnation: "first", Sequence: uint64(time.Now().UnixNano()), Kind: backend.KindEngine, Address: vmName(i) + ":9000",
@@ -143,5 +144,5 @@
 	_ = reply.Body.Close()
 }
 
-// vmsPerDomain is how many VMs a fabric domain has.
+// vmsPerDomain is the number of VMs in a fabric domain.
 const vmsPerDomain = 73
--- a/test/capacity/fleet_test.go
+++ b/test/capacity/fleet_test.go
@@ -15,16 +15,18 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// Control processes of a fleet: some vote, all answer watches.
+// A fleet has fleetControls control processes. fleetVoters of them vote, and all answer watches.
 const (
 	fleetControls = 10
 	fleetVoters   = 5
 )
 
-// minSpreadFleet is the least number of entries whose watches are spread.
+// minSpreadFleet is the smallest number of entries whose watches are spread over the control
+// processes.
 const minSpreadFleet = 420
 
-// Failure: one process answers the watches of a thousand entries and has no processor time left for consensus.
+// Guards against one control process that answers the watches of a thousand entries and has no
+// processor time left for consensus.
 func TestFleet(t *testing.T) {
 	counts, span := []int{minSpreadFleet}, 200*time.Millisecond
 	if *measure {
@@ -42,10 +44,10 @@
 	}
 }
 
-// measureFleet returns the lines of the table for one number of entries: what the control
-// processes, which are real, spend on followers of the blackboard in the test's own
-// process, how long a change takes to all of these, and how long none is possible
-// after the leader's end.
+// measureFleet returns the table lines for one number of entries. The control processes are real;
+// the entries are followers of the blackboard in the test process. It measures what the control
+// processes use, how long a change takes to reach all followers, and how long no change is
+// possible after the leader is killed.
 func measureFleet(t *testing.T, entryCount int, span time.Duration) []string {
 	s := startControls(t)
 	s.foundWith()
@@ -106,8 +108,8 @@
 	return s
 }
 
-// moveLeaderLast puts the leader last among the nodes, so that operators' calls go to
-// another, and returns it.
+// moveLeaderLast moves the leader to the end of the nodes and returns it. Operators' calls go to
+// the first node, and so to another process than the leader.
 func (s *system) moveLeaderLast() *harness.Node {
 	s.t.Helper()
 	leader, last := s.leader(), len(s.nodes)-1
@@ -117,15 +119,15 @@
 			return n
 		}
 	}
-	s.t.Fatalf("no control process leads")
+	s.t.Fatalf("no control process is the leader")
 	return nil
 }
 
-// changeAfterFailover makes one change, asking until a leader takes it.
+// changeAfterFailover repeats one change until a new leader has accepted it.
 func (s *system) changeAfterFailover() {
 	s.t.Helper()
 	change := blackboard.ConfigChange{ChangeID: fmt.Sprint("c", s.revision), Expect: s.revision, UsePreset: "peak"}
-	harness.Await(s.t, "a change after the leader's end", func() bool {
+	harness.Await(s.t, "a new leader accepts a change", func() bool {
 		var reply adminapi.ChangeReply
 		if harness.Operate(s.nodes[0], http.MethodPost, adminapi.PathConfiguration, change, &reply) != nil {
 			return false
--- a/test/capacity/link_test.go
+++ b/test/capacity/link_test.go
@@ -10,7 +10,7 @@
 	"github.com/citronstep/citronstep/internal/evidence/wire"
 )
 
-// link is both sides of a connection that carries evidence one way.
+// link holds both sessions of a connection that carries evidence in one direction.
 type link struct {
 	t        testing.TB
 	from, to *wire.Session
@@ -22,7 +22,7 @@
 	return l
 }
 
-// send returns the bytes of the frames with these lines.
+// send encodes evidence lines as frames.
 func (l *link) send(lines []evidence.Heard) []byte {
 	l.t.Helper()
 	data, err := l.from.Frames(epoch, lines)
@@ -30,13 +30,13 @@
 	return data
 }
 
-// receive returns the lines of frames.
+// receive decodes the evidence lines of frames.
 func (l *link) receive(data []byte) []evidence.Heard {
 	l.t.Helper()
 	return receive(l.t, l.to, data)
 }
 
-// answer sends a frame without lines the other way.
+// answer sends a frame without lines in the opposite direction.
 func (l *link) answer() {
 	l.t.Helper()
 	data, err := l.to.Frames(epoch, nil)
@@ -44,6 +44,7 @@
 	receive(l.t, l.from, data)
 }
 
+// receive decodes the evidence lines of length-prefixed frames in a session.
 func receive(t testing.TB, s *wire.Session, data []byte) []evidence.Heard {
 	t.Helper()
 	var lines []evidence.Heard
--- a/test/capacity/nodes_test.go
+++ b/test/capacity/nodes_test.go
@@ -24,24 +24,26 @@
 const (
 	controlCount  = 3
 	vmsPerReplica = 2
-	// clockTickSeconds is the unit of processor time in /proc, in seconds.
+	// clockTickSeconds is the unit of processor time in /proc.
 	clockTickSeconds = 0.01
-	// settleTime lets elections, groups and first snapshots pass unmeasured.
+	// settleTime excludes elections, the formation of groups and first snapshots from the
+	// measurement.
 	settleTime = 4 * time.Second
 )
 
-// system is a running system of real processes, without links between them.
+// system is a running system of real processes, without links between the processes.
 type system struct {
 	t     *testing.T
 	nodes []*harness.Node
 	// control holds the peer addresses of the control processes.
-	control  []string
+	control []string
+	// revision is the newest revision of the configuration.
 	revision uint64
 }
 
-// TestNodes measures what a process spends on control, without requests:
-// processor time, memory and bytes read and written, against the number of
-// entries, and the time from accepted to in force.
+// TestNodes measures what each process spends without requests, against the number of entries:
+// processor time, memory, and bytes read and written. It also measures the time from the
+// acceptance of a change until the change is in force.
 func TestNodes(t *testing.T) {
 	counts, span := []int{4}, 200*time.Millisecond
 	if *measure {
@@ -59,6 +61,7 @@
 	}
 }
 
+// parseNumbers parses a comma-separated list of numbers.
 func parseNumbers(t *testing.T, list string) []int {
 	t.Helper()
 	var all []int
@@ -70,6 +73,7 @@
 	return all
 }
 
+// measureSystem returns the table lines for one number of entries.
 func measureSystem(t *testing.T, entryCount int, span time.Duration) []string {
 	s := startSystem(t, entryCount)
 	s.found()
@@ -86,6 +90,8 @@
 	return s.rows(leader, used, inForce)
 }
 
+// startSystem starts a system of entryCount nodes, controlCount of them with control, and its
+// engines.
 func startSystem(t *testing.T, entryCount int) *system {
 	t.Helper()
 	s := &system{t: t}
@@ -108,7 +114,7 @@
 	return s
 }
 
-// startNode starts a daemon with its settings.
+// startNode starts a daemon process with settings n.
 func startNode(t *testing.T, path, folder string, n *settings.Settings) *harness.Node {
 	t.Helper()
 	node := &harness.Node{Entry: n.Entry.Listen, Admin: n.Admin.Listen, Folder: folder}
@@ -121,6 +127,7 @@
 	return node
 }
 
+// nodeSettings returns the settings of a node that listens on free addresses.
 func nodeSettings(t *testing.T, folder, name string, control bool) *settings.Settings {
 	s := settings.Dev(folder)
 	s.VM = name
@@ -135,6 +142,7 @@
 	return s
 }
 
+// startEngines starts one process with all engines, which announce to every node.
 func (s *system) startEngines(folder string) {
 	var announce []string
 	for _, n := range s.nodes {
@@ -144,18 +152,19 @@
 		"-engines", strconv.Itoa(*engines), "-fabric-domain", "rack-1", "-data-centre", "dev", "-announce", strings.Join(announce, ","))
 }
 
+// found bootstraps the cluster with one group spec that uses all engines.
 func (s *system) found() {
 	s.t.Helper()
 	s.foundWith(blackboard.GroupSpec{Name: "demo", Model: "demo", Replicas: *engines / vmsPerReplica, VMsPerReplica: vmsPerReplica})
 }
 
-// foundWith founds the cluster with two presets to change between.
+// foundWith bootstraps the cluster with the given groups and two presets to switch between.
 func (s *system) foundWith(groups ...blackboard.GroupSpec) {
 	s.t.Helper()
 	request := adminapi.InitRequest{Initial: blackboard.ConfigChange{
 		ChangeID: "first", Groups: groups, Presets: []blackboard.Preset{{Name: "ordinary"}, {Name: "peak"}}, UsePreset: "ordinary",
 	}}
-	harness.Await(s.t, "the founding", func() bool {
+	harness.Await(s.t, "the cluster is bootstrapped", func() bool {
 		var reply adminapi.InitReply
 		return harness.Operate(s.nodes[0], http.MethodPost, adminapi.PathInit, request, &reply) == nil
 	})
@@ -168,10 +177,10 @@
 	return status, err == nil
 }
 
-// awaitServing waits until all groups serve and every entry has a lease.
+// awaitServing waits until all groups are routable and every entry has a lease.
 func (s *system) awaitServing() {
 	s.t.Helper()
-	harness.Await(s.t, "all groups serving and all entries with a lease", func() bool {
+	harness.Await(s.t, "all groups are routable and all entries have a lease", func() bool {
 		status, ok := s.status()
 		serving, leased := 0, 0
 		for _, g := range status.Groups {
@@ -188,6 +197,7 @@
 	})
 }
 
+// leader returns the name of the leading node, or "" if there is none.
 func (s *system) leader() string {
 	status, _ := s.status()
 	for _, r := range status.Replicas {
@@ -198,8 +208,8 @@
 	return ""
 }
 
-// changes makes configuration changes one after the other and returns the
-// milliseconds from accepted to in force of each.
+// changes makes configuration changes one after the other for the time span, at least one. It
+// returns the sorted times in milliseconds from acceptance to in force.
 func (s *system) changes(span time.Duration) []float64 {
 	s.t.Helper()
 	var times []float64
@@ -221,7 +231,7 @@
 	return times
 }
 
-// inForcePollInterval is the resolution of the times to in force.
+// inForcePollInterval is the resolution of the times returned by changes.
 const inForcePollInterval = time.Millisecond
 
 func (s *system) inForce(path string) bool {
@@ -229,7 +239,8 @@
 	return harness.Operate(s.nodes[0], http.MethodGet, path, nil, &answer) == nil && answer.InForce
 }
 
-// usage is what one process has spent since its start.
+// usage is what one process uses. cpu is in seconds, memory in MB, read and written are in KB.
+// In the result of rates, cpu is the share of one core, and read and written are per second.
 type usage struct{ cpu, memory, read, written float64 }
 
 func (s *system) usages() []usage {
@@ -246,7 +257,7 @@
 	folder := fmt.Sprintf("/proc/%d/", pid)
 	stat, err := os.ReadFile(folder + "stat")
 	assert.NilError(t, err)
-	// The fields after the program's name, which may hold spaces.
+	// The fields after the program's name, which may contain spaces.
 	fields := bytes.Fields(stat[bytes.LastIndexByte(stat, ')')+1:])
 	const userTime, systemTime = 11, 12
 	user, _ := strconv.ParseFloat(string(fields[userTime]), 64)
@@ -254,12 +265,13 @@
 	return usage{
 		cpu:    (user + system) * clockTickSeconds,
 		memory: procValue(t, folder+"status", "VmRSS:") / kilo,
-		// Bytes passed to read and write, of sockets and files alike.
+		// The bytes passed to read and write calls, on sockets and files alike.
 		read:    procValue(t, folder+"io", "rchar:") / kilo,
 		written: procValue(t, folder+"io", "wchar:") / kilo,
 	}
 }
 
+// procValue returns the value of a line "NAME VALUE" of a file in /proc.
 func procValue(t *testing.T, path, name string) float64 {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -275,6 +287,7 @@
 	return 0
 }
 
+// rates returns the usage per second between two readings. memory is that of the later reading.
 func rates(before, after []usage, span time.Duration) []usage {
 	out := make([]usage, len(after))
 	for i, b := range before {
@@ -287,8 +300,8 @@
 	return out
 }
 
-// rows returns the lines of the leader, of the mean follower and of the mean
-// entry that holds no control state.
+// rows returns one table line each for the leader, the mean of the other control nodes and the
+// mean of the entry-only nodes.
 func (s *system) rows(leader string, used []usage, inForce []float64) []string {
 	byRole := map[string][]usage{}
 	for i, n := range s.nodes {
--- a/test/capacity/slopes_test.go
+++ b/test/capacity/slopes_test.go
@@ -16,11 +16,12 @@
 	"github.com/citronstep/citronstep/internal/record"
 )
 
-// vmsPerGroup is the size of a replica at the size of docs/CAPACITY.md.
+// vmsPerGroup is the number of VMs in a group, as in docs/CAPACITY.md.
 const vmsPerGroup = 8
 
 var epoch = time.Unix(1_000_000, 0)
 
+// TestSlopes measures the slopes of single parts within the test process.
 func TestSlopes(t *testing.T) {
 	t.Run("Board", measureBoard)
 	t.Run("Rows", measureRows)
@@ -30,7 +31,7 @@
 	t.Run("Decisions", measureDecisions)
 }
 
-// apply applies commands and fails the test when one is refused as malformed.
+// apply applies commands to a board and fails the test if a command is malformed.
 func apply(t testing.TB, b *blackboard.Board, commands ...blackboard.Command) *blackboard.Board {
 	t.Helper()
 	for _, c := range commands {
@@ -52,7 +53,7 @@
 	}
 }
 
-// boardOf returns a board with n VMs in serving groups of eight.
+// boardOf returns a board with n VMs in serving groups of vmsPerGroup.
 func boardOf(t testing.TB, n int) *blackboard.Board {
 	t.Helper()
 	spec := blackboard.GroupSpec{Name: "memos", Model: "memo-large", Replicas: n / vmsPerGroup, VMsPerReplica: vmsPerGroup}
@@ -109,6 +110,7 @@
 	r.print()
 }
 
+// timeToApply returns the median time in seconds to apply a command.
 func timeToApply(t testing.TB, b *blackboard.Board, c blackboard.Command) float64 {
 	t.Helper()
 	data, err := blackboard.Encode(c)
@@ -116,7 +118,8 @@
 	return timeOf(func() { _, _, _ = b.Apply(data) })
 }
 
-// rowKinds are the other rows of the board, each added one at a time.
+// rowKinds maps each other kind of row on the board to a function that returns the command which
+// adds the i-th row.
 var rowKinds = map[string]func(i int, b *blackboard.Board) blackboard.Command{
 	"entry": func(i int, _ *blackboard.Board) blackboard.Command {
 		address := fmt.Sprintf("10.1.%d.%d", i/250, i%250)
@@ -159,6 +162,7 @@
 	r.print()
 }
 
+// boardWithRows returns a board with one group and n rows of a kind.
 func boardWithRows(t testing.TB, kind string, n int) *blackboard.Board {
 	b := boardOf(t, vmsPerGroup)
 	for i := range n {
@@ -167,13 +171,14 @@
 	return b
 }
 
-// evidenceTableOf returns a table that heard n engines in serving groups.
+// evidenceTableOf returns an evidence table with announcements of n engines in serving groups.
 func evidenceTableOf(n int, sequence uint64) *evidence.Table {
 	table := evidence.NewTable("entry-1", 1)
 	addAnnouncements(table, n, sequence, epoch)
 	return table
 }
 
+// addAnnouncements adds to the table an announcement of each of n engines.
 func addAnnouncements(table *evidence.Table, n int, sequence uint64, now time.Time) {
 	for i := range n {
 		v := vmRow(i)
@@ -187,7 +192,7 @@
 }
 
 func measureEvidence(t *testing.T) {
-	// The mean line has waited for half an interval.
+	// On average a line waits for half a digest interval.
 	made := epoch.Add(evidence.DigestInterval / 2)
 	var size, nothing, exchanged, heap []point
 	for _, n := range sizes() {
@@ -238,6 +243,7 @@
 	r.print()
 }
 
+// recordTableOf returns a table with n finished at-most-once records without answers.
 func recordTableOf(n int) *record.Table {
 	table := record.NewTable()
 	for i := range n {
@@ -298,6 +304,7 @@
 	r.print()
 }
 
+// pickerOf returns a picker with the given number of groups as targets.
 func pickerOf(groups int) *placement.Picker {
 	picker := placement.New(placement.Options{DataCentre: "cluj-a"})
 	var targets []placement.Target
@@ -315,6 +322,7 @@
 	}
 }
 
+// queueOf returns an admission queue with n waiting requests.
 func queueOf(t testing.TB, n int) *admission.Queue {
 	queue := admission.New(admission.Policy{QueueRequests: 2 * n, WorkspaceQueueShare: 1})
 	for i := range n {
