--- a/test/process/at_most_once_test.go
+++ b/test/process/at_most_once_test.go
@@ -123,7 +123,7 @@
 // type "outcome unknown". The first resends may still find the original call in progress.
 func resendUntilOutcomeUnknown(t *testing.T, n *harness.Node, call harness.ServiceRequest) {
 	t.Helper()
-	harness.Await(t, "the refusal says finally that the outcome is unknown", func() bool {
+	harness.Await(t, "the refusal has the final type for an unknown outcome", func() bool {
 		again := harness.CallService(t.Context(), n.Entry, call)
 		assert.Assert(t, again.Refusal != nil, "%+v", again)
 		assert.Equal(t, again.Refusal.Ran, failure.RanUnknown, "%+v", again.Refusal)
--- a/test/process/helpers_test.go
+++ b/test/process/helpers_test.go
@@ -81,7 +81,7 @@
 const requestsPerRetry = 10
 
 // earnRetries sends enough requests through an entry for the workspace to earn the given number
-// of retries. A test lets more requests fail than the retries of normal traffic cover.
+// of retries. A fault test needs more retries than its own few requests would earn.
 func earnRetries(t *testing.T, n *harness.Node, retries int) {
 	t.Helper()
 	for range retries * requestsPerRetry {
