--- a/test/process/refusals_test.go
+++ b/test/process/refusals_test.go
@@ -30,7 +30,8 @@
 // Guards against a false "not run" from an isolated entry. A non-idempotent request has run
 // through another entry. Its caller resends it to an entry that is cut off from the control
 // replicas and can't know of the first send. After "not run" the caller would send the
-// request under a new key, and it would run twice.
+// request under a new key, and it would run twice. A first send without a key is still refused
+// as not run.
 func TestStaleEntryDoesNotSayThatAnEarlierSendDidNotRun(t *testing.T) {
 	c, _ := startServingCluster(t, harness.Standard(), 1)
 	request := harness.Completion{
