--- a/test/process/at_most_once_test.go
+++ b/test/process/at_most_once_test.go
@@ -13,15 +13,14 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// Two transfer notes with different volumes reach an auditor: the terminal
-// sent its request to every entry at once, as its balancer timed out. All carry
-// one key and are marked non-idempotent; one may run, the others must get its
-// answer or be told that it is under way.
+// Guards against a non-idempotent request that runs twice because its caller sends it to every
+// entry at once after a time-out. All sends carry the same key. One send may run. The others
+// must receive its answer or a refusal that does not say "not run".
 func TestResendsOnAllEntriesRunOnce(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "10ms")
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "10ms")
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 20, Key: "note-1", NonIdempotent: true,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 20, Key: "note-1", NonIdempotent: true,
 	}
 	var wg sync.WaitGroup
 	for round := range 3 {
@@ -48,22 +47,21 @@
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// A transfer note is under way when the entry that sent it to an engine is
-// killed. The terminal resends to the other entries until it gets a final
-// answer. The run's outcome is lost with the entry, so "unknown" is the only
-// true one; a second run is not.
+// Guards against a second run of a non-idempotent request whose entry is killed after dispatch.
+// The caller resends to the other entries until it receives a final answer. The result of the
+// run is lost with the entry, so the only correct final answer is "outcome unknown".
 func TestEntryKilledAfterDispatchRunsOnce(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "50ms")
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "50ms")
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 40, Key: "note-2", NonIdempotent: true, TimeoutMillis: 3000,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 40, Key: "note-2", NonIdempotent: true, TimeoutMillis: 3000,
 	}
 	victim := c.Node("n4")
-	lost := make(chan harness.Reply, 1)
-	go func() { lost <- harness.Complete(t.Context(), victim.Entry, request) }()
+	interrupted := make(chan harness.Reply, 1)
+	go func() { interrupted <- harness.Complete(t.Context(), victim.Entry, request) }()
 	harness.Await(t, "the run begins", func() bool { return len(c.RunsOf(request.Prompt)) == 1 })
 	victim.Kill()
-	assert.Assert(t, !(<-lost).Whole)
+	assert.Assert(t, !(<-interrupted).Whole)
 
 	reply := resendUntilFinal(t, c, request)
 	assert.Assert(t, !reply.Whole, "%+v", reply)
@@ -71,22 +69,22 @@
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// The same, but the entry is killed between its claim and the dispatch: it
-// waits for a serving group when it dies. The claim stays with it, so a resend
-// may never run either; and nobody may be told that it did not run.
+// Guards against a second run, or a false "not run", when an entry is killed between its claim
+// and the dispatch, while it waits for a serving group. The killed entry still owns the claim,
+// so a resend may never run.
 func TestEntryKilledBeforeDispatchDoesNotRunTwice(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, harness.Standard(), 1)
+	c, engines := startServingCluster(t, harness.Standard(), 1)
 	engines[0].Kill()
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 4, Key: "note-3", NonIdempotent: true, TimeoutMillis: 2500,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 4, Key: "note-3", NonIdempotent: true, TimeoutMillis: 2500,
 	}
 	victim := c.Node("n4")
-	lost := make(chan harness.Reply, 1)
-	go func() { lost <- harness.Complete(t.Context(), victim.Entry, request) }()
-	harness.Await(t, "the claim is granted", func() bool { return logHas(victim, "event=claim") })
+	interrupted := make(chan harness.Reply, 1)
+	go func() { interrupted <- harness.Complete(t.Context(), victim.Entry, request) }()
+	harness.Await(t, "the claim is granted", func() bool { return logContains(victim, "event=claim") })
 	victim.Kill()
-	<-lost
+	<-interrupted
 	engines[0].Start()
 	c.AwaitGroups("demo", 1)
 
@@ -96,14 +94,14 @@
 	assert.Assert(t, reply.Whole == (runs == 1), "%+v", reply)
 }
 
-// The answer of a transfer note is lost on its way back, while the control
-// leader, which holds the record of the run, is killed. The terminal resends:
-// it must get the recorded answer from what the other replicas hold.
-func TestRecordedAnswerOutlivesTheLeader(t *testing.T) {
+// Guards against the loss of a recorded answer with the control leader. The leader, which holds
+// the record of the run, is killed during the run. A resend must receive the recorded answer
+// from the other control replicas.
+func TestRecordedAnswerSurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 1, "-token-interval", "20ms")
+	c, _ := startServingCluster(t, harness.Standard(), 1, "-token-interval", "20ms")
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 10, Key: "note-4", NonIdempotent: true,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 10, Key: "note-4", NonIdempotent: true,
 	}
 	entry := c.Node("n4")
 	first := make(chan harness.Reply, 1)
@@ -113,18 +111,19 @@
 	reply := <-first
 	assert.Assert(t, reply.Right(request), "%+v", reply)
 
-	// The entry that ran it keeps the answer too; only the record may answer.
+	// The entry that ran the request also caches the answer. Without that entry, only the record
+	// can answer.
 	entry.Kill()
 	again := resendUntilFinal(t, c, request)
 	assert.Assert(t, again.Right(request), "%+v", again)
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// resendUntilUnknown sends a call whose outcome is lost until it is told so for
-// good. The first resends may find the first send still under way.
-func resendUntilUnknown(t *testing.T, n *harness.Node, call harness.ServiceRequest) {
+// resendUntilOutcomeUnknown resends a call whose outcome is lost until the refusal has the final
+// type "outcome unknown". The first resends may still find the original call in progress.
+func resendUntilOutcomeUnknown(t *testing.T, n *harness.Node, call harness.ServiceRequest) {
 	t.Helper()
-	harness.Await(t, "the outcome is unknown for good", func() bool {
+	harness.Await(t, "the refusal has the final type for an unknown outcome", func() bool {
 		again := harness.CallService(t.Context(), n.Entry, call)
 		assert.Assert(t, again.Refusal != nil, "%+v", again)
 		assert.Equal(t, again.Refusal.Ran, failure.RanUnknown, "%+v", again.Refusal)
@@ -132,12 +131,12 @@
 	})
 }
 
-// A plain service writes a custody record and its answer is cut, stalls, or
-// its process dies. The call may have written, so it is not repeated, neither
-// by the entry nor for the caller's resend; with and without a key.
+// Guards against a repeated call to a plain service whose answer is cut or stalls, or whose
+// process crashes. The call may have had its effect, so neither the entry nor a resend by the
+// caller may repeat it, with or without an idempotency key.
 func TestPlainServiceCallThatBreaksRunsOnce(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, small(quick), 1)
+	c, _ := startServingCluster(t, twoNodeSpec(shortTimeouts), 1)
 	services := []*harness.Standin{c.StartService("records-1", "records"), c.StartService("records-2", "records")}
 	entry := c.Entries()[0]
 	awaitService(t, entry, "records")
@@ -152,7 +151,7 @@
 					s.Fault(standin.FaultOrder{Faults: faults})
 				}
 				call := harness.ServiceRequest{
-					Service: "records", Method: http.MethodPost, Path: "/custody", Body: []byte(newPrompt("custody")),
+					Service: "records", Method: http.MethodPost, Path: "/custody", Body: []byte(uniquePrompt("custody")),
 					Key: key, TimeoutMillis: 1500,
 				}
 				reply := harness.CallService(t.Context(), entry.Entry, call)
@@ -162,7 +161,7 @@
 					s.Fault(standin.FaultOrder{})
 				}
 				if key != "" {
-					resendUntilUnknown(t, entry, call)
+					resendUntilOutcomeUnknown(t, entry, call)
 				}
 				assert.Equal(t, len(c.RunsOf(standin.BodyHash(call.Body))), 1)
 				awaitService(t, entry, "records")
@@ -171,24 +170,24 @@
 	}
 }
 
-// The engine has finished a transfer note, and its entry is cut off from the
-// control replicas and dies before it could record the answer. A resend can't
-// get that answer; it must not get a second run either.
+// Guards against a second run when an entry is cut off from the control replicas and dies after
+// the engine has finished, but before the entry has recorded the answer. A resend can't
+// receive that answer and must not start a second run.
 func TestEntryKilledBetweenAnswerAndRecordRunsOnce(t *testing.T) {
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "20ms")
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "20ms")
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 20, Key: "note-7", NonIdempotent: true, TimeoutMillis: 3000,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 20, Key: "note-7", NonIdempotent: true, TimeoutMillis: 3000,
 	}
 	victim := c.Node("n4")
-	lost := make(chan harness.Reply, 1)
-	go func() { lost <- harness.Complete(t.Context(), victim.Entry, request) }()
+	interrupted := make(chan harness.Reply, 1)
+	go func() { interrupted <- harness.Complete(t.Context(), victim.Entry, request) }()
 	harness.Await(t, "the run begins", func() bool { return len(c.RunsOf(request.Prompt)) == 1 })
 	for _, n := range c.Nodes {
 		n.Peers.CutFrom(victim)
 	}
 	harness.Await(t, "the run ends", func() bool { return c.RunsOf(request.Prompt)[0].Outcome != "" })
 	victim.Kill()
-	assert.Assert(t, !(<-lost).Whole)
+	assert.Assert(t, !(<-interrupted).Whole)
 
 	reply := resendUntilFinal(t, c, request)
 	assert.Assert(t, !reply.Whole, "%+v", reply)
@@ -196,15 +195,15 @@
 	assert.Equal(t, len(c.RunsOf(request.Prompt)), 1)
 }
 
-// An entry asks for a claim and the answer is lost, though the claim was
-// granted: answers from the control replicas to that entry are cut. It must not
-// dispatch, must not say "not run" of a key that others may have sent, and no
-// resend may run twice.
+// Guards against a second run when a claim is granted but the grant is lost on its way to the
+// entry: the network drops the control replicas' answers to that entry. The entry must not
+// dispatch. It must not say "not run", because other entries may have received the same key.
+// No resend may lead to a second run.
 func TestLostAnswerOfAClaimRunsAtMostOnce(t *testing.T) {
-	c, _ := smallSystem(t, harness.Standard(), 2, "-token-interval", "5ms")
+	c, _ := startServingCluster(t, harness.Standard(), 2, "-token-interval", "5ms")
 	cut := c.Node("n4")
 	request := harness.Completion{
-		Model: "demo", Prompt: newPrompt("transfer note"), MaxTokens: 4, Key: "note-8", NonIdempotent: true, TimeoutMillis: 2500,
+		Model: "demo", Prompt: uniquePrompt("transfer note"), MaxTokens: 4, Key: "note-8", NonIdempotent: true, TimeoutMillis: 2500,
 	}
 	for _, n := range c.Nodes {
 		n.Peers.CutFromOneWay(cut, harness.Back)
--- a/test/process/whole_path_test.go
+++ b/test/process/end_to_end_test.go
@@ -14,7 +14,7 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-const firstDocument = `
+const initialDocument = `
 active_preset = "ordinary"
 
 [[workspace]]
@@ -39,13 +39,13 @@
 worth = 10
 `
 
-// The whole system as processes: founded and configured by the tool, one
-// serving group of two VMs, a plain service, and each of four entries
-// answering for them.
-func TestWholePath(t *testing.T) {
+// TestEndToEnd runs the complete system as processes. The operators' tool bootstraps and
+// configures it. Each of four entries answers for one serving group of two VMs and for a
+// plain service.
+func TestEndToEnd(t *testing.T) {
 	t.Parallel()
 	c := harness.NewCluster(t, harness.Standard())
-	first := c.Document("first.toml", withKey(firstDocument))
+	first := c.Document("first.toml", withWorkspaceKey(initialDocument))
 	out, status := c.Tool("init", "-configuration", first, "-timeout", "60s")
 	assert.Equal(t, status, 0, out)
 	c.StartEngines(3, "vm", "d1", "-load-time", "50ms", "-token-interval", "1ms")
@@ -79,10 +79,11 @@
 	t.Run("refusals are typed", func(t *testing.T) { checkRefusals(t, c.Entries()[0]) })
 }
 
-func withKey(document string) string {
+func withWorkspaceKey(document string) string {
 	return replaceKey(document, harness.KeyHash(harness.WorkspaceKey))
 }
 
+// checkRefusals checks the failure type of requests that an entry must refuse unrun.
 func checkRefusals(t *testing.T, n *harness.Node) {
 	for name, test := range map[string]struct {
 		request harness.Completion
--- a/test/tool/tool_test.go
+++ b/test/tool/tool_test.go
@@ -1,5 +1,4 @@
-// Package tool tests the operators' tool as a process against the system as
-// processes.
+// Package tool tests the operators' tool as a process against a system of real processes.
 package tool
 
 import (
@@ -24,22 +23,24 @@
 	exitConflict = 3
 	exitNotFound = 4
 	// example is the document that the README founds a cluster with.
-	example = "../../examples/one-machine/configuration.toml"
-	exact   = "-exact"
+	example   = "../../examples/one-machine/configuration.toml"
+	exactFlag = "-exact"
 )
 
-// founded starts a cluster with the README's configuration and four engines.
-func founded(t *testing.T) *harness.Cluster {
+// startClusterWithEngines starts a cluster with the README's configuration and four engines, and
+// returns when its group serves and all entries are ready.
+func startClusterWithEngines(t *testing.T) *harness.Cluster {
 	t.Helper()
 	c := harness.NewCluster(t, harness.Standard())
-	must(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
+	runTool(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
 	c.StartEngines(4, "engine", "rack-1", "-load-time", "50ms", "-token-interval", "2ms")
-	must(t, c, exitOK, "group", "wait", "demo", "-form-wait", "60s")
+	runTool(t, c, exitOK, "group", "wait", "demo", "-form-wait", "60s")
 	c.AwaitReady()
 	return c
 }
 
-func must(t *testing.T, c *harness.Cluster, want int, args ...string) string {
+// runTool runs the operators' tool, checks its exit status and returns its output.
+func runTool(t *testing.T, c *harness.Cluster, want int, args ...string) string {
 	t.Helper()
 	out, status := c.Tool(args...)
 	assert.Equal(t, status, want, "citronstep %s: %s", strings.Join(args, " "), out)
@@ -53,7 +54,8 @@
 	return s.ConfigRevision
 }
 
-func entries(c *harness.Cluster) string {
+// entryAddresses returns the addresses of all entries in the tool's comma-separated form.
+func entryAddresses(c *harness.Cluster) string {
 	var all []string
 	for _, n := range c.Entries() {
 		all = append(all, n.Entry)
@@ -61,31 +63,31 @@
 	return strings.Join(all, ",")
 }
 
-// An operator's day: a preset, a document, and a VM taken out while callers
-// are at work. No caller may get anything but its whole answer, and the tool
-// may say "drained" only when the VM's row holds no group.
+// Guards against broken answers, and against an early "drained", when an operator activates a
+// preset and drains a VM while callers send requests. Every caller must receive its complete
+// answer. The tool may report "drained" only when the VM's row holds no group.
 func TestDrainUnderLoad(t *testing.T) {
-	c := founded(t)
-	must(t, c, exitOK, "diff", example)
-	must(t, c, exitOK, "preset", "use", "peak")
-	must(t, c, exitNotFound, "preset", "use", "festival")
+	c := startClusterWithEngines(t)
+	runTool(t, c, exitOK, "diff", example)
+	runTool(t, c, exitOK, "preset", "use", "peak")
+	runTool(t, c, exitNotFound, "preset", "use", "festival")
 
 	var load sync.WaitGroup
 	load.Go(func() {
-		out, status := c.Tool("load", "-entries", entries(c), "-key", "dev", "-model", "demo", exact,
+		out, status := c.Tool("load", "-entries", entryAddresses(c), "-key", "dev", "-model", "demo", exactFlag,
 			"-count", "300", "-concurrency", "4", "-max-tokens", "40", "-retries", "20")
 		assert.Check(t, is.Equal(status, exitOK), out)
 		assert.Check(t, is.Contains(out, "ok=300"), out)
 	})
-	out := must(t, c, exitOK, "drain", "vm", "engine-1")
+	out := runTool(t, c, exitOK, "drain", "vm", "engine-1")
 	assert.Assert(t, is.Contains(out, "vm engine-1 is drained"))
-	status := decodeStatus(t, must(t, c, exitOK, "status", "-json"))
+	status := decodeStatus(t, runTool(t, c, exitOK, "status", "-json"))
 	for _, v := range status.VMs {
 		assert.Assert(t, v.ID != "engine-1" || v.Group == "", "engine-1 still holds %s", v.Group)
 	}
 	load.Wait()
-	must(t, c, exitOK, "undrain", "vm", "engine-1")
-	must(t, c, exitOK, "group", "wait", "demo", "-form-wait", "60s")
+	runTool(t, c, exitOK, "undrain", "vm", "engine-1")
+	runTool(t, c, exitOK, "group", "wait", "demo", "-form-wait", "60s")
 }
 
 func decodeStatus(t *testing.T, text string) adminapi.Status {
@@ -95,12 +97,12 @@
 	return s
 }
 
-// Six operators change the same group at the same moment, all having seen the
-// same revision. One wins; each of the others must be told, and nothing of
-// their changes may be applied.
-func TestRaceOfOperators(t *testing.T) {
+// Guards against several accepted changes on top of one revision. Six operators change the same
+// group at the same moment, all with the same expected revision. One change is accepted. The
+// tool must report a conflict to the other operators, and must apply nothing of their changes.
+func TestConcurrentOperatorsGetOneWinner(t *testing.T) {
 	c := harness.NewCluster(t, harness.Standard())
-	must(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
+	runTool(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
 	before := configRevision(t, c)
 	const operators = 6
 	statuses := make([]int, operators)
@@ -120,13 +122,13 @@
 	assert.Equal(t, configRevision(t, c), before+1)
 }
 
-// The leader is killed while a change is on its way to it, so the answer may
-// be lost whether the change was accepted or not. The tool goes on under the
-// same change id with the next leader, and a later run with that id gets the
-// same answer: the change is in force once.
-func TestChangeAcrossTheLossOfTheLeader(t *testing.T) {
+// Guards against a lost or repeated change when the leader is killed while it receives the change.
+// The answer may be lost whether or not the change was accepted. The tool must retry under the
+// same change id with the next leader. A later run with that id must receive the same answer,
+// and the change must be applied once.
+func TestChangeSurvivesLeaderLoss(t *testing.T) {
 	c := harness.NewCluster(t, harness.Standard())
-	must(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
+	runTool(t, c, exitOK, "init", "-configuration", example, "-timeout", "60s")
 	before := configRevision(t, c)
 	leader := leaderOf(t, c)
 
@@ -137,17 +139,18 @@
 	})
 	leader.Kill()
 	change.Wait()
-	must(t, c, exitOK, "preset", "use", "peak", "-change-id", "peak-1", "-timeout", "60s", "-wait", "60s")
-	out := must(t, c, exitOK, "preset", "list", "-timeout", "60s")
+	runTool(t, c, exitOK, "preset", "use", "peak", "-change-id", "peak-1", "-timeout", "60s", "-wait", "60s")
+	out := runTool(t, c, exitOK, "preset", "list", "-timeout", "60s")
 	assert.Assert(t, is.Contains(out, "peak      yes"))
-	status := decodeStatus(t, must(t, c, exitOK, "status", "-json", "-timeout", "60s"))
+	status := decodeStatus(t, runTool(t, c, exitOK, "status", "-json", "-timeout", "60s"))
 	assert.Equal(t, status.ConfigRevision, before+1)
 }
 
+// leaderOf waits until a control replica leads and returns its node.
 func leaderOf(t *testing.T, c *harness.Cluster) *harness.Node {
 	t.Helper()
 	name := ""
-	harness.Await(t, "a leader", func() bool {
+	harness.Await(t, "a control replica leads", func() bool {
 		s, err := c.Status()
 		for _, r := range s.Replicas {
 			if err == nil && r.Role == "leader" {
@@ -159,14 +162,14 @@
 	return c.Node(name)
 }
 
-// An operator restarts all processes one after the other while callers are at
-// work. Callers of a process that stops or starts must be told to come back,
-// never that their key is unknown: a program takes 401 for final.
+// Guards against final refusals during a rolling restart under load. Callers of a process that
+// stops or starts must be asked to retry. They must never receive 401, the refusal of an
+// unknown key, because programs don't retry after it.
 func TestRollingRestartUnderLoad(t *testing.T) {
-	c := founded(t)
+	c := startClusterWithEngines(t)
 	var load sync.WaitGroup
 	load.Go(func() {
-		out, status := c.Tool("load", "-entries", entries(c), "-key", "dev", "-model", "demo", exact,
+		out, status := c.Tool("load", "-entries", entryAddresses(c), "-key", "dev", "-model", "demo", exactFlag,
 			"-count", "2000", "-concurrency", "8", "-max-tokens", "20", "-retries", "50")
 		assert.Check(t, is.Equal(status, exitOK), out)
 		assert.Check(t, is.Contains(out, "ok=2000"), out)
@@ -175,7 +178,7 @@
 		n.Terminate()
 		assert.Check(t, is.Equal(n.Wait(harness.AwaitTimeout), exitOK))
 		n.Start()
-		harness.Await(t, n.Spec.Name+" ready", n.Ready)
+		harness.Await(t, n.Spec.Name+" is ready", n.Ready)
 	}
 	load.Wait()
 }
