--- a/internal/tool/apply.go
+++ b/internal/tool/apply.go
@@ -28,7 +28,7 @@
 		setup: func(set *flag.FlagSet) func(*invocation) error {
 			path := set.String("configuration", "", "configuration document to start with")
 			wait := set.Duration("wait", defaultJoinWait, "how long to wait until as many control processes as there are addresses hold the state; 0 returns once it is founded")
-			return func(i *invocation) error { return i.found(*path, *wait) }
+			return func(i *invocation) error { return i.initCluster(*path, *wait) }
 		},
 	}
 }
@@ -44,8 +44,8 @@
 // each copies a small snapshot and is promoted, one after the other.
 const defaultJoinWait = time.Minute
 
-func (i *invocation) found(path string, wait time.Duration) error {
-	if err := i.want(0); err != nil {
+func (i *invocation) initCluster(path string, wait time.Duration) error {
+	if err := i.requireArgs(0); err != nil {
 		return err
 	}
 	var request adminapi.InitRequest
@@ -60,7 +60,7 @@
 	if err != nil && !failure.Is(err, failure.TypeNotFounded) {
 		return errors.Trace(err)
 	}
-	reply, err := i.foundOnce(request)
+	reply, err := i.initWithRetry(request)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -76,19 +76,19 @@
 		return i.printJSON(result)
 	}
 	if before.Founded {
-		i.say("cluster %s was founded already; its configuration stays at revision %d", reply.ClusterID, current.Revision)
+		i.printf("cluster %s was founded already; its configuration stays at revision %d", reply.ClusterID, current.Revision)
 		return nil
 	}
-	i.say("cluster %s is founded; configuration revision %d", reply.ClusterID, current.Revision)
+	i.printf("cluster %s is founded; configuration revision %d", reply.ClusterID, current.Revision)
 	return nil
 }
 
-// foundOnce asks for the founding until it is done or the time is up.
+// initWithRetry asks for the founding until it is done or the time is up.
 //
 // A control process refuses to found while it can't ask each of the others
 // whether it belongs to a cluster. That is so for a moment when an operator
 // has just started them all, and ends by itself.
-func (i *invocation) foundOnce(request adminapi.InitRequest) (adminapi.InitReply, error) {
+func (i *invocation) initWithRetry(request adminapi.InitRequest) (adminapi.InitReply, error) {
 	deadline := time.Now().Add(i.admin.timeout)
 	shown := ""
 	for {
@@ -98,13 +98,13 @@
 			return reply, err
 		}
 		if text := err.Error(); text != shown {
-			i.progress("not founded yet: %s", text)
+			i.printProgress("not founded yet: %s", text)
 			shown = text
 		}
 		select {
 		case <-i.ctx.Done():
 			return reply, err
-		case <-time.After(roundPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	// A resend must reach the server even if the first try is in force
 	// already: the server knows its outcome.
 	if len(p.Differences) == 0 && f.changeID == "" {
-		return i.unchanged(current)
+		return i.reportUnchanged(current)
 	}
 	return i.change(f, current, p.change)
 }
@@ -181,7 +181,7 @@
 // planOf reads the document that the arguments name and compares it with the
 // current configuration.
 func (i *invocation) planOf(prune bool) (blackboard.Configuration, *plan, error) {
-	if err := i.want(1); err != nil {
+	if err := i.requireArgs(1); err != nil {
 		return blackboard.Configuration{}, nil, err
 	}
 	d, err := loadDocument(i.args[0])
@@ -231,9 +231,9 @@
 }
 
 func (i *invocation) printPlan(p *plan) {
-	i.say("configuration revision %d", p.Revision)
+	i.printf("configuration revision %d", p.Revision)
 	if len(p.Differences) == 0 {
-		i.say("no differences")
+		i.printf("no differences")
 		return
 	}
 	t := newTable("ACTION", "KIND", "NAME", "FIELD", "FROM", "TO")
--- a/internal/tool/change.go
+++ b/internal/tool/change.go
@@ -20,9 +20,9 @@
 	// defaultWait is how long a command waits until its change is in force
 	// everywhere. A cut-off entry's lease runs out well within it.
 	defaultWait = 15 * time.Second
-	// pollPause is the wait between two looks at the progress of a change.
-	pollPause = 250 * time.Millisecond
-	noExpect  = -1
+	// pollInterval is the wait between two looks at the progress of a change.
+	pollInterval   = 250 * time.Millisecond
+	expectNotGiven = -1
 )
 
 // changeFlags are the flags of every command that changes the configuration.
@@ -35,7 +35,7 @@
 
 func (f *changeFlags) register(set *flag.FlagSet) {
 	set.StringVar(&f.changeID, "change-id", "", "id of the change; give that of an earlier try to get its outcome without a second change (default a fresh one)")
-	set.Int64Var(&f.expect, "expect", noExpect, "configuration revision that the change was made against (default the current one)")
+	set.Int64Var(&f.expect, "expect", expectNotGiven, "configuration revision that the change was made against (default the current one)")
 	set.StringVar(&f.operator, "operator", "", "name recorded with the change (default the user's)")
 	set.DurationVar(&f.wait, "wait", defaultWait, "how long to wait until the change is carried out; 0 returns once it is accepted")
 }
@@ -71,7 +71,7 @@
 // look first.
 func (i *invocation) change(f *changeFlags, current blackboard.Configuration, c blackboard.ConfigChange) error {
 	c.Expect = current.Revision
-	if f.expect != noExpect {
+	if f.expect != expectNotGiven {
 		c.Expect = uint64(f.expect)
 	}
 	c.ChangeID = firstOf(f.changeID, uuid.NewString())
@@ -95,17 +95,17 @@
 	}
 	switch {
 	case !r.Changed:
-		i.say("no change: the configuration is as wanted at revision %d", r.Revision)
+		i.printf("no change: the configuration is as wanted at revision %d", r.Revision)
 	case r.InForce:
-		i.say("revision %d is in force everywhere", r.Revision)
+		i.printf("revision %d is in force everywhere", r.Revision)
 	default:
-		i.say("revision %d is accepted", r.Revision)
+		i.printf("revision %d is accepted", r.Revision)
 	}
 	return nil
 }
 
 // unchanged reports that there was nothing to send.
-func (i *invocation) unchanged(current blackboard.Configuration) error {
+func (i *invocation) reportUnchanged(current blackboard.Configuration) error {
 	return i.reportChange(changeResult{Revision: current.Revision, InForce: true})
 }
 
@@ -140,7 +140,7 @@
 			state = err.Error()
 		}
 		if state != shown {
-			i.progress("%s", state)
+			i.printProgress("%s", state)
 			shown = state
 		}
 		if time.Now().After(deadline) {
@@ -149,7 +149,7 @@
 		select {
 		case <-i.ctx.Done():
 			return &unfinishedError{message: "interrupted: " + state}
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/tool/client.go
+++ b/internal/tool/client.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// maxAnswer bounds what the tool reads of one answer; a status of 710
+	// maxResponseBytes bounds what the tool reads of one answer; a status of 710
 	// VMs with their groups is well under 1 MB.
-	maxAnswer = 32 << 20
+	maxResponseBytes = 32 << 20
 	// attemptTimeout bounds one try at one address, so that an address which
 	// has gone silent leaves time for the next one.
 	attemptTimeout = 5 * time.Second
-	// roundPause is the wait after all addresses were tried once; an election
+	// retryDelay is the wait after all addresses were tried once; an election
 	// takes about this long.
-	roundPause = 300 * time.Millisecond
+	retryDelay = 300 * time.Millisecond
 )
 
 // client asks the admin API, one address after the other.
@@ -64,14 +64,14 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	for {
-		last := c.round(ctx, method, path, body, into)
-		if last == nil || !worthAnotherTry(last) {
+		last := c.tryAllAddresses(ctx, method, path, body, into)
+		if last == nil || !isRetryable(last) {
 			return last
 		}
 		select {
 		case <-ctx.Done():
 			return &unavailableError{addresses: c.addresses, changeID: changeID, last: last}
-		case <-time.After(roundPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
@@ -80,25 +80,25 @@
 //
 // "Not founded" is final only when every address says it: a control process
 // that has not joined yet does not know the cluster that the others form.
-func (c *client) round(ctx context.Context, method, path string, body []byte, into any) error {
+func (c *client) tryAllAddresses(ctx context.Context, method, path string, body []byte, into any) error {
 	var last error
 	for _, address := range c.addresses {
-		err := c.try(ctx, method, address, path, body, into)
-		unfounded := failure.Is(err, failure.TypeNotFounded)
-		if err == nil || (!unfounded && !worthAnotherTry(err)) {
+		err := c.tryAddress(ctx, method, address, path, body, into)
+		isNotFounded := failure.Is(err, failure.TypeNotFounded)
+		if err == nil || (!isNotFounded && !isRetryable(err)) {
 			return err
 		}
-		if last == nil || !unfounded {
+		if last == nil || !isNotFounded {
 			last = err
 		}
 	}
 	return last
 }
 
-// worthAnotherTry tells a final answer from one that another address, or the
+// isRetryable tells a final answer from one that another address, or the
 // same one a little later, may better. An address that answers "unavailable"
 // may be a control process cut off from the leader.
-func worthAnotherTry(err error) bool {
+func isRetryable(err error) bool {
 	var f *failure.Error
 	if !errors.As(err, &f) {
 		return true
@@ -111,7 +111,7 @@
 	return false
 }
 
-func (c *client) try(ctx context.Context, method, address, path string, body []byte, into any) error {
+func (c *client) tryAddress(ctx context.Context, method, address, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
@@ -127,7 +127,7 @@
 		return errors.Trace(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Annotate(err, address)
 	}
--- a/internal/tool/document.go
+++ b/internal/tool/document.go
@@ -35,7 +35,7 @@
 	MaxOpen        int      `toml:"max_open"`
 }
 
-func (w documentWorkspace) workspace() blackboard.Workspace {
+func (w documentWorkspace) blackboardWorkspace() blackboard.Workspace {
 	return blackboard.Workspace{
 		Name: w.Name, KeySHA256: w.KeySHA256, MoreKeysSHA256: w.MoreKeysSHA256,
 		Priority: w.Priority, Share: w.Share, MaxOpen: w.MaxOpen,
@@ -119,17 +119,17 @@
 }
 
 // names checks one array's names as they come.
-type names struct {
+type nameChecker struct {
 	d     *loadedDocument
 	array string
 	seen  map[string]bool
 }
 
-func (d *loadedDocument) names(array string) *names {
-	return &names{d: d, array: array, seen: map[string]bool{}}
+func (d *loadedDocument) nameChecker(array string) *nameChecker {
+	return &nameChecker{d: d, array: array, seen: map[string]bool{}}
 }
 
-func (n *names) check(i int, name string) {
+func (n *nameChecker) check(i int, name string) {
 	key := elementKey(n.array, i, "name")
 	switch {
 	case n.d.source.Has(key):
@@ -148,7 +148,7 @@
 }
 
 func (d *loadedDocument) checkWorkspaces() {
-	n := d.names("workspace")
+	n := d.nameChecker("workspace")
 	for i, w := range d.Workspaces {
 		n.check(i, w.Name)
 		key := func(name string) string { return elementKey("workspace", i, name) }
@@ -169,7 +169,7 @@
 }
 
 func (d *loadedDocument) checkClasses() {
-	n := d.names("class")
+	n := d.nameChecker("class")
 	for i, c := range d.Classes {
 		n.check(i, c.Name)
 		d.atLeast(elementKey("class", i, "timeout_ms"), c.TimeoutMillis, 0)
@@ -177,7 +177,7 @@
 }
 
 func (d *loadedDocument) checkGroups() {
-	n := d.names("group")
+	n := d.nameChecker("group")
 	for i, g := range d.Groups {
 		n.check(i, g.Name)
 		key := func(name string) string { return elementKey("group", i, name) }
@@ -191,7 +191,7 @@
 }
 
 func (d *loadedDocument) checkPresets() {
-	n := d.names("preset")
+	n := d.nameChecker("preset")
 	for i, p := range d.Presets {
 		n.check(i, p.Name)
 		key := func(name string) string { return elementKey("preset", i, name) }
@@ -212,17 +212,17 @@
 // preset with a misspelt class leaves that class at its ordinary worth.
 func (d *loadedDocument) checkReferences(merged blackboard.Configuration) {
 	for i, p := range d.Presets {
-		refer(d, elementKey("preset", i, "class_worth"), p.ClassWorth, merged.Classes)
-		refer(d, elementKey("preset", i, "workspace_worth"), p.WorkspaceWorth, merged.Workspaces)
-		refer(d, elementKey("preset", i, "group_worth"), p.GroupWorth, merged.Groups)
-		refer(d, elementKey("preset", i, "group_replicas"), p.GroupReplicas, merged.Groups)
+		checkNamesExist(d, elementKey("preset", i, "class_worth"), p.ClassWorth, merged.Classes)
+		checkNamesExist(d, elementKey("preset", i, "workspace_worth"), p.WorkspaceWorth, merged.Workspaces)
+		checkNamesExist(d, elementKey("preset", i, "group_worth"), p.GroupWorth, merged.Groups)
+		checkNamesExist(d, elementKey("preset", i, "group_replicas"), p.GroupReplicas, merged.Groups)
 	}
 	if _, ok := merged.Presets[d.ActivePreset]; d.ActivePreset != "" && !ok {
 		d.source.Fault("active_preset", strconv.Quote(d.ActivePreset)+" is unknown", "the name of a preset")
 	}
 }
 
-func refer[V any](d *loadedDocument, key string, references map[string]int, known map[string]V) {
+func checkNamesExist[V any](d *loadedDocument, key string, references map[string]int, known map[string]V) {
 	for _, name := range sortedKeys(references) {
 		if _, ok := known[name]; !ok {
 			d.source.Fault(key+"."+name, "is unknown", "a name in the document or the configuration")
--- a/internal/tool/drain.go
+++ b/internal/tool/drain.go
@@ -94,7 +94,7 @@
 		return notFound(target.kind, target.name, strings.Join(known, ", "))
 	}
 	if drained[target.name] && f.changeID == "" {
-		err = i.unchanged(current)
+		err = i.reportUnchanged(current)
 	} else {
 		err = i.change(f, current, change)
 	}
@@ -105,7 +105,7 @@
 		return err
 	}
 	if !i.json {
-		i.say("%s %s is drained: it holds no group and no request", target.kind, target.name)
+		i.printf("%s %s is drained: it holds no group and no request", target.kind, target.name)
 	}
 	return nil
 }
@@ -116,13 +116,13 @@
 		if err != nil {
 			return false, "", err
 		}
-		left := holding(s, target)
+		left := unreleased(s, target)
 		return len(left) == 0, fmt.Sprintf("%s %s: waiting for %s", target.kind, target.name, strings.Join(left, ", ")), nil
 	})
 }
 
 // holding lists what is still to be released of a draining VM or group.
-func holding(s adminapi.Status, target drainTarget) []string {
+func unreleased(s adminapi.Status, target drainTarget) []string {
 	var left []string
 	for _, v := range s.VMs {
 		if target.kind == kindVM && v.ID == target.name && v.Group != "" {
@@ -159,7 +159,7 @@
 	if err := i.change(f, current, change); err != nil {
 		return err
 	}
-	if _, whole := current.Groups[target.name]; !whole || target.kind == kindVM || wait <= 0 {
+	if _, isGroup := current.Groups[target.name]; !isGroup || target.kind == kindVM || wait <= 0 {
 		return nil
 	}
 	return i.awaitServing(wait, target.name, current.GroupReplicas(target.name))
--- a/internal/tool/evacuate.go
+++ b/internal/tool/evacuate.go
@@ -43,14 +43,14 @@
 `,
 		setup: func(*flag.FlagSet) func(*invocation) error {
 			return func(i *invocation) error {
-				if err := i.want(1); err != nil {
+				if err := i.requireArgs(1); err != nil {
 					return err
 				}
 				reply, err := i.setEvacuation(http.MethodDelete, i.args[0])
 				if err != nil || i.json {
 					return errors.Trace(err)
 				}
-				i.say("%s takes requests again, from board revision %d on", i.args[0], reply.Revision)
+				i.printf("%s takes requests again, from board revision %d on", i.args[0], reply.Revision)
 				return nil
 			}
 		},
@@ -61,7 +61,7 @@
 	if len(i.args) == 0 {
 		return i.listEvacuations()
 	}
-	if err := i.want(1); err != nil {
+	if err := i.requireArgs(1); err != nil {
 		return err
 	}
 	name := i.args[0]
@@ -74,9 +74,9 @@
 	switch {
 	case i.json:
 	case wait > 0:
-		i.say("%s gets no new requests from any entry", name)
+		i.printf("%s gets no new requests from any entry", name)
 	default:
-		i.say("the evacuation of %s is accepted", name)
+		i.printf("the evacuation of %s is accepted", name)
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 		return i.printJSON(list)
 	}
 	if len(list.Evacuations) == 0 {
-		i.say("no data centre is evacuated")
+		i.printf("no data centre is evacuated")
 	}
 	for _, e := range list.Evacuations {
 		state := "in force"
@@ -136,7 +136,7 @@
 			state = "not yet in force on " + strings.Join(e.Pending, ", ")
 		}
 		since := time.UnixMilli(e.SinceMillis).UTC().Format(time.RFC3339)
-		i.say("%s  since %s, %s; %d groups and %d instances stand by", e.DataCentre, since, state, len(e.Groups), len(e.Services))
+		i.printf("%s  since %s, %s; %d groups and %d instances stand by", e.DataCentre, since, state, len(e.Groups), len(e.Services))
 	}
 	return nil
 }
--- a/internal/tool/events.go
+++ b/internal/tool/events.go
@@ -39,7 +39,7 @@
 }
 
 func (i *invocation) events(f eventFlags) error {
-	if err := i.want(0); err != nil {
+	if err := i.requireArgs(0); err != nil {
 		return err
 	}
 	after, leader := f.after, ""
@@ -52,7 +52,7 @@
 			return errors.Trace(err)
 		}
 		if leader != "" && batch.Leader != leader {
-			i.progress("new leader %s: events start afresh", batch.Leader)
+			i.printProgress("new leader %s: events start afresh", batch.Leader)
 			after, leader = 0, batch.Leader
 			continue
 		}
@@ -86,5 +86,5 @@
 		return
 	}
 	at := time.UnixMilli(e.AtMillis).UTC().Format("2006-01-02T15:04:05.000Z")
-	i.say("%6d  %s  %-13s  %-20s  %s", e.Sequence, at, e.Kind, e.Subject, e.Text)
+	i.printf("%6d  %s  %-13s  %-20s  %s", e.Sequence, at, e.Kind, e.Subject, e.Text)
 }
--- a/internal/tool/exit.go
+++ b/internal/tool/exit.go
@@ -84,8 +84,8 @@
 
 func (differsError) Error() string { return "the document and the configuration differ" }
 
-// codeOf returns the exit code for an error of any command.
-func codeOf(err error) ExitCode {
+// exitCodeOf returns the exit code for an error of any command.
+func exitCodeOf(err error) ExitCode {
 	var (
 		usage       *usageError
 		faults      tomlfile.Faults
@@ -105,10 +105,10 @@
 	case errors.As(err, &differs):
 		return ExitDiffers
 	}
-	return codeOfFailure(failure.From(err).Type)
+	return exitCodeOfFailure(failure.From(err).Type)
 }
 
-func codeOfFailure(t failure.Type) ExitCode {
+func exitCodeOfFailure(t failure.Type) ExitCode {
 	switch t {
 	case failure.TypeConflict:
 		return ExitConflict
@@ -132,15 +132,15 @@
 
 func describeError(err error, asJSON bool) string {
 	if !asJSON {
-		return "citronstep: " + humanError(err) + "\n"
+		return "citronstep: " + errorText(err) + "\n"
 	}
-	d := errorDocument{Error: failure.From(err), ExitCode: codeOf(err)}
+	d := errorDocument{Error: failure.From(err), ExitCode: exitCodeOf(err)}
 	errors.As(err, &d.Faults)
 	data, _ := json.Marshal(d)
 	return string(data) + "\n"
 }
 
-func humanError(err error) string {
+func errorText(err error) string {
 	var f *failure.Error
 	if !errors.As(err, &f) {
 		return err.Error()
--- a/internal/tool/explain.go
+++ b/internal/tool/explain.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	return i.tell(story)
+	return i.printExplanation(story)
 }
 
 func readLog(logs *explain.Logs, path string) error {
@@ -73,7 +73,7 @@
 	return errors.Annotate(logs.Read(file), path)
 }
 
-func (i *invocation) tell(story explain.Story) error {
+func (i *invocation) printExplanation(story explain.Story) error {
 	if i.json {
 		result := explainResult{Cause: story.Cause}
 		for _, line := range story.Lines {
@@ -82,8 +82,8 @@
 		return i.printJSON(result)
 	}
 	for _, line := range story.Lines {
-		i.say("%s", line.Text)
+		i.printf("%s", line.Text)
 	}
-	i.say("\n%s", story.Cause)
+	i.printf("\n%s", story.Cause)
 	return nil
 }
--- a/internal/tool/fake_test.go
+++ b/internal/tool/fake_admin_test.go
@@ -41,7 +41,7 @@
 	f := &fakeAdmin{board: blackboard.New()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+adminapi.PathStatus, f.status)
-	mux.HandleFunc("POST "+adminapi.PathInit, f.found)
+	mux.HandleFunc("POST "+adminapi.PathInit, f.initCluster)
 	mux.HandleFunc("GET "+adminapi.PathConfiguration, f.configuration)
 	mux.HandleFunc("POST "+adminapi.PathConfiguration, f.change)
 	mux.HandleFunc("POST "+adminapi.PathWholeConfiguration, f.replace)
@@ -92,7 +92,7 @@
 	answer(w, s)
 }
 
-func (f *fakeAdmin) found(w http.ResponseWriter, r *http.Request) {
+func (f *fakeAdmin) initCluster(w http.ResponseWriter, r *http.Request) {
 	if f.refuseInits > 0 {
 		f.refuseInits--
 		failure.Write(w, failure.New(failure.TypeConflict, "a peer could not be asked whether it belongs to a cluster"))
--- a/internal/tool/group.go
+++ b/internal/tool/group.go
@@ -131,7 +131,7 @@
 		return usagef("-replicas and -accelerators take 0 or more, -vms-per-replica 1 or more")
 	}
 	if known && next == old && f.changeID == "" {
-		return i.unchanged(current)
+		return i.reportUnchanged(current)
 	}
 	return i.change(&f.changeFlags, current, blackboard.ConfigChange{Groups: []blackboard.GroupSpec{next}})
 }
@@ -186,7 +186,7 @@
 	if i.json {
 		return i.printJSON(map[string]int{"wanted": wanted, "serving": wanted})
 	}
-	i.say("group %s serves with %d of %d replicas", name, wanted, wanted)
+	i.printf("group %s serves with %d of %d replicas", name, wanted, wanted)
 	return nil
 }
 
--- a/internal/tool/load.go
+++ b/internal/tool/load.go
@@ -112,7 +112,7 @@
 }
 
 func (i *invocation) load(f *loadFlags) error {
-	if err := i.want(0); err != nil {
+	if err := i.requireArgs(0); err != nil {
 		return err
 	}
 	if err := f.prepare(); err != nil {
@@ -172,7 +172,7 @@
 		return usagef("give -key-file, -key or -plan")
 	}
 	f.flow.Name, f.flow.Weight = firstOf(f.flow.Model, f.flow.Service, "flow"), 1
-	f.Flows = []loadgen.Flow{f.flow.flow(key)}
+	f.Flows = []loadgen.Flow{f.flow.loadgenFlow(key)}
 	return nil
 }
 
@@ -195,7 +195,7 @@
 			d.Fault(elementKey("flow", n, "key_file"), err.Error(), "a file with the workspace's key, readable by its owner or group only")
 			continue
 		}
-		f.Flows = append(f.Flows, flow.withDefaults().flow(key))
+		f.Flows = append(f.Flows, flow.withDefaults().loadgenFlow(key))
 	}
 	return d.Faults().OrNil()
 }
@@ -213,7 +213,7 @@
 	return l
 }
 
-func (l loadFlow) flow(key string) loadgen.Flow {
+func (l loadFlow) loadgenFlow(key string) loadgen.Flow {
 	return loadgen.Flow{
 		Name: l.Name, Key: key, Class: l.Class, Model: l.Model, Service: l.Service, Path: l.Path,
 		Weight: l.Weight, PromptBytes: l.PromptBytes, MaxTokens: l.MaxTokens, Prefixes: l.Prefixes,
@@ -226,10 +226,10 @@
 	if r.Exact {
 		check = "exact text of each answer"
 	}
-	i.say("run %s, seed %d: %d requests in %.1fs (%.1f a second), %.0f tokens a second; checked: %s",
+	i.printf("run %s, seed %d: %d requests in %.1fs (%.1f a second), %.0f tokens a second; checked: %s",
 		r.RunID, r.Seed, r.Total.Requests, r.Seconds, float64(r.Total.Requests)/r.Seconds, float64(r.Total.Tokens)/r.Seconds, check)
 	if r.Held > 0 {
-		i.say("%d requests were held back: all %s slots were taken, so the load was less than asked for", r.Held, "-concurrency")
+		i.printf("%d requests were held back: all %s slots were taken, so the load was less than asked for", r.Held, "-concurrency")
 	}
 	outcomes := newTable("FLOW", "REQUESTS", "VERDICTS", "REFUSALS", "RETRIES")
 	quantiles := newTable("FLOW", "TIME", "COUNT", "MEAN MS", "P50", "P95", "P99", "MAX")
@@ -240,12 +240,12 @@
 		quantiles.addTimes(f.Name, "between tokens", f.BetweenTokens)
 		quantiles.addTimes(f.Name, "whole", f.Whole)
 	}
-	i.say("")
+	i.printf("")
 	outcomes.write(i.out)
-	i.say("")
+	i.printf("")
 	quantiles.write(i.out)
 	for _, e := range r.Examples {
-		i.say("broken: %s in flow %s, idempotency key %s, request id %s", e.Verdict, e.Flow, e.Key, firstOf(e.RequestID, "none"))
+		i.printf("broken: %s in flow %s, idempotency key %s, request id %s", e.Verdict, e.Flow, e.Key, firstOf(e.RequestID, "none"))
 	}
 }
 
--- a/internal/tool/plan.go
+++ b/internal/tool/plan.go
@@ -39,18 +39,18 @@
 	p := &plan{Revision: current.Revision, Differences: []difference{}}
 	workspaces := make([]blackboard.Workspace, len(d.Workspaces))
 	for i, w := range d.Workspaces {
-		workspaces[i] = w.workspace()
+		workspaces[i] = w.blackboardWorkspace()
 	}
 	c := &p.change
-	c.Workspaces, c.RemoveWorkspaces = compare(p, "workspace", current.Workspaces, workspaces, nameOfWorkspace, prune)
-	c.Classes, c.RemoveClasses = compare(p, "class", current.Classes, d.Classes, nameOfClass, prune)
-	c.Groups, c.RemoveGroups = compare(p, "group", current.Groups, d.Groups, nameOfGroup, prune)
-	c.Presets, c.RemovePresets = compare(p, "preset", current.Presets, d.Presets, nameOfPreset, prune)
+	c.Workspaces, c.RemoveWorkspaces = diffTable(p, "workspace", current.Workspaces, workspaces, nameOfWorkspace, prune)
+	c.Classes, c.RemoveClasses = diffTable(p, "class", current.Classes, d.Classes, nameOfClass, prune)
+	c.Groups, c.RemoveGroups = diffTable(p, "group", current.Groups, d.Groups, nameOfGroup, prune)
+	c.Presets, c.RemovePresets = diffTable(p, "preset", current.Presets, d.Presets, nameOfPreset, prune)
 	if d.ActivePreset != "" && d.ActivePreset != current.ActivePreset {
 		c.UsePreset = d.ActivePreset
 		p.Differences = append(p.Differences, difference{
 			Kind: "active_preset", Name: d.ActivePreset, Action: "change",
-			Fields: []fieldChange{{Field: "active_preset", From: notation(current.ActivePreset), To: notation(d.ActivePreset)}},
+			Fields: []fieldChange{{Field: "active_preset", From: jsonText(current.ActivePreset), To: jsonText(d.ActivePreset)}},
 		})
 	}
 	d.checkReferences(merge(current, *c))
@@ -64,7 +64,7 @@
 
 // compare notes the differences of one table and returns the rows to put and
 // the names to remove.
-func compare[V any](p *plan, kind string, have map[string]V, want []V, name func(V) string, prune bool) (put []V, remove []string) {
+func diffTable[V any](p *plan, kind string, have map[string]V, want []V, name func(V) string, prune bool) (put []V, remove []string) {
 	wanted := make(map[string]bool, len(want))
 	for _, row := range want {
 		wanted[name(row)] = true
@@ -97,7 +97,7 @@
 	var changes []fieldChange
 	a, b := reflect.ValueOf(from), reflect.ValueOf(to)
 	for i := range a.NumField() {
-		old, next := notation(a.Field(i).Interface()), notation(b.Field(i).Interface())
+		old, next := jsonText(a.Field(i).Interface()), jsonText(b.Field(i).Interface())
 		if old != next {
 			changes = append(changes, fieldChange{Field: a.Type().Field(i).Tag.Get("toml"), From: old, To: next})
 		}
@@ -106,7 +106,7 @@
 }
 
 // notation writes a value as JSON; an absent map counts as an empty one.
-func notation(v any) string {
+func jsonText(v any) string {
 	if r := reflect.ValueOf(v); r.Kind() == reflect.Map && r.Len() == 0 {
 		return "{}"
 	}
--- a/internal/tool/pools.go
+++ b/internal/tool/pools.go
@@ -42,32 +42,32 @@
 	if i.json {
 		return i.printJSON(report)
 	}
-	i.sayPools(report)
+	i.printPools(report)
 	return nil
 }
 
-func (i *invocation) sayPools(r explain.PoolReport) {
+func (i *invocation) printPools(r explain.PoolReport) {
 	for _, pool := range slices.Sorted(maps.Keys(r.Seconds)) {
-		i.say("pool %s, VM-seconds:", pool)
+		i.printf("pool %s, VM-seconds:", pool)
 		total := 0.0
 		for _, seconds := range r.Seconds[pool] {
 			total += seconds
 		}
 		for _, state := range slices.Sorted(maps.Keys(r.Seconds[pool])) {
 			seconds := r.Seconds[pool][state]
-			i.say("  %-8s %10.0f  %5.1f%%", state, seconds, 100*seconds/max(total, 1))
+			i.printf("  %-8s %10.0f  %5.1f%%", state, seconds, 100*seconds/max(total, 1))
 		}
 	}
-	i.say("groups that broke: %d", len(r.Repairs))
+	i.printf("groups that broke: %d", len(r.Repairs))
 	for _, reason := range slices.Sorted(maps.Keys(r.Reasons)) {
-		i.say("  %4d  %s", r.Reasons[reason], reason)
+		i.printf("  %4d  %s", r.Reasons[reason], reason)
 	}
-	i.sayStep(r, "broken to formed", func(r explain.Repair) time.Duration { return r.Formed })
-	i.sayStep(r, "formed to serving", func(r explain.Repair) time.Duration { return r.Served })
-	i.say("suspected by entries: %d epochs of groups, broken for it: %d", r.Suspected, r.Acted)
+	i.printStep(r, "broken to formed", func(r explain.Repair) time.Duration { return r.Formed })
+	i.printStep(r, "formed to serving", func(r explain.Repair) time.Duration { return r.Served })
+	i.printf("suspected by entries: %d epochs of groups, broken for it: %d", r.Suspected, r.Acted)
 }
 
-func (i *invocation) sayStep(r explain.PoolReport, name string, step func(explain.Repair) time.Duration) {
+func (i *invocation) printStep(r explain.PoolReport, name string, step func(explain.Repair) time.Duration) {
 	median, longest, shown := r.Steps(step)
-	i.say("%s: median %d ms, longest %d ms, of %d repairs", name, median.Milliseconds(), longest.Milliseconds(), shown)
+	i.printf("%s: median %d ms, longest %d ms, of %d repairs", name, median.Milliseconds(), longest.Milliseconds(), shown)
 }
--- a/internal/tool/preset.go
+++ b/internal/tool/preset.go
@@ -75,7 +75,7 @@
 		return notFound("preset", name, strings.Join(sortedKeys(current.Presets), ", "))
 	}
 	if current.ActivePreset == name && f.changeID == "" {
-		return i.unchanged(current)
+		return i.reportUnchanged(current)
 	}
 	return i.change(f, current, blackboard.ConfigChange{UsePreset: name})
 }
--- a/internal/tool/replace.go
+++ b/internal/tool/replace.go
@@ -18,7 +18,7 @@
 		name:      "replace",
 		arguments: "FILE.toml",
 		summary:   "Put a whole configuration of routes, services and workspaces in force",
-		details: `Sends the document as one whole: routes, services, workspaces and limits that it
+		details: `Sends the document as one replacement: routes, services, workspaces and limits that it
 lacks are gone. Its version decides: the highest one ever accepted is in force, in
 whatever order documents arrive, so that it is safe to send one again. Waits until
 it is in force everywhere.
@@ -28,21 +28,21 @@
 		setup: func(set *flag.FlagSet) func(*invocation) error {
 			wait := set.Duration("wait", defaultWait, "how long to wait until the configuration is in force everywhere; 0 returns once it is accepted")
 			return func(i *invocation) error {
-				if err := i.want(1); err != nil {
+				if err := i.requireArgs(1); err != nil {
 					return err
 				}
-				whole, err := loadWholeDocument(i.args[0])
+				replacement, err := loadReplacementDocument(i.args[0])
 				if err != nil {
 					return err
 				}
-				return i.replace(whole, *wait)
+				return i.replace(replacement, *wait)
 			}
 		},
 	}
 }
 
-// wholeDocument is what replace reads.
-type wholeDocument struct {
+// replacementDocument is what replace reads.
+type replacementDocument struct {
 	Version    uint64                   `toml:"version"`
 	Routes     []blackboard.Route       `toml:"route"`
 	Services   []blackboard.ServiceSpec `toml:"service"`
@@ -50,14 +50,14 @@
 	Limits     blackboard.CallerLimits  `toml:"limits"`
 }
 
-// loadWholeDocument reads and checks the document at path. The error holds the
+// loadReplacementDocument reads and checks the document at path. The error holds the
 // faults of the file with their places, or else what could not be carried out.
-func loadWholeDocument(path string) (*blackboard.ReplaceConfiguration, error) {
+func loadReplacementDocument(path string) (*blackboard.ReplaceConfiguration, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, usagef("%v", err)
 	}
-	var d wholeDocument
+	var d replacementDocument
 	source := tomlfile.Decode(path, data, &d)
 	if !source.SyntaxBroken() {
 		resolveKeys(source, d.Workspaces, filepath.Dir(path))
@@ -65,20 +65,20 @@
 	if err := source.Faults().OrNil(); err != nil {
 		return nil, err
 	}
-	whole := &blackboard.ReplaceConfiguration{Version: d.Version, Routes: d.Routes, Services: d.Services, Limits: d.Limits}
+	replacement := &blackboard.ReplaceConfiguration{Version: d.Version, Routes: d.Routes, Services: d.Services, Limits: d.Limits}
 	for _, w := range d.Workspaces {
-		whole.Workspaces = append(whole.Workspaces, w.workspace())
+		replacement.Workspaces = append(replacement.Workspaces, w.blackboardWorkspace())
 	}
-	if e := whole.Check(); e != nil {
+	if e := replacement.Check(); e != nil {
 		return nil, usagef("%s: %s (%s)", path, e.Message, e.Detail)
 	}
-	return whole, nil
+	return replacement, nil
 }
 
 // replace sends a whole configuration and waits until it is in force.
-func (i *invocation) replace(whole *blackboard.ReplaceConfiguration, wait time.Duration) error {
+func (i *invocation) replace(replacement *blackboard.ReplaceConfiguration, wait time.Duration) error {
 	var reply adminapi.ReplaceReply
-	if err := i.admin.post(i.ctx, adminapi.PathWholeConfiguration, whole, &reply, ""); err != nil {
+	if err := i.admin.post(i.ctx, adminapi.PathWholeConfiguration, replacement, &reply, ""); err != nil {
 		return errors.Trace(err)
 	}
 	waited := i.awaitInForce(wait, reply.Revision)
@@ -88,19 +88,19 @@
 		}
 		return waited
 	}
-	i.reportReplaced(whole.Version, reply, waited == nil && wait > 0)
+	i.printReplaceResult(replacement.Version, reply, waited == nil && wait > 0)
 	return waited
 }
 
-func (i *invocation) reportReplaced(sent uint64, r adminapi.ReplaceReply, inForce bool) {
+func (i *invocation) printReplaceResult(sent uint64, r adminapi.ReplaceReply, inForce bool) {
 	switch {
 	case r.Version > sent:
-		i.say("no change: version %d is newer than the %d that was sent", r.Version, sent)
+		i.printf("no change: version %d is newer than the %d that was sent", r.Version, sent)
 	case !r.Replaced:
-		i.say("no change: version %d was accepted before, as revision %d or earlier", r.Version, r.Revision)
+		i.printf("no change: version %d was accepted before, as revision %d or earlier", r.Version, r.Revision)
 	case inForce:
-		i.say("version %d is accepted as revision %d and in force everywhere", r.Version, r.Revision)
+		i.printf("version %d is accepted as revision %d and in force everywhere", r.Version, r.Revision)
 	default:
-		i.say("version %d is accepted as revision %d", r.Version, r.Revision)
+		i.printf("version %d is accepted as revision %d", r.Version, r.Revision)
 	}
 }
--- a/internal/tool/replace_test.go
+++ b/internal/tool/replace_test.go
@@ -10,7 +10,7 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-const wholeConfigurationDocument = `
+const replacementDocumentText = `
 version = 7
 
 [[service]]
@@ -49,7 +49,7 @@
 // into force whole, a resend change nothing, and an older one be told apart.
 func TestAWholeConfigurationIsReplaced(t *testing.T) {
 	f := newFakeAdmin(t)
-	document := writeDocument(t, wholeConfigurationDocument)
+	document := writeDocument(t, replacementDocumentText)
 	out := f.must(t, ExitOK, "replace", document).out
 	assert.Assert(t, is.Contains(out, "version 7 is accepted as revision 1 and in force everywhere"))
 	c := f.board.Config
@@ -60,7 +60,7 @@
 	assert.Equal(t, c.Limits.MaxBodyBytes, int64(4194304))
 
 	assert.Assert(t, is.Contains(f.must(t, ExitOK, "replace", document).out, "no change: version 7 was accepted before"))
-	older := writeDocument(t, strings.Replace(wholeConfigurationDocument, "version = 7", "version = 3", 1))
+	older := writeDocument(t, strings.Replace(replacementDocumentText, "version = 7", "version = 3", 1))
 	assert.Assert(t, is.Contains(f.must(t, ExitOK, "replace", older).out, "no change: version 7 is newer than the 3"))
 }
 
--- a/internal/tool/status.go
+++ b/internal/tool/status.go
@@ -65,7 +65,7 @@
 }
 
 func (i *invocation) showStatus(only string) error {
-	if err := i.want(0); err != nil {
+	if err := i.requireArgs(0); err != nil {
 		return err
 	}
 	if only != "" && !slices.Contains(sectionNames(), only) {
@@ -79,14 +79,14 @@
 	if err := i.printStatus(s, only); err != nil {
 		return err
 	}
-	return leaderless(s)
+	return checkHasLeader(s)
 }
 
-// leaderless says so when no process leads. A control process that is cut off
+// checkHasLeader says so when no process leads. A control process that is cut off
 // answers with the state that it last knew, which looks healthy: its own
 // measures are zero and its groups serve. A script must not take that for the
 // system's state.
-func leaderless(s adminapi.Status) error {
+func checkHasLeader(s adminapi.Status) error {
 	if !s.Founded {
 		return nil
 	}
@@ -108,9 +108,9 @@
 	for _, part := range sections() {
 		switch {
 		case only == "":
-			i.say("%s", strings.ToUpper(part.name))
+			i.printf("%s", strings.ToUpper(part.name))
 			part.table(s, now).write(i.out)
-			i.say("")
+			i.printf("")
 		case only == part.name && i.json:
 			return i.printJSON(part.value(s))
 		case only == part.name:
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -56,7 +56,7 @@
 	if err != nil && !errors.Is(err, flag.ErrHelp) {
 		_, _ = io.WriteString(to.Err, describeError(err, asJSON))
 	}
-	return codeOf(err)
+	return exitCodeOf(err)
 }
 
 func run(ctx context.Context, args []string, to Streams, getenv func(string) string) (asJSON bool, err error) {
@@ -139,7 +139,7 @@
 }
 
 // want checks the number of arguments.
-func (i *invocation) want(n int) error {
+func (i *invocation) requireArgs(n int) error {
 	if len(i.args) != n {
 		return i.usage()
 	}
@@ -158,12 +158,12 @@
 }
 
 // progress writes a line for whoever watches a long command.
-func (i *invocation) progress(format string, args ...any) {
+func (i *invocation) printProgress(format string, args ...any) {
 	_, _ = fmt.Fprintf(i.err, format+"\n", args...)
 }
 
 // say writes one line of a result for people.
-func (i *invocation) say(format string, args ...any) {
+func (i *invocation) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(i.out, format+"\n", args...)
 }
 
--- a/internal/tool/tool_test.go
+++ b/internal/tool/tool_test.go
@@ -18,7 +18,7 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-const configurationDocument = `
+const configurationDocumentText = `
 active_preset = "ordinary"
 
 [[workspace]]
@@ -56,7 +56,7 @@
 
 func TestFoundApplyAndUsePreset(t *testing.T) {
 	f := newFakeAdmin(t)
-	document := writeDocument(t, configurationDocument)
+	document := writeDocument(t, configurationDocumentText)
 
 	f.must(t, ExitOK, "init", "-configuration", document)
 	assert.Equal(t, f.board.Config.ActivePreset, "ordinary")
@@ -81,7 +81,7 @@
 	f.must(t, ExitOK, "init")
 	f.set(func() { f.loseAnswers = 2 })
 
-	f.must(t, ExitOK, "apply", writeDocument(t, configurationDocument))
+	f.must(t, ExitOK, "apply", writeDocument(t, configurationDocumentText))
 
 	assert.Equal(t, f.board.Config.Revision, uint64(1))
 	assert.Equal(t, len(f.posts), 3)
@@ -94,7 +94,7 @@
 func TestUnknownOutcomeNamesTheChangeID(t *testing.T) {
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init")
-	document := writeDocument(t, configurationDocument)
+	document := writeDocument(t, configurationDocumentText)
 	f.set(func() { f.loseAnswers = 1000 })
 
 	r := f.must(t, ExitUnavailable, "apply", document, "-timeout", "400ms")
@@ -111,7 +111,7 @@
 // may be applied.
 func TestRaceOfTwoOperatorsIsAConflict(t *testing.T) {
 	f := newFakeAdmin(t)
-	f.must(t, ExitOK, "init", "-configuration", writeDocument(t, configurationDocument))
+	f.must(t, ExitOK, "init", "-configuration", writeDocument(t, configurationDocumentText))
 	f.must(t, ExitOK, "group", "set", "memos", "-replicas", "2")
 
 	r := f.must(t, ExitConflict, "group", "set", "memos", "-replicas", "3", "-expect", "1")
@@ -193,14 +193,14 @@
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init")
 	r := f.must(t, ExitUsage, "apply", writeDocument(t,
-		strings.Replace(configurationDocument, "{ interactive", "{ interactve", 1)))
+		strings.Replace(configurationDocumentText, "{ interactive", "{ interactve", 1)))
 	assert.Assert(t, is.Contains(r.err, "preset[1].class_worth.interactve: is unknown"))
 	assert.Equal(t, len(f.posts), 0)
 }
 
 func TestDiffAndPrune(t *testing.T) {
 	f := newFakeAdmin(t)
-	f.must(t, ExitOK, "init", "-configuration", writeDocument(t, configurationDocument))
+	f.must(t, ExitOK, "init", "-configuration", writeDocument(t, configurationDocumentText))
 	smaller := writeDocument(t, `
 [[workspace]]
 name = "audits"
@@ -225,11 +225,11 @@
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init")
 	f.pending = 1
-	looks := 0
+	polls := 0
 	f.onStatus = func(s *adminapi.Status) {
-		looks++
+		polls++
 		vm := blackboard.VM{ID: "engine-1", Group: "memos-0"}
-		if looks > 3 {
+		if polls > 3 {
 			vm.Group = ""
 		}
 		s.VMs = []blackboard.VM{vm}
@@ -247,7 +247,7 @@
 
 func TestDrainThatDoesNotFinishHasItsOwnCode(t *testing.T) {
 	f := newFakeAdmin(t)
-	f.must(t, ExitOK, "init", "-configuration", writeDocument(t, configurationDocument))
+	f.must(t, ExitOK, "init", "-configuration", writeDocument(t, configurationDocumentText))
 	f.onStatus = func(s *adminapi.Status) {
 		s.Groups = []blackboard.Group{{ID: "memos-0", Spec: "memos", State: blackboard.Draining}}
 	}
--- a/internal/tool/workspace.go
+++ b/internal/tool/workspace.go
@@ -109,7 +109,7 @@
 	}
 	next.Name = name
 	if known && reflect.DeepEqual(next, old) && f.changeID == "" {
-		return i.unchanged(current)
+		return i.reportUnchanged(current)
 	}
 	return i.change(&f.changeFlags, current, blackboard.ConfigChange{Workspaces: []blackboard.Workspace{next}})
 }
