--- a/internal/tool/apply.go
+++ b/internal/tool/apply.go
@@ -16,34 +16,36 @@
 func initCommand() command {
 	return command{
 		name:    "init",
-		summary: "Found the cluster, once in its life",
-		details: `Founds the cluster that the control processes in peers.control make up. Run it
+		summary: "Initialise the cluster, once, before its first use",
+		details: `Initialises (founds) the cluster of the control processes in peers.control. Run it
 once, after the control processes have started with empty data folders, and name
-the admin addresses of all of them: it waits until that many hold the state, since
-until then the loss of one disk could lose it. It is safe to run again: a founded
-cluster is left as it is.
+the admin addresses of all of them. It waits until that many processes hold the
+state: until then, the loss of one disk can lose the state. It is safe to run again:
+an initialised cluster is not changed.
 
 Example: citronstep init -configuration configuration.toml
 `,
 		setup: func(set *flag.FlagSet) func(*invocation) error {
-			path := set.String("configuration", "", "configuration document to start with")
-			wait := set.Duration("wait", defaultJoinWait, "how long to wait until as many control processes as there are addresses hold the state; 0 returns once it is founded")
+			path := set.String("configuration", "", "initial configuration document")
+			wait := set.Duration("wait", defaultJoinWait, "how long to wait until as many control processes as there are addresses hold the state; 0 returns as soon as the cluster is founded")
 			return func(i *invocation) error { return i.initCluster(*path, *wait) }
 		},
 	}
 }
 
-// initResult is the JSON form of init's outcome.
+// initResult is the JSON form of the result of init.
 type initResult struct {
 	ClusterID      string `json:"cluster_id"`
 	FoundedAlready bool   `json:"founded_already"`
 	ConfigRevision uint64 `json:"config_revision"`
 }
 
-// defaultJoinWait is how long init waits for the other control processes:
-// each copies a small snapshot and is promoted, one after the other.
+// defaultJoinWait is how long init waits for the other control processes. They join one after
+// the other: each copies a small snapshot and is then promoted to voter.
 const defaultJoinWait = time.Minute
 
+// initCluster initialises the cluster, waits until all named control processes vote, and prints
+// the result.
 func (i *invocation) initCluster(path string, wait time.Duration) error {
 	if err := i.requireArgs(0); err != nil {
 		return err
@@ -66,7 +68,7 @@
 	}
 	current, err := i.configuration()
 	if err != nil {
-		return errors.Annotate(err, "founded as "+reply.ClusterID+", but its configuration could not be read")
+		return errors.Annotate(err, "cluster "+reply.ClusterID+" is founded, but its configuration could not be read")
 	}
 	if err := i.awaitVoters(wait, len(i.admin.addresses)); err != nil {
 		return errors.Trace(err)
@@ -83,11 +85,12 @@
 	return nil
 }
 
-// initWithRetry asks for the founding until it is done or the time is up.
+// initWithRetry sends the init request until it succeeds, fails for good, or the timeout
+// passes.
 //
-// A control process refuses to found while it can't ask each of the others
-// whether it belongs to a cluster. That is so for a moment when an operator
-// has just started them all, and ends by itself.
+// While a control process can't ask every other process whether that process already belongs to
+// a cluster, it refuses init with a conflict. This conflict ends by itself shortly after an
+// operator has started all processes.
 func (i *invocation) initWithRetry(request adminapi.InitRequest) (adminapi.InitReply, error) {
 	deadline := time.Now().Add(i.admin.timeout)
 	shown := ""
@@ -109,8 +112,8 @@
 	}
 }
 
-// awaitVoters waits until wanted replicas vote. A cluster is founded with one
-// voter; until the others have joined, what it accepts is on one disk.
+// awaitVoters waits until the wanted number of replicas vote. A new cluster has one voter;
+// until the others have joined, accepted changes are stored on one disk only.
 func (i *invocation) awaitVoters(wait time.Duration, wanted int) error {
 	if wait <= 0 {
 		return nil
@@ -130,6 +133,7 @@
 	})
 }
 
+// initialChange returns the configuration change that creates the rows of the document at path.
 func initialChange(path string) (blackboard.ConfigChange, error) {
 	d, err := loadDocument(path)
 	if err != nil {
@@ -148,11 +152,11 @@
 	return command{
 		name:      "apply",
 		arguments: "FILE.toml",
-		summary:   "Make the configuration hold what a document says",
-		details: `Sends what differs between the document and the configuration as one change,
-which applies whole or not at all, and waits until it is in force everywhere.
-Rows that the document lacks stay, unless -prune is given. When another
-operator's change came first, nothing changes and the exit code is 3.
+		summary:   "Bring the configuration in line with a document",
+		details: `Sends the differences between the document and the configuration as one atomic
+change and waits until it is in force everywhere. Rows that the document lacks
+stay, unless -prune is given. When another operator's change came first, nothing
+changes and the exit code is 3.
 
 Example: citronstep apply configuration.toml
 `,
@@ -170,16 +174,16 @@
 	if err != nil {
 		return err
 	}
-	// A resend must reach the server even if the first try is in force
-	// already: the server knows its outcome.
+	// The server must get a resend even if the first attempt is already in force: only the
+	// server knows the outcome of that change id.
 	if len(p.Differences) == 0 && f.changeID == "" {
 		return i.reportUnchanged(current)
 	}
 	return i.change(f, current, p.change)
 }
 
-// planOf reads the document that the arguments name and compares it with the
-// current configuration.
+// planOf reads the document that the arguments name and compares it with the current
+// configuration.
 func (i *invocation) planOf(prune bool) (blackboard.Configuration, *plan, error) {
 	if err := i.requireArgs(1); err != nil {
 		return blackboard.Configuration{}, nil, err
@@ -202,13 +206,13 @@
 		arguments: "FILE.toml",
 		summary:   "Show what apply would change",
 		details: `Compares a document with the configuration and changes nothing. Give the
-revision that it prints to apply's -expect, so that apply does what was shown
-or nothing.
+revision that it prints to apply's -expect, so that apply makes exactly the
+changes shown or none.
 
 Example: citronstep diff configuration.toml
 `,
 		setup: func(set *flag.FlagSet) func(*invocation) error {
-			prune := set.Bool("prune", false, "count what the document lacks as to be removed")
+			prune := set.Bool("prune", false, "show rows that the document lacks as removals")
 			return func(i *invocation) error { return i.diff(*prune) }
 		},
 	}
--- a/internal/tool/change.go
+++ b/internal/tool/change.go
@@ -17,11 +17,13 @@
 )
 
 const (
-	// defaultWait is how long a command waits until its change is in force
-	// everywhere. A cut-off entry's lease runs out well within it.
+	// defaultWait is how long a command waits until its change is in force everywhere. It is
+	// longer than the configuration lease, so the lease of a disconnected entry expires within
+	// it.
 	defaultWait = 15 * time.Second
-	// pollInterval is the wait between two looks at the progress of a change.
-	pollInterval   = 250 * time.Millisecond
+	// pollInterval is the time between two polls of the progress of a change.
+	pollInterval = 250 * time.Millisecond
+	// expectNotGiven is the value of -expect when the flag is not given.
 	expectNotGiven = -1
 )
 
@@ -34,17 +36,17 @@
 }
 
 func (f *changeFlags) register(set *flag.FlagSet) {
-	set.StringVar(&f.changeID, "change-id", "", "id of the change; give that of an earlier try to get its outcome without a second change (default a fresh one)")
-	set.Int64Var(&f.expect, "expect", expectNotGiven, "configuration revision that the change was made against (default the current one)")
-	set.StringVar(&f.operator, "operator", "", "name recorded with the change (default the user's)")
-	set.DurationVar(&f.wait, "wait", defaultWait, "how long to wait until the change is carried out; 0 returns once it is accepted")
+	set.StringVar(&f.changeID, "change-id", "", "id of the change; give the id of an earlier attempt to get its outcome without a second change (default a new id)")
+	set.Int64Var(&f.expect, "expect", expectNotGiven, "configuration revision that the change is based on (default the current one)")
+	set.StringVar(&f.operator, "operator", "", "operator name recorded with the change (default the name of the current user)")
+	set.DurationVar(&f.wait, "wait", defaultWait, "how long to wait until the change is in force everywhere; 0 returns as soon as it is accepted")
 }
 
-// changeResult is the JSON form of a change's outcome.
+// changeResult is the JSON form of the result of a change.
 type changeResult struct {
 	Revision uint64 `json:"revision"`
 	ChangeID string `json:"change_id"`
-	// Changed is false when the configuration was as wanted already.
+	// Changed is false when the configuration already had the wanted values.
 	Changed bool `json:"changed"`
 	InForce bool `json:"in_force"`
 }
@@ -65,10 +67,9 @@
 
 // change sends one change and waits until it is in force everywhere.
 //
-// The expected revision is that of the configuration the change was made
-// against, so of two operators who act on the same state one wins and the
-// other is told. The tool never retries over a conflict: the loser should
-// look first.
+// The expected revision is the revision of the configuration that the change is based on. When
+// two operators change the same revision, one succeeds and the other gets a conflict. The tool
+// never retries after a conflict: the second operator should read the new configuration first.
 func (i *invocation) change(f *changeFlags, current blackboard.Configuration, c blackboard.ConfigChange) error {
 	c.Expect = current.Revision
 	if f.expect != expectNotGiven {
@@ -89,13 +90,14 @@
 	return waitErr
 }
 
+// reportChange prints the result of a change.
 func (i *invocation) reportChange(r changeResult) error {
 	if i.json {
 		return i.printJSON(r)
 	}
 	switch {
 	case !r.Changed:
-		i.printf("no change: the configuration is as wanted at revision %d", r.Revision)
+		i.printf("no change: the configuration already has the wanted values at revision %d", r.Revision)
 	case r.InForce:
 		i.printf("revision %d is in force everywhere", r.Revision)
 	default:
@@ -104,12 +106,13 @@
 	return nil
 }
 
-// unchanged reports that there was nothing to send.
+// reportUnchanged reports that the configuration already has the wanted values, so no change
+// was sent.
 func (i *invocation) reportUnchanged(current blackboard.Configuration) error {
 	return i.reportChange(changeResult{Revision: current.Revision, InForce: true})
 }
 
-// awaitInForce polls until every entry holds the revision or admits nothing.
+// awaitInForce polls until every entry either holds the revision or admits no requests.
 func (i *invocation) awaitInForce(wait time.Duration, revision uint64) error {
 	if wait <= 0 {
 		return nil
@@ -125,9 +128,9 @@
 	})
 }
 
-// await calls step until it is done, and prints each new state that step
-// returns. A failed look does not undo what was accepted, so only the end of
-// the wait ends it.
+// await calls step until step reports that it is done, and prints each new state that step
+// returns. An error of step does not undo an accepted change, so polling goes on until the wait
+// limit passes or the context ends.
 func (i *invocation) await(wait time.Duration, step func() (done bool, state string, err error)) error {
 	deadline := time.Now().Add(wait)
 	shown := ""
@@ -154,6 +157,7 @@
 	}
 }
 
+// operatorName returns the name of the current user, to be recorded with a change.
 func operatorName() string {
 	if u, err := user.Current(); err == nil && u.Username != "" {
 		return u.Username
@@ -161,6 +165,7 @@
 	return os.Getenv("USER")
 }
 
+// notFound returns the error for an unknown name, with the list of known names.
 func notFound(kind, name, known string) error {
 	return failure.New(failure.TypeNotFound, "no "+kind+" named "+strconv.Quote(name)).
 		WithDetail("known: " + firstOf(known, "none"))
--- a/internal/tool/client.go
+++ b/internal/tool/client.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// maxResponseBytes bounds what the tool reads of one answer; a status of 710
-	// VMs with their groups is well under 1 MB.
+	// maxResponseBytes bounds what the tool reads of one response. A status of 710 VMs with
+	// their groups is well under 1 MB.
 	maxResponseBytes = 32 << 20
-	// attemptTimeout bounds one try at one address, so that an address which
-	// has gone silent leaves time for the next one.
+	// attemptTimeout bounds one attempt at one address, so that an unresponsive address leaves
+	// time for the next one.
 	attemptTimeout = 5 * time.Second
-	// retryDelay is the wait after all addresses were tried once; an election
-	// takes about this long.
+	// retryDelay is the wait after all addresses were tried once. A leader election takes about
+	// this long.
 	retryDelay = 300 * time.Millisecond
 )
 
-// client asks the admin API, one address after the other.
+// client calls the admin API and tries its addresses one after the other.
 //
-// Every call is safe to repeat: reads change nothing, changes carry a change
-// id, and founding is idempotent. So a lost answer is met by asking the next
-// address the same thing, until timeout.
+// Every call is safe to repeat: reads change nothing, changes carry a change id, and init is
+// idempotent. So when a response is lost, the client sends the same request to the next address
+// until the timeout passes.
 type client struct {
 	addresses []string
 	token     string
@@ -50,8 +50,8 @@
 	return errors.Trace(c.call(ctx, http.MethodGet, path, nil, into, ""))
 }
 
-// post sends body to path. changeID names the change for the operator when
-// its outcome stays unknown.
+// post sends body to path. changeID, if not empty, is named in the error when the outcome of
+// the change stays unknown.
 func (c *client) post(ctx context.Context, path string, body, into any, changeID string) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -60,6 +60,8 @@
 	return errors.Trace(c.call(ctx, http.MethodPost, path, data, into, changeID))
 }
 
+// call sends a request to all addresses in turn until it gets a final response or the timeout
+// passes.
 func (c *client) call(ctx context.Context, method, path string, body []byte, into any, changeID string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -76,10 +78,10 @@
 	}
 }
 
-// round tries each address once, up to a final answer.
+// tryAllAddresses tries each address once and stops at the first final response.
 //
-// "Not founded" is final only when every address says it: a control process
-// that has not joined yet does not know the cluster that the others form.
+// "Not founded" is final only when every address returns it: a control process that has not
+// joined yet does not know the cluster that the others form.
 func (c *client) tryAllAddresses(ctx context.Context, method, path string, body []byte, into any) error {
 	var last error
 	for _, address := range c.addresses {
@@ -95,9 +97,9 @@
 	return last
 }
 
-// isRetryable tells a final answer from one that another address, or the
-// same one a little later, may better. An address that answers "unavailable"
-// may be a control process cut off from the leader.
+// isRetryable reports whether another address, or the same address a little later, may succeed
+// where this attempt failed. An address that answers "unavailable" may be a control process
+// without a connection to the leader.
 func isRetryable(err error) bool {
 	var f *failure.Error
 	if !errors.As(err, &f) {
@@ -111,6 +113,7 @@
 	return false
 }
 
+// tryAddress sends the request to one address.
 func (c *client) tryAddress(ctx context.Context, method, address, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -134,10 +137,12 @@
 	return readAnswer(address, response.StatusCode, data, into)
 }
 
+// readAnswer decodes a response body into the result or into the typed failure that the body
+// holds.
 func readAnswer(address string, status int, data []byte, into any) error {
 	if status == http.StatusOK {
 		if err := json.Unmarshal(data, into); err != nil {
-			return failure.New(failure.TypeInternal, address+" answered with something else than the admin API's JSON")
+			return failure.New(failure.TypeInternal, address+" answered with a body that is not JSON of the admin API")
 		}
 		return nil
 	}
--- a/internal/tool/connection.go
+++ b/internal/tool/connection.go
@@ -20,7 +20,7 @@
 
 const defaultTimeout = 15 * time.Second
 
-// connection says where the admin API is and how to ask it.
+// connection holds the addresses, the token and the timeout for calls of the admin API.
 type connection struct {
 	addresses []string
 	token     string
@@ -46,12 +46,12 @@
 	set.StringVar(&f.addresses, "addresses", "", "admin addresses as IP:port, separated by commas, tried in turn (environment: "+EnvAddresses+"; default "+settings.DevAdmin+")")
 	set.StringVar(&f.tokenFile, "token-file", "", "file with the operators' token (environment: "+EnvTokenFile+")")
 	set.StringVar(&f.config, "config", "", "TOML file with addresses and token_file (environment: "+EnvConfig+")")
-	set.DurationVar(&f.timeout, "timeout", defaultTimeout, "how long to try all addresses for one answer")
+	set.DurationVar(&f.timeout, "timeout", defaultTimeout, "total time limit for one call, over all addresses")
 	set.BoolVar(&f.json, "json", false, "print JSON instead of tables")
 }
 
-// resolve takes each value from the flag, else the environment, else the
-// file, else the default.
+// resolve takes each value from the first source that has it: the flag, the environment, the
+// file, the default.
 func (f *connectionFlags) resolve(getenv func(string) string) (connection, error) {
 	file, err := readConnectionFile(firstOf(f.config, getenv(EnvConfig)))
 	if err != nil {
@@ -62,7 +62,7 @@
 	for _, address := range strings.Split(given, ",") {
 		address = strings.TrimSpace(address)
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			return c, usagef("address %q: want IP:port, such as %s; names are not resolved", address, settings.DevAdmin)
+			return c, usagef("address %q: must be IP:port, such as %s; host names are not resolved", address, settings.DevAdmin)
 		}
 		c.addresses = append(c.addresses, address)
 	}
@@ -89,6 +89,7 @@
 	return file, tomlfile.Decode(path, data, &file).Faults().OrNil()
 }
 
+// firstOf returns the first value that is not empty, or "".
 func firstOf(values ...string) string {
 	for _, v := range values {
 		if v != "" {
