--- a/internal/tool/document.go
+++ b/internal/tool/document.go
@@ -13,18 +13,18 @@
 	"github.com/citronstep/citronstep/internal/tomlfile"
 )
 
-// document is a configuration document: what apply, diff and init read.
+// document is a configuration document, the input of apply, diff and init.
 type document struct {
 	Workspaces []documentWorkspace       `toml:"workspace"`
 	Classes    []blackboard.RequestClass `toml:"class"`
 	Groups     []blackboard.GroupSpec    `toml:"group"`
 	Presets    []blackboard.Preset       `toml:"preset"`
-	// ActivePreset, when given, is put in force together with the rest.
+	// ActivePreset, if not empty, becomes the active preset in the same change.
 	ActivePreset string `toml:"active_preset"`
 }
 
-// documentWorkspace names its key by a file or by the key's hash, so that no
-// document holds a key.
+// documentWorkspace names its key by a file or by the key's hash, so that no document contains
+// a key.
 type documentWorkspace struct {
 	Name           string   `toml:"name"`
 	KeyFile        string   `toml:"key_file"`
@@ -42,14 +42,14 @@
 	}
 }
 
-// loadedDocument is a checked document with the places of its keys.
+// loadedDocument is a checked document with the source position of each key.
 type loadedDocument struct {
 	document
 	source *tomlfile.Document
 }
 
-// loadDocument reads, checks and resolves the document at path. The error
-// holds every fault of the file.
+// loadDocument reads and checks the document at path and resolves its key files. The error
+// lists every fault of the file.
 func loadDocument(path string) (*loadedDocument, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return d, d.source.Faults().OrNil()
 }
 
-// parseDocument checks a document without a look at its key files.
+// parseDocument checks a document without reading its key files.
 func parseDocument(path string, data []byte) *loadedDocument {
 	d := &loadedDocument{}
 	d.source = tomlfile.Decode(path, data, &d.document)
@@ -84,7 +84,7 @@
 
 func (d *loadedDocument) resolveKeys(folder string) { resolveKeys(d.source, d.Workspaces, folder) }
 
-// resolveKeys reads the keys that workspaces name by a file.
+// resolveKeys reads the key files that workspaces name and sets the hashes of the keys.
 func resolveKeys(source *tomlfile.Document, workspaces []documentWorkspace, folder string) {
 	for i := range workspaces {
 		w := &workspaces[i]
@@ -114,11 +114,12 @@
 
 const allowedName = "1 to 64 letters, digits, '.', '_' or '-', the first a letter or digit; each name once"
 
+// elementKey returns the path of a key in an array element, such as group[0].model.
 func elementKey(array string, i int, key string) string {
 	return array + "[" + strconv.Itoa(i) + "]." + key
 }
 
-// names checks one array's names as they come.
+// nameChecker checks the names of one array of the document, in order.
 type nameChecker struct {
 	d     *loadedDocument
 	array string
@@ -136,11 +137,12 @@
 	case !namePattern.MatchString(name):
 		n.d.source.Fault(key, strconv.Quote(name), allowedName)
 	case n.seen[name]:
-		n.d.source.Fault(key, strconv.Quote(name)+" stands twice", allowedName)
+		n.d.source.Fault(key, strconv.Quote(name)+" occurs more than once", allowedName)
 	}
 	n.seen[name] = true
 }
 
+// atLeast adds a fault when value is less than low and the key has no fault yet.
 func (d *loadedDocument) atLeast(key string, value int64, low int64) {
 	if value < low && !d.source.Has(key) {
 		d.source.Fault(key, strconv.FormatInt(value, 10), strconv.FormatInt(low, 10)+" or more")
@@ -207,9 +209,9 @@
 	}
 }
 
-// checkReferences finds names in presets that the configuration would not
-// have. The server would accept them and they would silently do nothing: a
-// preset with a misspelt class leaves that class at its ordinary worth.
+// checkReferences finds names in presets that the changed configuration would not contain. The
+// server would accept such names without any effect: a preset with a misspelt class leaves that
+// class at its default worth.
 func (d *loadedDocument) checkReferences(merged blackboard.Configuration) {
 	for i, p := range d.Presets {
 		checkNamesExist(d, elementKey("preset", i, "class_worth"), p.ClassWorth, merged.Classes)
@@ -222,6 +224,7 @@
 	}
 }
 
+// checkNamesExist adds a fault for each name in references that is not in known.
 func checkNamesExist[V any](d *loadedDocument, key string, references map[string]int, known map[string]V) {
 	for _, name := range sortedKeys(references) {
 		if _, ok := known[name]; !ok {
--- a/internal/tool/plan.go
+++ b/internal/tool/plan.go
@@ -9,14 +9,14 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// fieldChange is one field that a change would alter, in JSON notation.
+// fieldChange is a field that a change would alter, with its values as JSON.
 type fieldChange struct {
 	Field string `json:"field"`
 	From  string `json:"from"`
 	To    string `json:"to"`
 }
 
-// difference is one row of the configuration that a change would touch.
+// difference is one row of the configuration that a change would add, alter or remove.
 type difference struct {
 	// Kind is workspace, class, group, preset or active_preset.
 	Kind string `json:"kind"`
@@ -26,15 +26,15 @@
 	Fields []fieldChange `json:"fields,omitempty"`
 }
 
-// plan is what a document would do to a configuration.
+// plan is the change that brings a configuration in line with a document.
 type plan struct {
 	Revision    uint64       `json:"revision"`
 	Differences []difference `json:"differences"`
 	change      blackboard.ConfigChange
 }
 
-// makePlan compares a document with the current configuration. Rows that the
-// document lacks stay, unless prune asks for their removal.
+// makePlan compares a document with the current configuration. Rows that the document lacks
+// stay, unless prune is set.
 func makePlan(current blackboard.Configuration, d *loadedDocument, prune bool) (*plan, error) {
 	p := &plan{Revision: current.Revision, Differences: []difference{}}
 	workspaces := make([]blackboard.Workspace, len(d.Workspaces))
@@ -62,8 +62,8 @@
 func nameOfGroup(g blackboard.GroupSpec) string     { return g.Name }
 func nameOfPreset(p blackboard.Preset) string       { return p.Name }
 
-// compare notes the differences of one table and returns the rows to put and
-// the names to remove.
+// diffTable adds the differences of one table to the plan and returns the rows to put and the
+// names to remove.
 func diffTable[V any](p *plan, kind string, have map[string]V, want []V, name func(V) string, prune bool) (put []V, remove []string) {
 	wanted := make(map[string]bool, len(want))
 	for _, row := range want {
@@ -105,7 +105,7 @@
 	return changes
 }
 
-// notation writes a value as JSON; an absent map counts as an empty one.
+// jsonText returns a value as JSON. A nil map counts as an empty one.
 func jsonText(v any) string {
 	if r := reflect.ValueOf(v); r.Kind() == reflect.Map && r.Len() == 0 {
 		return "{}"
@@ -117,7 +117,7 @@
 	return string(data)
 }
 
-// merge returns the names that the configuration would have after a change.
+// merge returns the tables that the configuration would have after a change.
 func merge(current blackboard.Configuration, c blackboard.ConfigChange) blackboard.Configuration {
 	return blackboard.Configuration{
 		Workspaces: mergeTable(current.Workspaces, c.Workspaces, c.RemoveWorkspaces, nameOfWorkspace),
--- a/internal/tool/preset.go
+++ b/internal/tool/preset.go
@@ -12,9 +12,9 @@
 	return command{
 		name:      "preset",
 		arguments: "list | use NAME",
-		summary:   "List the presets, or put one in force",
-		details: `Exactly one preset is in force at any time: using one ends the other in the same
-change. Presets are written with apply.
+		summary:   "List the presets, or make one active",
+		details: `Exactly one preset is active at any time: use replaces the active preset in one
+atomic change. Presets are created with apply.
 
 Example: citronstep preset use peak
 `,
@@ -80,7 +80,7 @@
 	return i.change(f, current, blackboard.ConfigChange{UsePreset: name})
 }
 
-// pairs writes a map of worths or counts as name=value, in order of name.
+// pairs formats a map of worths or counts as name=value, ordered by name.
 func pairs(m map[string]int) string {
 	parts := make([]string, 0, len(m))
 	for _, key := range sortedKeys(m) {
--- a/internal/tool/replace.go
+++ b/internal/tool/replace.go
@@ -17,11 +17,11 @@
 	return command{
 		name:      "replace",
 		arguments: "FILE.toml",
-		summary:   "Put a whole configuration of routes, services and workspaces in force",
-		details: `Sends the document as one replacement: routes, services, workspaces and limits that it
-lacks are gone. Its version decides: the highest one ever accepted is in force, in
-whatever order documents arrive, so that it is safe to send one again. Waits until
-it is in force everywhere.
+		summary:   "Replace the complete configuration of routes, services and workspaces",
+		details: `Sends the document as the complete configuration: routes, services, workspaces and
+limits that it lacks are removed. The document with the highest version ever accepted
+is in force, whatever the order of arrival, so it is safe to send a document again.
+Waits until it is in force everywhere.
 
 Example: citronstep replace routes.toml
 `,
@@ -41,7 +41,7 @@
 	}
 }
 
-// replacementDocument is what replace reads.
+// replacementDocument is a complete configuration, the input of replace.
 type replacementDocument struct {
 	Version    uint64                   `toml:"version"`
 	Routes     []blackboard.Route       `toml:"route"`
@@ -50,8 +50,8 @@
 	Limits     blackboard.CallerLimits  `toml:"limits"`
 }
 
-// loadReplacementDocument reads and checks the document at path. The error holds the
-// faults of the file with their places, or else what could not be carried out.
+// loadReplacementDocument reads and checks the document at path. The error lists the faults of
+// the file with their positions, or the first rule that the configuration violates.
 func loadReplacementDocument(path string) (*blackboard.ReplaceConfiguration, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return replacement, nil
 }
 
-// replace sends a whole configuration and waits until it is in force.
+// replace sends a complete configuration and waits until it is in force.
 func (i *invocation) replace(replacement *blackboard.ReplaceConfiguration, wait time.Duration) error {
 	var reply adminapi.ReplaceReply
 	if err := i.admin.post(i.ctx, adminapi.PathWholeConfiguration, replacement, &reply, ""); err != nil {
@@ -92,6 +92,7 @@
 	return waited
 }
 
+// printReplaceResult prints which version is in force after version sent was sent.
 func (i *invocation) printReplaceResult(sent uint64, r adminapi.ReplaceReply, inForce bool) {
 	switch {
 	case r.Version > sent:
--- a/internal/tool/workspace.go
+++ b/internal/tool/workspace.go
@@ -15,8 +15,8 @@
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
-// keyBytes is the size of a generated workspace key: 256 random bits can't be
-// guessed, and need no slow hash at rest.
+// keyBytes is the size of a generated workspace key. 256 random bits can't be guessed, so the
+// stored hash need not be a slow one.
 const keyBytes = 32
 
 func workspaceCommand() command {
@@ -24,8 +24,8 @@
 		name:      "workspace",
 		arguments: "list | set NAME | remove NAME",
 		summary:   "List, add, change or remove workspaces",
-		details: `set adds a workspace or changes the fields that its flags name. A new workspace
-needs -key-file or -new-key. Only the SHA-256 of the key leaves this machine.
+		details: `set adds a workspace, or changes the fields whose flags are given. A new workspace
+needs -key-file or -new-key. Only the SHA-256 of the key is sent.
 
 Example: citronstep workspace set audits -new-key audits.key -share 2
 `,
@@ -49,9 +49,9 @@
 func (f *workspaceFlags) register() {
 	f.changeFlags.register(f.set)
 	f.set.StringVar(&f.keyFile, "key-file", "", "file with the workspace's key")
-	f.set.StringVar(&f.newKey, "new-key", "", "make a random key and write it to this new file")
-	f.set.IntVar(&f.share, "share", 1, "weight against workspaces of equal worth")
-	f.set.IntVar(&f.maxOpen, "max-open", 0, "open requests on one entry; 0 is the entry's own limit")
+	f.set.StringVar(&f.newKey, "new-key", "", "generate a random key and write it to this new file")
+	f.set.IntVar(&f.share, "share", 1, "weight (share) against workspaces of equal worth")
+	f.set.IntVar(&f.maxOpen, "max-open", 0, "limit on open requests on one entry; 0 means the entry's own limit")
 }
 
 func (i *invocation) workspace(w *workspaceFlags) error {
@@ -87,13 +87,13 @@
 
 func (i *invocation) setWorkspace(f *workspaceFlags, name string) error {
 	if !namePattern.MatchString(name) {
-		return usagef("workspace %q: want %s", name, allowedName)
+		return usagef("workspace %q: the name must be %s", name, allowedName)
 	}
 	if f.keyFile != "" && f.newKey != "" {
 		return usagef("give -key-file or -new-key, not both")
 	}
 	if f.share < 0 || f.maxOpen < 0 {
-		return usagef("-share and -max-open take 0 or more")
+		return usagef("-share and -max-open must be 0 or more")
 	}
 	current, err := i.configuration()
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 	old, known := current.Workspaces[name]
 	if !known && f.keyFile == "" && f.newKey == "" {
-		return usagef("workspace %s is new: give -key-file or -new-key", name)
+		return usagef("workspace %s does not exist yet: give -key-file or -new-key", name)
 	}
 	next, err := f.edit(old)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return i.change(&f.changeFlags, current, blackboard.ConfigChange{Workspaces: []blackboard.Workspace{next}})
 }
 
-// edit returns the workspace with the fields that flags name.
+// edit returns the workspace with the fields whose flags are given.
 func (f *workspaceFlags) edit(w blackboard.Workspace) (blackboard.Workspace, error) {
 	var err error
 	f.set.Visit(func(given *flag.Flag) {
@@ -141,8 +141,8 @@
 	return w, nil
 }
 
-// writeNewKey makes a key and writes it to a file that must not exist yet, so
-// that no key in use is lost.
+// writeNewKey generates a key and writes it to a file that must not exist yet, so that no key
+// in use is overwritten.
 func writeNewKey(path string) (string, error) {
 	random := make([]byte, keyBytes)
 	if _, err := rand.Read(random); err != nil {
