--- a/internal/tool/drain.go
+++ b/internal/tool/drain.go
@@ -11,11 +11,11 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// defaultDrainWait is how long drain watches: the longest request in flight
-// may take as long as a request's deadline, and groups release after it.
+// defaultDrainWait is how long drain waits for completion. The longest request in flight may
+// take as long as the request deadline, and the group is released only after it.
 const defaultDrainWait = 5 * time.Minute
 
-// drainTarget is what a drain or undrain names.
+// drainTarget is the VM or group that a drain or undrain command names.
 type drainTarget struct{ kind, name string }
 
 const (
@@ -27,11 +27,11 @@
 	return command{
 		name:      "drain",
 		arguments: "vm NAME | group NAME",
-		summary:   "Take a VM or a serving group out of service without cutting off a request",
-		details: `A replacement forms first where free VMs allow it; then new work stops, requests in
-flight finish, and the group is released. Prints progress and returns when nothing
-is left, for at most -done-wait. A VM's whole group goes with it, as a group serves
-with all its members or not at all. For a group, NAME is the group (all its replicas)
+		summary:   "Take a VM or a serving group out of service without interrupting requests",
+		details: `A replacement forms first if there are enough free VMs. Then the group gets no new
+requests, requests in flight finish, and the group is released. Prints progress and
+returns when the drain is complete, after at most -done-wait. Draining a VM drains
+its whole group, because a group serves only with all its members. For a group, NAME is the group (all its replicas)
 or one replica, such as memos-0. Drains last until undrain.
 
 Example: citronstep drain vm engine-07
@@ -39,7 +39,7 @@
 		setup: func(set *flag.FlagSet) func(*invocation) error {
 			f := &changeFlags{}
 			f.register(set)
-			wait := set.Duration("done-wait", defaultDrainWait, "how long to watch until nothing is left; 0 returns once the drain is in force")
+			wait := set.Duration("done-wait", defaultDrainWait, "how long to wait until the drain is complete; 0 returns once the drain is in force")
 			return func(i *invocation) error { return i.drain(f, *wait) }
 		},
 	}
@@ -49,21 +49,22 @@
 	return command{
 		name:      "undrain",
 		arguments: "vm NAME | group NAME",
-		summary:   "Give a drained VM or serving group back",
-		details: `The VM may go into groups again, the group forms again. For a group, prints
-progress until all wanted replicas serve, for at most -done-wait.
+		summary:   "Return a drained VM or serving group to service",
+		details: `The VM can join groups again; a group forms again. For a group, prints progress
+until all wanted replicas serve, for at most -done-wait.
 
 Example: citronstep undrain vm engine-07
 `,
 		setup: func(set *flag.FlagSet) func(*invocation) error {
 			f := &changeFlags{}
 			f.register(set)
-			wait := set.Duration("done-wait", defaultFormWait, "how long to watch a group form; 0 returns once the change is in force")
+			wait := set.Duration("done-wait", defaultFormWait, "how long to wait until the group serves; 0 returns once the change is in force")
 			return func(i *invocation) error { return i.undrain(f, *wait) }
 		},
 	}
 }
 
+// drainTarget reads the target from the arguments.
 func (i *invocation) drainTarget() (drainTarget, error) {
 	if len(i.args) != 2 || (i.args[0] != kindVM && i.args[0] != kindGroup) {
 		return drainTarget{}, i.usage()
@@ -110,6 +111,7 @@
 	return nil
 }
 
+// awaitDrained polls until the target holds nothing that must still be released.
 func (i *invocation) awaitDrained(wait time.Duration, target drainTarget) error {
 	return i.await(wait, func() (bool, string, error) {
 		s, err := i.status()
@@ -121,7 +123,7 @@
 	})
 }
 
-// holding lists what is still to be released of a draining VM or group.
+// unreleased lists the groups that a draining VM or group must still release.
 func unreleased(s adminapi.Status, target drainTarget) []string {
 	var left []string
 	for _, v := range s.VMs {
--- a/internal/tool/evacuate.go
+++ b/internal/tool/evacuate.go
@@ -16,11 +16,12 @@
 	return command{
 		name:      "evacuate",
 		arguments: "[DATA_CENTRE]",
-		summary:   "Send nothing more to the backend servers of a data centre, or list such data centres",
-		details: `Groups and instances there get no new request and finish those that they have; groups
-are formed elsewhere as far as free VMs allow. What stands in the data centre stays
-for its return. Returns once the order is in force on all entries. Safe to send
-again. Without a name, lists the data centres that are evacuated.
+		summary:   "Stop sending requests to the backend servers of a data centre, or list evacuated data centres",
+		details: `Groups and instances in the data centre get no new requests and finish their current
+ones. Replacement groups form elsewhere if there are enough free VMs. Groups and
+instances in the data centre are kept until the evacuation ends. The command returns
+once the order is in force on all entries. It is safe to send again. Without a name,
+it lists the evacuated data centres.
 
 Example: citronstep evacuate hall-b
 `,
@@ -36,8 +37,8 @@
 		name:      "return",
 		arguments: "DATA_CENTRE",
 		summary:   "End the evacuation of a data centre",
-		details: `Its backend servers get requests again, at first no more than their service states for
-cold ones, until they announce that they are not. Safe to send again.
+		details: `Its backend servers get requests again. Until a server announces that its slow start
+is over, it gets no more than its service allows for cold servers. Safe to send again.
 
 Example: citronstep return hall-b
 `,
@@ -100,7 +101,7 @@
 	return list, errors.Trace(err)
 }
 
-// awaitEvacuated polls until every entry holds the order or admits nothing.
+// awaitEvacuated polls until every entry either holds the order or admits no requests.
 func (i *invocation) awaitEvacuated(wait time.Duration, dataCentre string) error {
 	if wait <= 0 {
 		return nil
--- a/internal/tool/events.go
+++ b/internal/tool/events.go
@@ -9,24 +9,24 @@
 	"github.com/juju/errors"
 )
 
-// followWait is how long the server may hold a follow request open. It must
-// stay under attemptTimeout, or each quiet spell would look like a lost answer.
+// followWait is how long the server may hold a follow request open. It must stay under
+// attemptTimeout: otherwise every quiet period would look like a lost response.
 const followWait = 3 * time.Second
 
 func eventsCommand() command {
 	return command{
 		name:    "events",
-		summary: "Show what happened to groups, VMs, entries and the configuration",
-		details: `The leader keeps recent events; a new leader starts afresh, with sequence numbers
-from 1. With -json, one object a line.
+		summary: "Show recent events of groups, VMs, entries and the configuration",
+		details: `The leader keeps recent events in memory. A new leader starts with an empty list and
+sequence number 1. With -json, prints one object per line.
 
 Example: citronstep events -follow -kind group
 `,
 		setup: func(set *flag.FlagSet) func(*invocation) error {
 			f := eventFlags{}
-			set.Uint64Var(&f.after, "after", 0, "show events past this sequence number")
-			set.BoolVar(&f.follow, "follow", false, "go on until interrupted")
-			set.StringVar(&f.kind, "kind", "", "only group, vm, entry, configuration, evacuation or replica")
+			set.Uint64Var(&f.after, "after", 0, "show events after this sequence number")
+			set.BoolVar(&f.follow, "follow", false, "keep printing new events until interrupted")
+			set.StringVar(&f.kind, "kind", "", "show only events of this kind: group, vm, entry, configuration, evacuation or replica")
 			return func(i *invocation) error { return i.events(f) }
 		},
 	}
@@ -38,6 +38,7 @@
 	kind   string
 }
 
+// events prints the events after f.after and, with -follow, new events until ctx ends.
 func (i *invocation) events(f eventFlags) error {
 	if err := i.requireArgs(0); err != nil {
 		return err
@@ -52,7 +53,7 @@
 			return errors.Trace(err)
 		}
 		if leader != "" && batch.Leader != leader {
-			i.printProgress("new leader %s: events start afresh", batch.Leader)
+			i.printProgress("new leader %s: event numbers start again at 1", batch.Leader)
 			after, leader = 0, batch.Leader
 			continue
 		}
@@ -81,7 +82,7 @@
 
 func (i *invocation) printEvent(e adminapi.Event) {
 	if i.json {
-		// One object a line, so that a follower can be read as it grows.
+		// One object per line, so that a consumer can read the output while it grows.
 		i.printLine(e)
 		return
 	}
--- a/internal/tool/group.go
+++ b/internal/tool/group.go
@@ -11,18 +11,18 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// defaultFormWait is how long group set and group wait watch a group form:
-// weights come from a rate-limited store and take minutes, not seconds.
+// defaultFormWait is how long group set and group wait poll while a group forms. Weights come
+// from a rate-limited store, so forming takes minutes rather than seconds.
 const defaultFormWait = 10 * time.Minute
 
 func groupCommand() command {
 	return command{
 		name:      "group",
 		arguments: "list | set NAME | remove NAME | wait NAME",
-		summary:   "List, add, change or remove serving groups, or watch one form",
-		details: `A serving group NAME asks for replicas, each spread over vms-per-replica VMs of one
-fabric domain. set adds it or changes the fields that its flags name. wait prints
-progress until all wanted replicas serve, for at most -form-wait.
+		summary:   "List, add, change or remove serving groups, or wait until one serves",
+		details: `Each replica of a serving group runs on vms-per-replica VMs of one fabric domain. set
+adds the group, or changes the fields whose flags are given. wait prints progress
+until all wanted replicas serve, for at most -form-wait.
 
 Example: citronstep group set memos -model memo-70b -replicas 2 -vms-per-replica 4
 `,
@@ -44,12 +44,12 @@
 func (f *groupFlags) register() {
 	f.changeFlags.register(f.set)
 	f.set.StringVar(&f.spec.Model, "model", "", "model that the group serves")
-	f.set.IntVar(&f.spec.Replicas, "replicas", 1, "wanted replicas")
-	f.set.IntVar(&f.spec.VMsPerReplica, "vms-per-replica", 1, "VMs of one replica")
+	f.set.IntVar(&f.spec.Replicas, "replicas", 1, "wanted number of replicas")
+	f.set.IntVar(&f.spec.VMsPerReplica, "vms-per-replica", 1, "number of VMs of one replica")
 	f.set.IntVar(&f.spec.Accelerators, "accelerators", 0, "accelerators that each VM must hold; 0 accepts any")
-	f.set.IntVar(&f.spec.Worth, "worth", 0, "worth against other groups in forming and repair")
+	f.set.IntVar(&f.spec.Worth, "worth", 0, "priority (worth) against other groups in forming and repair")
 	f.set.StringVar(&f.spec.FabricDomain, "fabric-domain", "", "pin the group to one fabric domain")
-	f.set.DurationVar(&f.formWait, "form-wait", defaultFormWait, "how long wait watches the group form")
+	f.set.DurationVar(&f.formWait, "form-wait", defaultFormWait, "how long wait polls until the group serves")
 }
 
 func (i *invocation) group(g *groupFlags) error {
@@ -66,11 +66,11 @@
 	return i.usage()
 }
 
-// groupRow is the JSON form of a group spec in a list.
+// groupRow is the JSON form of a group in a list.
 type groupRow struct {
 	blackboard.GroupSpec
-	// Wanted counts the replicas under the preset in force, Serving those
-	// that serve now.
+	// Wanted counts the replicas that the active preset asks for, Serving the replicas that
+	// serve now.
 	Wanted  int  `json:"wanted"`
 	Serving int  `json:"serving"`
 	Drained bool `json:"drained"`
@@ -103,6 +103,7 @@
 	return nil
 }
 
+// serving counts the serving replicas of a group.
 func serving(s adminapi.Status, spec string) int {
 	n := 0
 	for _, g := range s.Groups {
@@ -115,7 +116,7 @@
 
 func (i *invocation) setGroup(f *groupFlags, name string) error {
 	if !namePattern.MatchString(name) {
-		return usagef("group %q: want %s", name, allowedName)
+		return usagef("group %q: the name must be %s", name, allowedName)
 	}
 	current, err := i.configuration()
 	if err != nil {
@@ -125,10 +126,10 @@
 	next := f.edit(old, known)
 	next.Name = name
 	if next.Model == "" {
-		return usagef("group %s is new: give -model", name)
+		return usagef("group %s does not exist yet: give -model", name)
 	}
 	if next.Replicas < 0 || next.VMsPerReplica < 1 || next.Accelerators < 0 {
-		return usagef("-replicas and -accelerators take 0 or more, -vms-per-replica 1 or more")
+		return usagef("-replicas and -accelerators must be 0 or more, -vms-per-replica must be 1 or more")
 	}
 	if known && next == old && f.changeID == "" {
 		return i.reportUnchanged(current)
@@ -136,7 +137,8 @@
 	return i.change(&f.changeFlags, current, blackboard.ConfigChange{Groups: []blackboard.GroupSpec{next}})
 }
 
-// edit returns a new group with all flags, or a known one with those given.
+// edit returns a new group built from all flags, or a known group with the fields whose flags
+// are given.
 func (f *groupFlags) edit(g blackboard.GroupSpec, known bool) blackboard.GroupSpec {
 	if !known {
 		return f.spec
@@ -190,6 +192,7 @@
 	return nil
 }
 
+// awaitServing polls until the wanted number of replicas serve.
 func (i *invocation) awaitServing(wait time.Duration, name string, wanted int) error {
 	return i.await(wait, func() (bool, string, error) {
 		s, err := i.status()
@@ -201,7 +204,7 @@
 	})
 }
 
-// otherStates lists the replicas of a group that do not serve.
+// otherStates lists the replicas of a group that do not serve, with state and reason.
 func otherStates(s adminapi.Status, spec string) string {
 	var b strings.Builder
 	for _, g := range s.Groups {
--- a/internal/tool/status.go
+++ b/internal/tool/status.go
@@ -14,8 +14,8 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// The roles of a control process that matter here: the one that decides, and
-// one whose copy does not count yet.
+// The roles of a control process that the tool distinguishes: the leader, and a learner, whose
+// copy of the state does not count towards a majority yet.
 const (
 	roleLeader  = "leader"
 	roleLearner = "learner"
@@ -24,7 +24,7 @@
 func statusCommand() command {
 	return command{
 		name:    "status",
-		summary: "Show the whole system: preset, nodes, groups, VMs, measures",
+		summary: "Show the state of the whole system: preset, nodes, groups, VMs, measures",
 		details: `Sections: summary, control processes, entries, groups, VMs, service instances.
 Give -section to print one table only. Exits with 5 when no control process leads.
 
@@ -40,7 +40,7 @@
 // section is one part of the status.
 type section struct {
 	name string
-	// value is what -json prints, table what people read.
+	// value returns what -json prints, table what is printed for people.
 	value func(adminapi.Status) any
 	table func(adminapi.Status, time.Time) *table
 }
@@ -69,7 +69,7 @@
 		return err
 	}
 	if only != "" && !slices.Contains(sectionNames(), only) {
-		return usagef("section %q: want one of %s", only, strings.Join(sectionNames(), ", "))
+		return usagef("section %q: must be one of %s", only, strings.Join(sectionNames(), ", "))
 	}
 	s, err := i.status()
 	if err != nil {
@@ -82,10 +82,10 @@
 	return checkHasLeader(s)
 }
 
-// checkHasLeader says so when no process leads. A control process that is cut off
-// answers with the state that it last knew, which looks healthy: its own
-// measures are zero and its groups serve. A script must not take that for the
-// system's state.
+// checkHasLeader returns an error when no process leads. A control process without a connection
+// to the others answers with the last state that it received. That state looks healthy: its
+// groups serve and its measures are zero. A script must not take it for the current state of
+// the system.
 func checkHasLeader(s adminapi.Status) error {
 	if !s.Founded {
 		return nil
@@ -96,8 +96,8 @@
 		}
 	}
 	return failure.New(failure.TypeUnavailable,
-		"no control process leads as far as this one knows: what it shows is the last state that it had. "+
-			"Ask the others with -addresses, see docs/operators/quorum-lost.md")
+		"no control process leads, as far as this process knows: it shows the last state that it received. "+
+			"Query the others with -addresses, see docs/operators/quorum-lost.md")
 }
 
 func (i *invocation) printStatus(s adminapi.Status, only string) error {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// summary is the JSON form of the first section.
+// summary is the JSON form of the summary section.
 type summary struct {
 	ClusterID      string            `json:"cluster_id"`
 	Founded        bool              `json:"founded"`
@@ -209,7 +209,7 @@
 	return t
 }
 
-// sortStatus orders every list, so that two outputs can be compared.
+// sortStatus sorts every list, so that two outputs can be compared.
 func sortStatus(s *adminapi.Status) {
 	sort.Strings(s.Presets)
 	sort.Slice(s.Replicas, func(i, j int) bool { return s.Replicas[i].VM < s.Replicas[j].VM })
@@ -227,7 +227,8 @@
 	return strings.Join(names, ",")
 }
 
-// age returns how long ago a time of the leader's clock was, in whole seconds.
+// age returns the time since a moment of the leader's clock, rounded to seconds; empty for an
+// unknown moment.
 func age(now time.Time, millis int64) string {
 	if millis <= 0 {
 		return ""
