--- a/internal/tool/exit.go
+++ b/internal/tool/exit.go
@@ -12,26 +12,26 @@
 	"github.com/citronstep/citronstep/internal/tomlfile"
 )
 
-// ExitCode is what the tool tells a script. Its values never change meaning.
+// ExitCode is the exit status of the tool. Scripts match it, so a value never changes its
+// meaning.
 type ExitCode int
 
 // The exit codes.
 const (
 	ExitOK ExitCode = 0
-	// ExitFailure: refused or failed, and nothing else below says why.
+	// ExitFailure: the command was refused or failed, and no other code applies.
 	ExitFailure ExitCode = 1
-	// ExitUsage: a wrong flag, argument, settings file or document; nothing
-	// was sent.
+	// ExitUsage: a flag, an argument, a settings file or a document is invalid; nothing was
+	// sent.
 	ExitUsage ExitCode = 2
 	// ExitConflict: another operator's change came first; nothing changed.
 	ExitConflict ExitCode = 3
-	// ExitNotFound: the thing named does not exist.
+	// ExitNotFound: the named object does not exist.
 	ExitNotFound ExitCode = 4
-	// ExitUnavailable: no admin address answered in time. A change may or may
-	// not have been accepted; the message names the id to resend it with.
+	// ExitUnavailable: no admin address answered in time. A change may or may not have been
+	// accepted; the message names the change id for a resend.
 	ExitUnavailable ExitCode = 5
-	// ExitUnfinished: the change was accepted, but what it asks for was not
-	// done within -wait.
+	// ExitUnfinished: the change was accepted, but it was not complete within -wait.
 	ExitUnfinished ExitCode = 6
 	// ExitDenied: the token was missing or refused.
 	ExitDenied ExitCode = 7
@@ -39,13 +39,13 @@
 	ExitDiffers ExitCode = 8
 )
 
-// exitCodesHelp stands at the end of each command's help.
+// exitCodesHelp is the last part of each command's help.
 const exitCodesHelp = `Exit codes: 0 done, 1 failure, 2 usage or faulty file, 3 conflict with another
 change, 4 not found, 5 no answer (a change may or may not be accepted),
 6 accepted but not finished within -wait, 7 token refused, 8 diff found differences.
 `
 
-// usageError is a wrong command line; nothing was sent.
+// usageError is an invalid command line, settings file or document; nothing was sent.
 type usageError struct{ message string }
 
 func (e *usageError) Error() string { return e.message }
@@ -54,7 +54,7 @@
 	return &usageError{message: fmt.Sprintf(format, args...)}
 }
 
-// unavailableError says that no admin address gave an answer in time.
+// unavailableError reports that no admin address answered in time.
 type unavailableError struct {
 	addresses []string
 	// changeID is set when a change may have been accepted.
@@ -74,12 +74,12 @@
 	return text
 }
 
-// unfinishedError says that an accepted change was not carried out in time.
+// unfinishedError reports that an accepted change was not complete in time.
 type unfinishedError struct{ message string }
 
 func (e *unfinishedError) Error() string { return e.message }
 
-// differsError is diff's answer when there are differences.
+// differsError is the result of diff when there are differences.
 type differsError struct{}
 
 func (differsError) Error() string { return "the document and the configuration differ" }
@@ -130,6 +130,7 @@
 	Faults   tomlfile.Faults `json:"faults,omitempty"`
 }
 
+// describeError returns the text of an error for standard error, as JSON if asJSON is set.
 func describeError(err error, asJSON bool) string {
 	if !asJSON {
 		return "citronstep: " + errorText(err) + "\n"
@@ -140,6 +141,7 @@
 	return string(data) + "\n"
 }
 
+// errorText returns the message of an error for people, with the failure's detail and revision.
 func errorText(err error) string {
 	var f *failure.Error
 	if !errors.As(err, &f) {
@@ -150,7 +152,7 @@
 		text += " (" + f.Detail + ")"
 	}
 	if f.Type == failure.TypeConflict && f.Revision > 0 {
-		text += fmt.Sprintf("; it is at revision %d now. Look at it and run the command again", f.Revision)
+		text += fmt.Sprintf("; the configuration is now at revision %d. Read it and run the command again", f.Revision)
 	}
 	return text
 }
--- a/internal/tool/explain.go
+++ b/internal/tool/explain.go
@@ -11,25 +11,26 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// defaultSkew is how far apart the clocks of two VMs may be: some seconds, as
-// where a clock has just been set.
+// defaultSkew is the assumed clock difference between two VMs: a few seconds, as is usual when
+// a clock has just been set.
 const defaultSkew = 5 * time.Second
 
 func explainCommand() command {
 	return command{
 		name:      "explain",
 		arguments: "ID LOG...",
-		summary:   "Say from the logs of several processes why a request failed or was late",
+		summary:   "Find in the logs of several processes why a request failed or was late",
 		details: `Reads the logs that processes wrote to standard output ("-" is standard input),
-shows the lines of the request with the id and of what it depended on in order,
-and ends with the cause in a sentence. The id is the caller's own or the one that
-an entry logged. No process is asked. Exit code 4 means that no line names the
-request: it never came to these entries, or its lines were dropped.
+prints in order the lines about the request and about the groups, entries and leader
+that it depended on, and ends with a sentence that states the cause. The id is the
+caller's own id or the one that an entry logged. The command sends no request. Exit
+code 4 means that no line names the request: it did not reach these entries, or its
+lines were dropped.
 
 Example: citronstep explain 9c41d07be2a35f68 entry-*.log control-*.log
 `,
 		setup: func(set *flag.FlagSet) func(*invocation) error {
-			skew := set.Duration("skew", defaultSkew, "how far apart the clocks of two VMs may be")
+			skew := set.Duration("skew", defaultSkew, "largest difference between the clocks of two VMs")
 			return func(i *invocation) error { return i.explain(*skew) }
 		},
 	}
@@ -41,9 +42,10 @@
 	Lines []string `json:"lines"`
 }
 
+// explain prints the log lines of one request and the cause of its outcome.
 func (i *invocation) explain(skew time.Duration) error {
 	if len(i.args) < 2 {
-		return usagef("an id and the logs of one process or more are needed")
+		return usagef("give a request id and at least one log file")
 	}
 	logs := &explain.Logs{}
 	for _, path := range i.args[1:] {
@@ -61,6 +63,7 @@
 	return i.printExplanation(story)
 }
 
+// readLog adds the lines of the log at path to logs; "-" is standard input.
 func readLog(logs *explain.Logs, path string) error {
 	if path == "-" {
 		return errors.Trace(logs.Read(os.Stdin))
--- a/internal/tool/load.go
+++ b/internal/tool/load.go
@@ -22,20 +22,20 @@
 func loadCommand() command {
 	return command{
 		name:    "load",
-		summary: "Drive a running system as its callers do, and check every answer",
-		details: `Sends completions (or calls of a plain service) to the entries, each under its own
-idempotency key, waits as long as Retry-After says before each further try, and
-checks that each answer is whole, belongs to its request and came once. With
--exact, texts are compared with what the stand-in engines must answer.
+		summary: "Generate load on a running system and check every answer",
+		details: `Sends completions (or calls of a plain service) to the entries, each with its own
+idempotency key. It waits for the time in Retry-After before each retry, and checks
+that each answer is complete, belongs to its request and came once. With -exact,
+texts are compared with the expected answers of the stand-in engines.
 
-An open loop (-rate) sends at its own pace; a closed loop (the default) keeps
+An open loop (-rate) sends at a fixed mean rate; a closed loop (the default) keeps
 -concurrency requests open. The load ends at -count or -duration, whichever comes
 first. Several workspaces and classes come from a plan file (-plan) of [[flow]]
 tables: name, key_file, class, model or service and path, weight, prompt_bytes,
 max_tokens, prefixes, stream, non_idempotent, timeout_ms.
 
-Exits with 1 when an answer broke a promise of the system. Refusals and cut
-connections are counted and are no such break: their caller can tell.
+Exits with 1 when an answer violates a guarantee of the system. Refusals and closed
+connections are counted but violate no guarantee: the caller can detect them.
 
 Example: citronstep load -key dev -model demo -exact -count 200 -concurrency 8
 `,
@@ -54,7 +54,7 @@
 	loadgen.Plan
 }
 
-// loadFlow is a [[flow]] of a plan file.
+// loadFlow is one [[flow]] table of a plan file.
 type loadFlow struct {
 	Name          string `toml:"name"`
 	KeyFile       string `toml:"key_file"`
@@ -71,43 +71,43 @@
 	TimeoutMillis int64  `toml:"timeout_ms"`
 }
 
-// The defaults of a flow: a short prompt of a few families, a short answer.
+// The defaults of a flow: short prompts with few different beginnings, and short answers.
 const (
 	defaultPromptBytes = 400
 	defaultMaxTokens   = 32
 	defaultPrefixes    = 8
 )
 
-// The default concurrency of a closed loop is small enough for -dev. That of
-// an open loop is a bound on its memory and should not be met.
+// The default concurrency of a closed loop is small enough for -dev. The default of an open
+// loop only bounds memory; a run should not reach it.
 const (
 	defaultCallers = 8
 	defaultOpen    = 1024
 )
 
 func (f *loadFlags) register(set *flag.FlagSet) {
-	set.StringVar(&f.entries, "entries", settings.DevCallers, "entries' addresses as IP:port, separated by commas, used in turn")
+	set.StringVar(&f.entries, "entries", settings.DevCallers, "addresses of the entries as IP:port, separated by commas, used in turn")
 	set.StringVar(&f.plan, "plan", "", "TOML file of [[flow]] tables, in place of the flags of a single flow")
 	set.StringVar(&f.key, "key", "", "workspace key; other users of this machine can see it, so use -key-file for real ones")
 	set.StringVar(&f.keyFile, "key-file", "", "file with the workspace key")
 	set.StringVar(&f.flow.Class, "class", "", "request class")
-	set.StringVar(&f.flow.Model, "model", "", "model to ask")
-	set.StringVar(&f.flow.Service, "service", "", "plain service to call in place of a model")
+	set.StringVar(&f.flow.Model, "model", "", "model to send completions to")
+	set.StringVar(&f.flow.Service, "service", "", "plain service to call instead of a model")
 	set.StringVar(&f.flow.Path, "path", "/", "path of the plain service")
 	set.IntVar(&f.flow.PromptBytes, "prompt-bytes", defaultPromptBytes, "mean size of a prompt")
-	set.IntVar(&f.flow.MaxTokens, "max-tokens", defaultMaxTokens, "mean of max_tokens")
+	set.IntVar(&f.flow.MaxTokens, "max-tokens", defaultMaxTokens, "mean value of max_tokens")
 	set.IntVar(&f.flow.Prefixes, "prefixes", defaultPrefixes, "number of different prompt beginnings")
-	set.BoolVar(&f.flow.Stream, "stream", true, "ask for streamed answers")
+	set.BoolVar(&f.flow.Stream, "stream", true, "request streamed answers")
 	set.BoolVar(&f.flow.NonIdempotent, "non-idempotent", false, "mark requests as non-idempotent")
 	set.Int64Var(&f.flow.TimeoutMillis, "request-timeout-ms", 0, "deadline sent with each request; 0 sends none")
-	set.BoolVar(&f.exact, "exact", false, "the engines are stand-ins: compare each text with the one right text")
-	set.Float64Var(&f.Rate, "rate", 0, "open loop: arrivals a second; 0 makes a closed loop")
-	set.IntVar(&f.Concurrency, "concurrency", 0, "callers of a closed loop (default 8); bound on open requests of an open loop (default 1024)")
-	set.IntVar(&f.Count, "count", 100, "requests to send")
-	set.DurationVar(&f.Duration, "duration", time.Minute, "how long to send")
-	set.IntVar(&f.Retries, "retries", 5, "further tries of one request")
-	set.Uint64Var(&f.Seed, "seed", 1, "seed of what is drawn")
-	set.DurationVar(&f.GiveUp, "give-up", 2*time.Minute, "how long to wait for one answer, tries included")
+	set.BoolVar(&f.exact, "exact", false, "the engines are stand-ins: compare each text with the expected text")
+	set.Float64Var(&f.Rate, "rate", 0, "open loop: mean arrivals per second; 0 means a closed loop")
+	set.IntVar(&f.Concurrency, "concurrency", 0, "number of callers of a closed loop (default 8), or limit on open requests of an open loop (default 1024)")
+	set.IntVar(&f.Count, "count", 100, "number of requests to send")
+	set.DurationVar(&f.Duration, "duration", time.Minute, "how long to send requests")
+	set.IntVar(&f.Retries, "retries", 5, "retries of one request")
+	set.Uint64Var(&f.Seed, "seed", 1, "seed of the random requests")
+	set.DurationVar(&f.GiveUp, "give-up", 2*time.Minute, "time limit for one answer, retries included")
 	set.BoolVar(&f.AllowRemote, "allow-remote", false, "permit entries that are not on the loopback interface")
 }
 
@@ -131,11 +131,12 @@
 		i.printLoad(report)
 	}
 	if err == nil && report.Broken > 0 {
-		return failure.New(failure.TypeInternal, fmt.Sprintf("%d answers broke a promise of the system", report.Broken))
+		return failure.New(failure.TypeInternal, fmt.Sprintf("%d answers violate a guarantee of the system", report.Broken))
 	}
 	return err
 }
 
+// prepare fills in the plan from the flags and the plan file.
 func (f *loadFlags) prepare() error {
 	f.RunID = uuid.NewString()[:8]
 	switch {
@@ -150,7 +151,7 @@
 	for _, entry := range strings.Split(f.entries, ",") {
 		entry = strings.TrimSpace(entry)
 		if _, err := netip.ParseAddrPort(entry); err != nil {
-			return usagef("entry %q: want IP:port", entry)
+			return usagef("entry %q: must be IP:port", entry)
 		}
 		f.Targets = append(f.Targets, entry)
 	}
@@ -200,6 +201,7 @@
 	return d.Faults().OrNil()
 }
 
+// withDefaults returns the flow with each zero field set to its default.
 func (l loadFlow) withDefaults() loadFlow {
 	orDefault := func(n *int, d int) {
 		if *n == 0 {
@@ -226,10 +228,10 @@
 	if r.Exact {
 		check = "exact text of each answer"
 	}
-	i.printf("run %s, seed %d: %d requests in %.1fs (%.1f a second), %.0f tokens a second; checked: %s",
+	i.printf("run %s, seed %d: %d requests in %.1fs (%.1f per second), %.0f tokens per second; checked: %s",
 		r.RunID, r.Seed, r.Total.Requests, r.Seconds, float64(r.Total.Requests)/r.Seconds, float64(r.Total.Tokens)/r.Seconds, check)
 	if r.Held > 0 {
-		i.printf("%d requests were held back: all %s slots were taken, so the load was less than asked for", r.Held, "-concurrency")
+		i.printf("%d requests were held back: all %s slots were in use, so the load was lower than requested", r.Held, "-concurrency")
 	}
 	outcomes := newTable("FLOW", "REQUESTS", "VERDICTS", "REFUSALS", "RETRIES")
 	quantiles := newTable("FLOW", "TIME", "COUNT", "MEAN MS", "P50", "P95", "P99", "MAX")
--- a/internal/tool/pools.go
+++ b/internal/tool/pools.go
@@ -13,12 +13,12 @@
 	return command{
 		name:      "pools",
 		arguments: "LOG...",
-		summary:   "Sum up from the logs of control processes how VMs of pools were used and groups repaired",
+		summary:   "Summarise VM use and group repairs by pool from the logs of control processes",
 		details: `Reads the logs that control processes wrote to standard output ("-" is standard
-input) and prints VM-seconds by state for each pool, the groups that broke by reason,
-the steps of their repairs, and how many suspicions of entries were acted on. Give the logs of
-all control processes: only the one that leads writes these lines. Seconds in which
-none led are not counted.
+input). For each pool it prints the VM-seconds by state. It also prints how many
+groups broke, by reason, the duration of each repair step, and how many suspicions
+that entries reported led to a break. Give the logs of all control processes: only
+the leader writes these lines. Time without a leader is not counted.
 
 Example: citronstep pools control-*.log
 `,
@@ -30,7 +30,7 @@
 
 func (i *invocation) pools() error {
 	if len(i.args) == 0 {
-		return usagef("the logs of one process or more are needed")
+		return usagef("give at least one log file")
 	}
 	logs := &explain.Logs{}
 	for _, path := range i.args {
@@ -64,7 +64,7 @@
 	}
 	i.printStep(r, "broken to formed", func(r explain.Repair) time.Duration { return r.Formed })
 	i.printStep(r, "formed to serving", func(r explain.Repair) time.Duration { return r.Served })
-	i.printf("suspected by entries: %d epochs of groups, broken for it: %d", r.Suspected, r.Acted)
+	i.printf("suspected by entries: %d group epochs, broken for that reason: %d", r.Suspected, r.Acted)
 }
 
 func (i *invocation) printStep(r explain.PoolReport, name string, step func(explain.Repair) time.Duration) {
--- a/internal/tool/table.go
+++ b/internal/tool/table.go
@@ -14,8 +14,8 @@
 
 func newTable(heading ...string) *table { return &table{heading: heading} }
 
-// add appends a row; an empty cell is shown as "-", so that each row has the
-// same number of fields for awk.
+// add appends a row. An empty cell is shown as "-", so that each row has the same number of
+// fields for awk.
 func (t *table) add(cells ...string) {
 	row := make([]string, len(cells))
 	for i, cell := range cells {
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -1,6 +1,5 @@
-// Package tool is the operators' command-line tool, cmd/citronstep. It asks
-// nothing but the admin API (internal/adminapi) and, for load, the entries'
-// API for callers.
+// Package tool implements cmd/citronstep, the command-line tool for operators. It calls the
+// admin API (internal/adminapi) only; the load command also calls the entries' API for callers.
 package tool
 
 import (
@@ -14,17 +13,17 @@
 	"github.com/juju/errors"
 )
 
-// Streams are where the tool writes: results on Out, progress and errors on
-// Err, so that a script can read Out alone.
+// Streams are the outputs of the tool: results go to Out, progress and errors to Err, so that a
+// script can read Out alone.
 type Streams struct{ Out, Err io.Writer }
 
 // command is one subcommand.
 type command struct {
 	name string
-	// arguments is the usage line after the name.
+	// arguments is the part of the usage line after the name.
 	arguments string
 	summary   string
-	// details is printed below the summary in the command's help.
+	// details is printed after the summary in the command's help.
 	details string
 	// setup registers the command's own flags and returns its run function.
 	setup func(*flag.FlagSet) func(*invocation) error
@@ -41,7 +40,7 @@
 	admin   *client
 }
 
-// commands returns all subcommands in the order of the help.
+// commands returns all subcommands in the order in which the help lists them.
 func commands() []command {
 	return []command{
 		initCommand(), statusCommand(), applyCommand(), diffCommand(), replaceCommand(),
@@ -50,7 +49,7 @@
 	}
 }
 
-// Run carries out one command line and returns the exit code.
+// Run executes one command line and returns the exit code.
 func Run(ctx context.Context, args []string, to Streams, getenv func(string) string) ExitCode {
 	asJSON, err := run(ctx, args, to, getenv)
 	if err != nil && !errors.Is(err, flag.ErrHelp) {
@@ -62,7 +61,7 @@
 func run(ctx context.Context, args []string, to Streams, getenv func(string) string) (asJSON bool, err error) {
 	if len(args) == 0 {
 		writeOverview(to.Err)
-		return false, usagef("a command is missing")
+		return false, usagef("no command given")
 	}
 	if name := args[0]; name == "-h" || name == "-help" || name == "--help" || name == "help" {
 		writeOverview(to.Out)
@@ -100,8 +99,8 @@
 	})
 }
 
-// parse lets flags stand before, between and after the arguments; package
-// flag alone stops at the first argument.
+// parse accepts flags before, between and after the arguments; package flag alone stops at the
+// first argument.
 func parse(set *flag.FlagSet, args []string) (positional []string, err error) {
 	for {
 		if err := set.Parse(args); err != nil {
@@ -138,7 +137,7 @@
 	_, _ = io.WriteString(w, b.String())
 }
 
-// want checks the number of arguments.
+// requireArgs returns a usage error unless there are n arguments.
 func (i *invocation) requireArgs(n int) error {
 	if len(i.args) != n {
 		return i.usage()
@@ -150,19 +149,19 @@
 	return usagef("usage: citronstep %s %s; see citronstep %s -h", i.command.name, i.command.arguments, i.command.name)
 }
 
-// printJSON writes v for programs: indented, one document.
+// printJSON writes v to standard output as one indented JSON document.
 func (i *invocation) printJSON(v any) error {
 	encoder := json.NewEncoder(i.out)
 	encoder.SetIndent("", "  ")
 	return errors.Trace(encoder.Encode(v))
 }
 
-// progress writes a line for whoever watches a long command.
+// printProgress writes a line about the progress of a long command to standard error.
 func (i *invocation) printProgress(format string, args ...any) {
 	_, _ = fmt.Fprintf(i.err, format+"\n", args...)
 }
 
-// say writes one line of a result for people.
+// printf writes one line of a result for people.
 func (i *invocation) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(i.out, format+"\n", args...)
 }
