--- a/internal/tool/docs_test.go
+++ b/internal/tool/docs_test.go
@@ -21,8 +21,8 @@
 	return append(pages, "../../README.md", "../../docs/callers.md", "../../CONTRIBUTING.md")
 }
 
-// commandLines returns the tool's command lines in a page: in blocks indented
-// by four spaces and between back quotes.
+// commandLines returns the command lines of the tool in a page: lines indented by four spaces
+// and text between back quotes.
 func commandLines(t *testing.T, page string) []string {
 	t.Helper()
 	data, err := os.ReadFile(page)
@@ -40,9 +40,9 @@
 	return lines
 }
 
-// A newcomer types the pages' commands at night. One with a flag or subcommand
-// that does not exist costs more than none.
-func TestCommandsOfThePagesExist(t *testing.T) {
+// Operators copy commands from these pages during incidents. The test fails when a page names a
+// command, subcommand or flag that does not exist.
+func TestDocumentedCommandsExist(t *testing.T) {
 	checked := 0
 	for _, page := range documents(t) {
 		for _, line := range commandLines(t, page) {
@@ -77,7 +77,7 @@
 	t.Fatalf("%s: no such command: %s", page, line)
 }
 
-// firstWords returns the lower-case first words of "list | use NAME".
+// firstWords returns the first words of "list | use NAME" that are in lower case.
 func firstWords(arguments string) []string {
 	var first []string
 	for _, alternative := range strings.Split(arguments, "|") {
@@ -89,8 +89,8 @@
 	return first
 }
 
-// The daemon's flags in the pages must be those that it has.
-func TestDaemonFlagsOfThePagesExist(t *testing.T) {
+// The flags of citronstepd that a page names must exist in its source.
+func TestDocumentedDaemonFlagsExist(t *testing.T) {
 	source, err := os.ReadFile("../../cmd/citronstepd/main.go")
 	assert.NilError(t, err)
 	for _, page := range documents(t) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Each file that a page names must be there, or its reader stops.
-func TestLinksOfThePagesLeadSomewhere(t *testing.T) {
+// Each file that a page links to must exist.
+func TestDocumentLinksExist(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/*.md")
 	assert.NilError(t, err)
 	design, err := filepath.Glob("../../docs/design/*.md")
--- a/internal/tool/evacuate_test.go
+++ b/internal/tool/evacuate_test.go
@@ -7,7 +7,7 @@
 	is "gotest.tools/v3/assert/cmp"
 )
 
-func TestADataCentreIsEvacuatedAndTakenBack(t *testing.T) {
+func TestEvacuateAndReturnDataCentre(t *testing.T) {
 	f := newFakeAdmin(t)
 	assert.Assert(t, is.Contains(f.must(t, ExitOK, "evacuate").out, "no data centre is evacuated"))
 	f.set(func() { f.pending = 1 })
--- a/internal/tool/examples_test.go
+++ b/internal/tool/examples_test.go
@@ -14,7 +14,7 @@
 
 const examplesFolder = "../../examples"
 
-func TestExampleConfigurationsPassTheChecks(t *testing.T) {
+func TestExampleConfigurationsAreValid(t *testing.T) {
 	paths, err := filepath.Glob(examplesFolder + "/*/configuration.toml")
 	assert.NilError(t, err)
 	assert.Equal(t, len(paths), 3)
@@ -29,9 +29,9 @@
 	}
 }
 
-// The settings of one deployment must name the same control processes, or its
-// processes would found two clusters or follow different ones.
-func TestExampleSettingsPassTheChecksAndAgree(t *testing.T) {
+// The settings files of one deployment must name the same control processes. Otherwise its
+// processes would initialise two clusters or follow different ones.
+func TestExampleSettingsAreValidAndConsistent(t *testing.T) {
 	for _, folder := range []string{"one-machine", "verifica", "halvorsen"} {
 		paths, err := filepath.Glob(examplesFolder + "/" + folder + "/*.toml")
 		assert.NilError(t, err)
--- a/internal/tool/explain_test.go
+++ b/internal/tool/explain_test.go
@@ -11,9 +11,9 @@
 	is "gotest.tools/v3/assert/cmp"
 )
 
-// An engineer has nothing but log files, and no process that answers. The tool
-// must tell the cause from them, and say so when no line names the request.
-func TestExplainNeedsNothingButLogs(t *testing.T) {
+// The command must find the cause from log files alone, without a running process, and report
+// when no line names the request.
+func TestExplainWorksFromLogsAlone(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.log")
 	assert.NilError(t, os.WriteFile(path, []byte(`ts=2026-03-13T01:29:38.1Z vm=front-1 event=route request=abc.1 choice=10.0.0.1:80
 ts=2026-03-13T01:29:38.2Z vm=front-1 event=refuse request=abc.1 type=deadline_exceeded ran=no reason="refused: expired_in_queue" queued_ms=90 left_ms=0 retry_after_ms=50
--- a/internal/tool/fake_admin_test.go
+++ b/internal/tool/fake_admin_test.go
@@ -18,21 +18,22 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// fakeAdmin serves the admin API over a real blackboard without a cluster.
+// fakeAdmin serves the admin API from a real blackboard without a cluster.
 type fakeAdmin struct {
 	*httptest.Server
 	mu    sync.Mutex
 	board *blackboard.Board
 	token string
-	// loseAnswers is how many more changes are carried out unanswered.
+	// loseAnswers is the number of further changes that are applied while their response is
+	// lost.
 	loseAnswers int
-	// refuseInits is how many more foundings are refused, as while a peer
-	// can't be asked.
+	// refuseInits is the number of further init requests to refuse, as if a peer could not be
+	// asked.
 	refuseInits int
-	// pending is what in-force reports for so many more looks.
+	// pending is the number of further polls for which in-force reports a pending entry.
 	pending int
 	posts   []blackboard.ConfigChange
-	// onStatus edits each status, for progress.
+	// onStatus, if not nil, modifies each status before it is sent.
 	onStatus func(*adminapi.Status)
 	events   []adminapi.Events
 }
@@ -55,8 +56,8 @@
 	return f
 }
 
-// set changes the fake between runs. It also waits for a handler whose
-// connection was cut: the tool may return before that handler does.
+// set changes the fake between runs. It also waits for a handler whose connection was closed,
+// because the tool may return before that handler does.
 func (f *fakeAdmin) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,7 +193,7 @@
 	answer(w, batch)
 }
 
-// result is what one run of the tool gave.
+// result is the outcome of one run of the tool.
 type result struct {
 	code     ExitCode
 	out, err string
--- a/internal/tool/replace_test.go
+++ b/internal/tool/replace_test.go
@@ -45,9 +45,9 @@
 max_body_bytes = 4194304
 `
 
-// Operators keep routes, services and workspaces in one document. It must come
-// into force whole, a resend change nothing, and an older one be told apart.
-func TestAWholeConfigurationIsReplaced(t *testing.T) {
+// A complete configuration must come into force at once, sending it again must change nothing,
+// and an older version must be reported as such.
+func TestReplaceConfiguration(t *testing.T) {
 	f := newFakeAdmin(t)
 	document := writeDocument(t, replacementDocumentText)
 	out := f.must(t, ExitOK, "replace", document).out
@@ -64,9 +64,9 @@
 	assert.Assert(t, is.Contains(f.must(t, ExitOK, "replace", older).out, "no change: version 7 is newer than the 3"))
 }
 
-// A document with a mistake must be refused before anything is sent, and the
-// message say where the mistake is.
-func TestAWholeConfigurationWithAMistakeIsNotSent(t *testing.T) {
+// An invalid document must be refused before anything is sent, and the message must name the
+// position of the fault.
+func TestInvalidReplacementDocumentIsNotSent(t *testing.T) {
 	for text, want := range map[string]string{
 		"version = -1":                         "a whole number of 0 or more",
 		"version = 7\nroutes = []":             "unknown key",
--- a/internal/tool/tool_test.go
+++ b/internal/tool/tool_test.go
@@ -44,7 +44,7 @@
 class_worth = { interactive = 100 }
 `
 
-// writeDocument writes a document and the key that it names.
+// writeDocument writes a document and the key file that it names.
 func writeDocument(t *testing.T, text string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -54,7 +54,7 @@
 	return path
 }
 
-func TestFoundApplyAndUsePreset(t *testing.T) {
+func TestInitApplyAndUsePreset(t *testing.T) {
 	f := newFakeAdmin(t)
 	document := writeDocument(t, configurationDocumentText)
 
@@ -73,9 +73,9 @@
 	f.must(t, ExitNotFound, "preset", "use", "festival")
 }
 
-// An operator's change is accepted, but its answer is lost on the way. A tool
-// that gave up would leave him guessing; one that sent a fresh change would
-// make it twice. The same id is sent again and gets the first answer.
+// A change is accepted, but its response is lost. Giving up would leave the outcome unknown,
+// and a new change id would apply the change twice. The tool must send the same id again and
+// get the first outcome.
 func TestLostAnswerIsResentUnderTheSameID(t *testing.T) {
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init")
@@ -88,9 +88,9 @@
 	assert.Equal(t, f.posts[0].ChangeID, f.posts[2].ChangeID)
 }
 
-// All answers are lost until the tool's time is up: nobody knows whether the
-// change was made. The tool says so, names the id, and a later run with that
-// id tells the outcome without a second change.
+// All responses are lost until the timeout, so the outcome of the change is unknown. The
+// message must name the change id, and a later run with that id must return the outcome without
+// a second change.
 func TestUnknownOutcomeNamesTheChangeID(t *testing.T) {
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init")
@@ -106,9 +106,8 @@
 	assert.Equal(t, f.board.Config.Revision, uint64(1))
 }
 
-// Two operators look at the same revision and both change it. The second must
-// learn that the state which he looked at is gone, and nothing of his change
-// may be applied.
+// Two operators read the same revision and both change it. The second must get a conflict that
+// names the current revision, and no part of the second change may be applied.
 func TestRaceOfTwoOperatorsIsAConflict(t *testing.T) {
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init", "-configuration", writeDocument(t, configurationDocumentText))
@@ -125,8 +124,8 @@
 	assert.Equal(t, e.Error.Revision, uint64(2))
 }
 
-// The control VM whose address comes first is down. The tool must go on to
-// the next one instead of reporting the whole system as gone.
+// The control process at the first address is down. The tool must try the next address instead
+// of reporting the system as unavailable.
 func TestNextAddressIsTriedWhenOneIsDown(t *testing.T) {
 	f := newFakeAdmin(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -187,8 +186,8 @@
 	assert.Equal(t, len(f.posts), 0)
 }
 
-// A preset names a class that does not exist. The server would take it and
-// the class would silently keep its ordinary worth on the day of the peak.
+// A preset names a class that does not exist. The server would accept it, and the class would
+// silently keep its default worth while the preset is active.
 func TestPresetWithUnknownClassIsRefused(t *testing.T) {
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init")
@@ -219,8 +218,8 @@
 	f.must(t, ExitOK, "diff", smaller)
 }
 
-// A drain is accepted, but a request is still in flight on the VM's group.
-// The tool may report the VM as drained only when its row holds no group.
+// A drain is accepted while a request is still in flight on the VM's group. The tool may report
+// the VM as drained only when the VM holds no group.
 func TestDrainReportsProgressUntilDone(t *testing.T) {
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init")
@@ -245,7 +244,7 @@
 	f.must(t, ExitNotFound, "undrain", "vm", "engine-1")
 }
 
-func TestDrainThatDoesNotFinishHasItsOwnCode(t *testing.T) {
+func TestUnfinishedDrainExitCode(t *testing.T) {
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init", "-configuration", writeDocument(t, configurationDocumentText))
 	f.onStatus = func(s *adminapi.Status) {
@@ -255,7 +254,7 @@
 	assert.Assert(t, is.Contains(r.err, "memos-0 (draining)"))
 }
 
-func TestWorkspaceSetKeepsTheKeyAtHome(t *testing.T) {
+func TestWorkspaceSetSendsOnlyTheKeyHash(t *testing.T) {
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init")
 	f.must(t, ExitUsage, "workspace", "set", "audits")
@@ -273,9 +272,9 @@
 	f.must(t, ExitNotFound, "workspace", "remove", "audits")
 }
 
-// The leader changes while an operator follows the events. The new leader
-// counts from 1 again; a follower that kept its old place would see nothing.
-func TestEventsStartAfreshWithANewLeader(t *testing.T) {
+// The leader changes while the tool follows events. The new leader numbers its events from 1,
+// so a follower that keeps its old sequence number would see none of them.
+func TestEventsFollowANewLeader(t *testing.T) {
 	f := newFakeAdmin(t)
 	event := func(n uint64, text string) adminapi.Event {
 		return adminapi.Event{Sequence: n, Kind: "group", Subject: "memos-0", Text: text}
@@ -318,9 +317,9 @@
 	f.must(t, ExitUsage, "status", "-section", "weather")
 }
 
-// Two of three control VMs are lost. The third still answers, with groups that
-// serve and measures of zero: a monitor that went by the tables would stay
-// green all night.
+// Two of three control processes are lost. The third still answers, with serving groups and
+// measures of zero, so a monitor that reads the tables alone would report a healthy system. The
+// exit code must show the failure.
 func TestStatusWithoutALeaderIsAFailure(t *testing.T) {
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init")
@@ -332,9 +331,9 @@
 	}
 }
 
-// A cluster is founded on one control process; the others join a moment later.
-// An operator who goes on at once, and whose first VM dies then, has lost what
-// was accepted. init returns only when all that were named hold the state.
+// A cluster starts with one voter and the other processes join later. If the first disk is lost
+// before that, accepted changes are lost. init must return only when all named processes hold
+// the state.
 func TestInitWaitsForTheOtherControlProcesses(t *testing.T) {
 	f := newFakeAdmin(t)
 	both := f.address() + "," + f.address()
@@ -349,24 +348,23 @@
 	assert.Equal(t, runTool(both, "init").code, ExitOK)
 }
 
-// One control process has not joined yet and answers "not founded"; the next
-// one has. The tool must ask on, and give up at once where all say so.
+// One control process has not joined yet and answers "not founded"; the next one has joined.
+// The tool must try the next address, and give up at once when all addresses answer so.
 func TestNotFoundedIsFinalOnlyFromAll(t *testing.T) {
-	stranger := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	notJoined := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		failure.Write(w, failure.New(failure.TypeNotFounded, "the cluster is not founded"))
 	}))
-	defer stranger.Close()
-	address := strings.TrimPrefix(stranger.URL, "http://")
+	defer notJoined.Close()
+	address := strings.TrimPrefix(notJoined.URL, "http://")
 	f := newFakeAdmin(t)
 	f.must(t, ExitOK, "init")
 	assert.Equal(t, runTool(address+","+f.address(), "preset", "list").code, ExitOK)
 	assert.Equal(t, runTool(address+","+address, "preset", "list").code, ExitFailure)
 }
 
-// An operator starts all processes and runs init in the same breath. One
-// process does not listen yet, so the founding is refused for a moment; init
-// must not come back with a conflict that was none.
-func TestInitOutlastsAPeerThatStillStarts(t *testing.T) {
+// An operator starts all processes and runs init at once. One process does not listen yet, so
+// init is refused for a moment. The tool must retry instead of reporting a conflict.
+func TestInitRetriesWhilePeerStarts(t *testing.T) {
 	f := newFakeAdmin(t)
 	f.refuseInits = 2
 	assert.Assert(t, is.Contains(f.must(t, ExitOK, "init").err, "not founded yet: conflict: a peer could not be asked"))
