--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -5,31 +5,31 @@
 	"strings"
 )
 
-// cause states why the request ended as it did.
+// cause returns a sentence that states why the request ended as it did.
 func cause(own, all []Line) string {
 	last := own[len(own)-1]
 	switch {
 	case last.Event == "refuse" && last.Fields["at"] == "door":
-		return atDoor(last, all)
+		return refusedAtAdmission(last, all)
 	case last.Event == "refuse":
 		return refused(last, own, all)
 	case last.Event == "answer":
 		return answered(last, own, all)
 	case last.Event == "attempt_ended":
-		return "It was still under way, or its process ended, after an attempt that " + attempt(last, all) + "."
+		return "It was still under way, or its process ended, after an attempt that " + describeAttempt(last, all) + "."
 	}
-	return "Nothing went wrong that these logs know of: it was routed, and nothing was said of it after that."
+	return "These logs show no failure: the request was routed, and no later line names it."
 }
 
-// atDoor explains a refusal given before anything was decided on the request.
-func atDoor(refusal Line, all []Line) string {
-	text := fmt.Sprintf("It was refused at the door of %s, which is why it did not run: %s", refusal.VM, refusal.Fields["reason"])
+// refused explains a refusal of a request that had been admitted.
+func refusedAtAdmission(refusal Line, all []Line) string {
+	text := fmt.Sprintf("It was refused at admission by %s, so it did not run: %s", refusal.VM, refusal.Fields["reason"])
 	if refusal.Fields["type"] != "configuration_stale" {
 		return text + "."
 	}
 	for _, line := range all {
 		if line.Event == "leading" && line.At.After(refusal.At) {
-			return text + fmt.Sprintf("; the control processes had no leader until %s led at %s.", line.VM, clock(line))
+			return text + fmt.Sprintf("; the control processes had no leader until %s led at %s.", line.VM, timeOfDay(line))
 		}
 	}
 	return text + "."
@@ -37,8 +37,8 @@
 
 // refused explains a refusal of a request that was taken.
 func refused(refusal Line, own, all []Line) string {
-	if failed, ok := lastOf(own, "attempt_ended"); ok {
-		text := "It failed after an attempt that " + attempt(failed, all)
+	if failed, ok := lastLine(own, "attempt_ended"); ok {
+		text := "It failed after an attempt that " + describeAttempt(failed, all)
 		if refusal.Fields["type"] == "outcome_unknown" {
 			return text + ". It may run once only and had been sent, so it was not sent again: whether it ran is not known."
 		}
@@ -50,32 +50,32 @@
 		}
 		return text + "; no further attempt was left."
 	}
-	return fmt.Sprintf("It was refused by %s before anything was sent (%s) after %s ms in the queue, with %s ms left; it did not run, and was told to come back after %s ms.",
+	return fmt.Sprintf("It was refused by %s before anything was sent (%s) after %s ms in the queue, with %s ms left; it did not run, and the caller was asked to retry after %s ms.",
 		refusal.VM, refusal.Fields["reason"], refusal.Fields["queued_ms"], refusal.Fields["left_ms"], refusal.Fields["retry_after_ms"])
 }
 
 // answered explains an answer that took several attempts or too long.
 func answered(answer Line, own, all []Line) string {
 	text := fmt.Sprintf("It was answered after %s ms", answer.Fields["first_ms"])
-	if failed, ok := lastOf(own, "attempt_ended"); ok {
-		return text + ", in attempt " + answer.Fields["attempts"] + ", after one that " + attempt(failed, all) + "."
+	if failed, ok := lastLine(own, "attempt_ended"); ok {
+		return text + ", in attempt " + answer.Fields["attempts"] + ", after one that " + describeAttempt(failed, all) + "."
 	}
 	if answer.Fields["queued_ms"] != "0" && answer.Fields["queued_ms"] != "" {
 		return text + ", of which it waited " + answer.Fields["queued_ms"] + " ms in the queue of " + answer.VM + "."
 	}
 	if answer.Fields["late"] == "true" {
-		return text + ", which is past its objective; the time went by on the backend server that it was sent to at once."
+		return text + ", which is past its objective; the time was spent on the backend server, as the request was sent without queueing."
 	}
 	return text + "."
 }
 
-// attempt says how an attempt ended and, if its group was broken, why.
-func attempt(ended Line, all []Line) string {
+// describeAttempt returns how an attempt ended and, if its group was broken, why.
+func describeAttempt(ended Line, all []Line) string {
 	target := ended.Fields["target"]
 	text := "ended as " + ended.Fields["outcome"] + " on " + target
 	for _, line := range all {
 		if line.Event == "decision" && line.Fields["kind"] == "break" && line.Fields["subject"] == target {
-			return text + ", a group that " + line.VM + " took out of service at " + clock(line) + " because " + line.Fields["reason"]
+			return text + ", a group that " + line.VM + " took out of service at " + timeOfDay(line) + " because " + line.Fields["reason"]
 		}
 	}
 	if detail := ended.Fields["err"]; detail != "" {
@@ -84,7 +84,8 @@
 	return text
 }
 
-func lastOf(lines []Line, event string) (Line, bool) {
+// lastLine returns the last line of an event, if there is one.
+func lastLine(lines []Line, event string) (Line, bool) {
 	for i := len(lines) - 1; i >= 0; i-- {
 		if lines[i].Event == event {
 			return lines[i], true
@@ -93,5 +94,5 @@
 	return Line{}, false
 }
 
-// clock is a line's time of day by its VM's clock.
-func clock(l Line) string { return l.At.Format("15:04:05.000") }
+// timeOfDay returns a line's time of day by the clock of its VM.
+func timeOfDay(l Line) string { return l.At.Format("15:04:05.000") }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,9 +1,9 @@
-// Package explain finds in the logs of several processes why a request was
-// refused, cut or late.
+// Package explain finds the reason why a request was refused, interrupted or late in the logs
+// of several processes.
 //
-// It reads lines in logfmt, takes those of the request and of what it depended on
-// (its groups, the leader, the configuration), puts them in order and states the
-// cause in a sentence. It has no I/O but the readers that it is given.
+// It reads logfmt lines and selects those of the request and of its dependencies: groups,
+// leader and configuration. It sorts them and states the cause in one sentence. It performs no
+// I/O except through the readers that it is given.
 package explain
 
 import (
@@ -19,34 +19,34 @@
 
 // Line is one line of a log.
 type Line struct {
-	// At is by the clock of the VM that wrote the line.
+	// At is the time by the clock of the VM that wrote the line.
 	At     time.Time
 	VM     string
 	Event  string
 	Fields map[string]string
-	// Text is the line as it was read.
+	// Text is the line as read, from its time on.
 	Text string
-	// place orders the lines of one VM.
-	place int
+	// index orders the lines of one VM.
+	index int
 }
 
-// ErrNoLines means that no line names the request.
+// ErrNoLines reports that no line names the request.
 const ErrNoLines = errors.ConstError("no line of these logs names the request")
 
-// maxLine bounds one line in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of one line.
+const maxLineBytes = 1 << 20
 
-// Logs are the parsed lines of all processes.
+// Logs holds the parsed lines of all processes.
 type Logs struct{ lines []Line }
 
-// Read adds the lines of one log. What stands before a line's time, and lines
-// that are not logfmt, are left out.
+// Read adds the lines of one log. It ignores lines that are not logfmt, and any text before the
+// time of a line.
 func (l *Logs) Read(r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		if line, ok := parse(s.Text()); ok {
-			line.place = len(l.lines)
+			line.index = len(l.lines)
 			l.lines = append(l.lines, line)
 		}
 	}
@@ -73,43 +73,44 @@
 	return line, true
 }
 
-// Story is what the logs say of one request.
+// Story is what the logs show about one request.
 type Story struct {
-	// Lines are those of the request and of what it depended on, in order: those
-	// of one VM as it wrote them, those of several VMs by their clocks.
+	// Lines are the lines about the request and its dependencies. Lines of one VM keep the
+	// order in which the VM wrote them; lines of several VMs are sorted by their clocks.
 	Lines []Line
-	// Cause is a sentence.
+	// Cause is a sentence that states why the request ended as it did.
 	Cause string
 }
 
-// Explain returns the story of the request with an id, a caller's own or one
-// that an entry made of it. skew is how far apart the clocks of two VMs may be.
+// Explain returns the story of the request with the given id, which is the caller's id or the
+// id that an entry derived from it. skew is the largest difference between the clocks of two
+// VMs. The error is ErrNoLines if no line names the request.
 func (l *Logs) Explain(id string, skew time.Duration) (Story, error) {
-	own := l.of(id)
+	own := l.ofRequest(id)
 	if len(own) == 0 {
 		return Story{}, errors.Trace(ErrNoLines)
 	}
-	own = inOrder(own)
-	w := window{own[0].At.Add(-before - skew), own[len(own)-1].At.Add(after + skew)}
-	all := append(slices.Clone(own), l.around(own, w)...)
-	all = inOrder(all)
+	own = sortLines(own)
+	w := window{own[0].At.Add(-lookBehind - skew), own[len(own)-1].At.Add(lookAhead + skew)}
+	all := append(slices.Clone(own), l.related(own, w)...)
+	all = sortLines(all)
 	return Story{Lines: all, Cause: cause(own, all)}, nil
 }
 
-// before and after are how far from the request's own lines those are looked for
-// that it depended on: a group is silent for up to five seconds before it is given
-// up, and what came of that is decided within two.
+// lookBehind and lookAhead bound the time around the request's own lines in which related lines
+// are searched. A group may be silent for up to five seconds before it is treated as failed,
+// and the resulting decision follows within two seconds.
 const (
-	before = 5 * time.Second
-	after  = 2 * time.Second
+	lookBehind = 5 * time.Second
+	lookAhead  = 2 * time.Second
 )
 
 type window struct{ from, to time.Time }
 
-func (w window) holds(at time.Time) bool { return !at.Before(w.from) && !at.After(w.to) }
+func (w window) contains(at time.Time) bool { return !at.Before(w.from) && !at.After(w.to) }
 
-// of returns the lines that name the request.
-func (l *Logs) of(id string) []Line {
+// ofRequest returns the lines that name the request.
+func (l *Logs) ofRequest(id string) []Line {
 	var own []Line
 	for _, line := range l.lines {
 		request := line.Fields["request"]
@@ -120,8 +121,8 @@
 	return own
 }
 
-// around returns the lines on what the request depended on.
-func (l *Logs) around(own []Line, w window) []Line {
+// related returns the lines about the dependencies of the request within the window.
+func (l *Logs) related(own []Line, w window) []Line {
 	groups, vms := make(map[string]bool), make(map[string]bool)
 	for _, line := range own {
 		vms[line.VM] = true
@@ -133,16 +134,16 @@
 	}
 	var found []Line
 	for _, line := range l.lines {
-		if line.Fields["request"] == "" && w.holds(line.At) && concerns(line, groups, vms) {
+		if line.Fields["request"] == "" && w.contains(line.At) && isRelated(line, groups, vms) {
 			found = append(found, line)
 		}
 	}
 	return found
 }
 
-// concerns tells whether a line is about one of the groups, about the entries
-// that had the request, or about who leads.
-func concerns(line Line, groups, vms map[string]bool) bool {
+// isRelated reports whether a line is about one of the groups, about an entry that handled the
+// request, or about a change of leader.
+func isRelated(line Line, groups, vms map[string]bool) bool {
 	switch line.Event {
 	case "group_stalled", "group_suspected":
 		return groups[line.Fields["group"]]
@@ -158,11 +159,11 @@
 	return false
 }
 
-// inOrder sorts lines by their VMs' clocks and keeps the order in which one VM
-// wrote its own, also where its clock was set back.
-func inOrder(lines []Line) []Line {
+// sortLines sorts lines by the clocks of their VMs. Lines of one VM keep the order in which the
+// VM wrote them, even where its clock was set back.
+func sortLines(lines []Line) []Line {
 	sorted := slices.Clone(lines)
-	slices.SortStableFunc(sorted, func(a, b Line) int { return a.place - b.place })
+	slices.SortStableFunc(sorted, func(a, b Line) int { return a.index - b.index })
 	latest := make(map[string]time.Time)
 	keys := make(map[int]time.Time, len(sorted))
 	for _, line := range sorted {
@@ -171,8 +172,8 @@
 			at = latest[line.VM]
 		}
 		latest[line.VM] = at
-		keys[line.place] = at
+		keys[line.index] = at
 	}
-	slices.SortStableFunc(sorted, func(a, b Line) int { return keys[a.place].Compare(keys[b.place]) })
+	slices.SortStableFunc(sorted, func(a, b Line) int { return keys[a.index].Compare(keys[b.index]) })
 	return sorted
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -9,7 +9,7 @@
 	is "gotest.tools/v3/assert/cmp"
 )
 
-// entryLog and leaderLog are of a stream whose group loses a member. The leader's
+// entryLog and leaderLog are the logs of a stream whose group loses a member. The leader's
 // clock is 300 ms ahead.
 const entryLog = `
  18.1 front-1 ts=2026-03-13T01:29:38.100Z level=info vm=front-1 part=entry event=route request=abc.1 attempt=abc.1.1 model=m choice=m-8 reason=two_choices queued_ms=0
@@ -37,10 +37,10 @@
 	return l
 }
 
-// A stream went on late as its group lost a member. An engineer has the logs of
-// an entry and of the leader, whose clocks differ, and the request's id. The story
-// must hold what concerns it and nothing else, and name the group and the cause.
-func TestAStreamThatWentOnElsewhereIsExplained(t *testing.T) {
+// A stream was delayed because its group lost a member. Given the logs of an entry and of the
+// leader, whose clocks differ, and the request id, the explanation must contain the related
+// lines only, and name the group and the cause.
+func TestExplainResumedStream(t *testing.T) {
 	story, err := logs(t, leaderLog, entryLog).Explain("abc", time.Second)
 	assert.NilError(t, err)
 	var events []string
@@ -54,12 +54,12 @@
 	assert.Assert(t, is.Contains(story.Cause, `m-8, a group that core-1 took out of service at 01:29:39.060 because no entry gets answers`))
 }
 
-func TestCausesOfRefusals(t *testing.T) {
+func TestRefusalCauses(t *testing.T) {
 	line := func(rest string) string { return "ts=2026-03-13T01:29:38.1Z vm=front-1 " + rest + "\n" }
 	ended := line(`event=attempt_ended request=abc.1 target=10.0.0.1:80 outcome=broken err="backend_failed: read: connection reset by peer"`)
 	for _, c := range []struct{ name, log, want string }{
 		{"under load", line(`event=refuse request=abc.1 type=deadline_exceeded ran=no reason="refused: deadline_unreachable" queued_ms=3 left_ms=800 retry_after_ms=900`),
-			"before anything was sent (refused: deadline_unreachable) after 3 ms in the queue, with 800 ms left; it did not run, and was told to come back after 900 ms"},
+			"before anything was sent (refused: deadline_unreachable) after 3 ms in the queue, with 800 ms left; it did not run, and the caller was asked to retry after 900 ms"},
 		{"its answer was lost", ended + line(`event=refuse request=abc.1 type=outcome_unknown ran=unknown reason="its outcome is unknown"`),
 			"connection reset by peer). It may run once only and had been sent, so it was not sent again"},
 		{"no attempt left", ended + line(`event=refuse request=abc.1 type=backend_failed ran=unknown reason="x"`), "no further attempt was left"},
@@ -69,7 +69,7 @@
 		{"without a configuration", line(`event=refuse request=abc type=configuration_stale ran=no reason="lost" at=door`) +
 			"ts=2026-03-13T01:29:39.000Z vm=core-2 event=leading term=4\n", "had no leader until core-2 led at 01:29:39.000"},
 		{"still under way", ended, "still under way"},
-		{"nothing wrong", line("event=route request=abc.1 choice=m-1"), "Nothing went wrong"},
+		{"nothing wrong", line("event=route request=abc.1 choice=m-1"), "These logs show no failure"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			story, err := logs(t, c.log).Explain("abc", time.Second)
@@ -81,9 +81,9 @@
 	assert.ErrorIs(t, err, ErrNoLines)
 }
 
-// A VM's clock is set back in the middle of a request. The lines that it wrote
-// must keep their order, or the answer would come before the attempts.
-func TestAClockThatIsSetBackKeepsTheOrder(t *testing.T) {
+// A VM's clock is set back during a request. The lines of that VM must keep their order;
+// otherwise the answer would precede the attempts.
+func TestLineOrderSurvivesClockSetBack(t *testing.T) {
 	story, err := logs(t, `ts=2026-03-13T01:29:38.100Z vm=v event=route request=a attempt=1
 ts=2026-03-13T01:29:33.200Z vm=v event=attempt_ended request=a outcome=broken
 ts=2026-03-13T01:29:33.300Z vm=v event=refuse request=a type=backend_failed
--- a/internal/explain/pools.go
+++ b/internal/explain/pools.go
@@ -7,53 +7,54 @@
 	"time"
 )
 
-// PoolReport is what the logs of control processes say of the VMs of the pools and of
-// the groups that broke.
+// PoolReport summarises what the logs of control processes record about the VMs of each pool
+// and about the groups that broke.
 type PoolReport struct {
-	// Seconds are VM-seconds by pool and state. A VM counts in one state at a time.
+	// Seconds holds VM-seconds by pool and state. A VM counts in one state at a time.
 	Seconds map[string]map[string]float64 `json:"vm_seconds"`
-	// Repairs are the groups that broke, in order.
+	// Repairs lists the groups that broke, in order.
 	Repairs []Repair `json:"repairs"`
-	// Reasons count the groups that broke by why.
+	// Reasons counts the groups that broke, by reason.
 	Reasons map[string]int `json:"reasons"`
-	// Suspected counts the epochs of groups that entries found silent, and Acted those
-	// of them that were broken for it.
+	// Suspected counts the group epochs that entries reported as silent, Acted how many of them
+	// were broken for that reason.
 	Suspected int `json:"suspected"`
 	Acted     int `json:"acted"`
 }
 
-// Repair is a group that broke and the next one of its model in its fabric domain.
+// Repair is a group that broke and the next group that formed for the same model in the same
+// fabric domain.
 type Repair struct {
 	Group  string    `json:"group"`
 	Broken time.Time `json:"broken"`
-	// Formed is how long after the break that one was formed, and Served how long after
-	// that it served; negative where the logs do not say.
+	// Formed is the time from the break until the next group formed, Served the time from then
+	// until it served. Both are negative where the logs do not show the step.
 	Formed time.Duration `json:"formed"`
 	Served time.Duration `json:"served"`
 }
 
-// unknownStep is a step of a repair that the logs do not show.
-const unknownStep = time.Duration(-1)
+// stepNotLogged is the duration of a repair step that the logs do not show.
+const stepNotLogged = time.Duration(-1)
 
-// poolStates are the counts in a line of event=pool that make up the VMs of a pool. In
-// a line, living are those in all states but dead.
+// poolStates are the counts in a line of event=pool that add up to the VMs of a pool. The count
+// "living" in a line covers all states but dead.
 var poolStates = []string{"serving", "loading", "held", "free", "leaving", "dead"}
 
-// Pools reads what the control processes logged of pools and groups.
+// Pools summarises what the control processes logged about pools and groups.
 func (l *Logs) Pools() PoolReport {
 	r := PoolReport{Seconds: make(map[string]map[string]float64), Reasons: make(map[string]int)}
-	lines := inOrder(l.lines)
+	lines := sortLines(l.lines)
 	l.countSeconds(lines, &r)
-	r.repairs(lines)
-	r.suspicions(lines)
+	r.pairRepairs(lines)
+	r.countSuspicions(lines)
 	return r
 }
 
-// longestSample bounds the time that one line of a pool counts for: it is written each
-// second by the process that leads, and nobody knows what was while none did.
-const longestSample = 3 * time.Second
+// maxSampleTime bounds the time that one pool line counts for. The leader writes such a line
+// every second; while there is no leader, the state of the VMs is unknown.
+const maxSampleTime = 3 * time.Second
 
-// countSeconds adds up the VMs in each state from one line of a pool to the next.
+// countSeconds adds up the VM-seconds in each state between consecutive lines of a pool.
 func (l *Logs) countSeconds(lines []Line, r *PoolReport) {
 	last := make(map[string]Line)
 	for _, line := range lines {
@@ -62,13 +63,14 @@
 		}
 		pool := line.Fields["pool"]
 		if before, known := last[pool]; known {
-			r.add(pool, before, line.At.Sub(before.At))
+			r.addSeconds(pool, before, line.At.Sub(before.At))
 		}
 		last[pool] = line
 	}
 }
 
-func (r *PoolReport) add(pool string, line Line, d time.Duration) {
+// addSeconds counts the states in line for d, but for no longer than maxSampleTime.
+func (r *PoolReport) addSeconds(pool string, line Line, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -76,18 +78,19 @@
 		r.Seconds[pool] = make(map[string]float64)
 	}
 	for _, state := range poolStates {
-		// A count that can't be read is one that an earlier version did not write.
+		// A count is missing in logs that an earlier version wrote.
 		n, _ := strconv.Atoi(line.Fields[state])
-		r.Seconds[pool][state] += float64(n) * min(d, longestSample).Seconds()
+		r.Seconds[pool][state] += float64(n) * min(d, maxSampleTime).Seconds()
 	}
 }
 
-// place is a model in a fabric domain.
-type place struct{ spec, domain string }
+// modelInDomain identifies a model in a fabric domain.
+type modelInDomain struct{ spec, domain string }
 
-// repairs pairs each group that broke with the next one that was formed in its place.
-func (r *PoolReport) repairs(lines []Line) {
-	open := make(map[place][]int)
+// pairRepairs pairs each group that broke with the next group that formed for its model in its
+// fabric domain.
+func (r *PoolReport) pairRepairs(lines []Line) {
+	unpaired := make(map[modelInDomain][]int)
 	forming := make(map[string]int)
 	domains := make(map[string]string)
 	for _, line := range lines {
@@ -97,18 +100,18 @@
 		group := line.Fields["subject"]
 		switch line.Fields["kind"] {
 		case "break":
-			r.Reasons[reasonOf(line.Fields["reason"])]++
-			r.Repairs = append(r.Repairs, Repair{Group: group, Broken: line.At, Formed: unknownStep, Served: unknownStep})
-			at := place{specOf(group), domains[group]}
-			open[at] = append(open[at], len(r.Repairs)-1)
+			r.Reasons[reasonWithoutMember(line.Fields["reason"])]++
+			r.Repairs = append(r.Repairs, Repair{Group: group, Broken: line.At, Formed: stepNotLogged, Served: stepNotLogged})
+			key := modelInDomain{specName(group), domains[group]}
+			unpaired[key] = append(unpaired[key], len(r.Repairs)-1)
 		case "form":
 			domains[group] = line.Fields["choice"]
-			at := place{specOf(group), domains[group]}
-			if len(open[at]) == 0 {
+			key := modelInDomain{specName(group), domains[group]}
+			if len(unpaired[key]) == 0 {
 				continue
 			}
-			n := open[at][0]
-			open[at] = open[at][1:]
+			n := unpaired[key][0]
+			unpaired[key] = unpaired[key][1:]
 			r.Repairs[n].Formed = line.At.Sub(r.Repairs[n].Broken)
 			forming[group] = n
 		case "serve":
@@ -122,16 +125,16 @@
 	}
 }
 
-// specOf returns the name of a group without its number.
-func specOf(group string) string {
+// specName returns the name of a group without its number.
+func specName(group string) string {
 	if i := strings.LastIndexByte(group, '-'); i > 0 {
 		return group[:i]
 	}
 	return group
 }
 
-// reasonOf leaves out the member that a reason names.
-func reasonOf(reason string) string {
+// reasonWithoutMember removes the name of the member from a reason.
+func reasonWithoutMember(reason string) string {
 	words := strings.Fields(reason)
 	if len(words) > 2 && words[0] == "member" {
 		return "member " + strings.Join(words[2:], " ")
@@ -139,8 +142,9 @@
 	return reason
 }
 
-// suspicions counts what entries suspected and what came of it.
-func (r *PoolReport) suspicions(lines []Line) {
+// countSuspicions counts the group epochs that entries suspected and the groups that were
+// broken for it.
+func (r *PoolReport) countSuspicions(lines []Line) {
 	suspected := make(map[string]time.Time)
 	for _, line := range lines {
 		switch {
@@ -156,12 +160,12 @@
 	}
 }
 
-// Steps returns the median and the longest of the steps of the repairs that the logs
-// show; zero where there are none.
+// Steps returns the median and the maximum of one step over the repairs for which the logs show
+// it, and the number of those repairs. All are zero if there are none.
 func (r PoolReport) Steps(step func(Repair) time.Duration) (median, longest time.Duration, shown int) {
 	var all []time.Duration
 	for _, repair := range r.Repairs {
-		if d := step(repair); d != unknownStep {
+		if d := step(repair); d != stepNotLogged {
 			all = append(all, d)
 		}
 	}
--- a/internal/explain/pools_test.go
+++ b/internal/explain/pools_test.go
@@ -23,21 +23,20 @@
 ts=2026-03-13T01:29:49.0Z vm=core-2 event=pool pool=p living=9 serving=8 loading=0 held=0 free=1 dead=1 leaving=0
 `
 
-// An operator asks why a model was slow last night. The logs of the control processes must
-// tell how long VMs stood idle and why, how long each step of a repair took, and
-// that a second in which nobody led counts for nothing.
-func TestPoolsAreSummedUpFromTheLogs(t *testing.T) {
+// The summary must show how long VMs were idle, why groups broke and how long each repair step
+// took. Time without a leader must not be counted.
+func TestPoolReport(t *testing.T) {
 	r := logs(t, poolLog).Pools()
-	assert.Equal(t, r.Seconds["p"]["serving"], 8.0+4*longestSample.Seconds())
-	assert.Equal(t, r.Seconds["p"]["free"], 2.0+1*longestSample.Seconds())
-	assert.Equal(t, r.Seconds["p"]["dead"], longestSample.Seconds())
+	assert.Equal(t, r.Seconds["p"]["serving"], 8.0+4*maxSampleTime.Seconds())
+	assert.Equal(t, r.Seconds["p"]["free"], 2.0+1*maxSampleTime.Seconds())
+	assert.Equal(t, r.Seconds["p"]["dead"], maxSampleTime.Seconds())
 	assert.DeepEqual(t, r.Reasons, map[string]int{"no entry gets answers": 1, "member restarted": 1})
 	assert.Equal(t, r.Suspected, 2)
 	assert.Equal(t, r.Acted, 1)
 	assert.Equal(t, len(r.Repairs), 2)
 	assert.Equal(t, r.Repairs[0].Formed, 500*time.Millisecond)
 	assert.Equal(t, r.Repairs[0].Served, time.Second)
-	assert.Equal(t, r.Repairs[1].Formed, unknownStep)
+	assert.Equal(t, r.Repairs[1].Formed, stepNotLogged)
 	median, longest, shown := r.Steps(func(r Repair) time.Duration { return r.Formed })
 	assert.Equal(t, median, 500*time.Millisecond)
 	assert.Equal(t, longest, median)
