--- a/internal/logsink/limit.go
+++ b/internal/logsink/limit.go
@@ -7,46 +7,46 @@
 	"github.com/go-kit/log"
 )
 
-// Limited is a logger that writes at most so many lines a second.
+// Limited is a logger that writes a limited number of lines per second.
 //
-// Load: another writer sends what can't be read, many times a second. Harm: a
-// line for each takes the processor and the log from what matters. The lines that
-// are dropped are counted and told of with the first of a later second.
+// A peer that sends malformed messages many times a second would otherwise cause one line for
+// each, which takes processor time and hides other lines. Limited counts the dropped lines and
+// reports the count with the first line of a later second.
 type Limited struct {
-	to        log.Logger
+	next      log.Logger
 	perSecond int
 	now       func() time.Time
 
-	mu      sync.Mutex
-	second  int64
-	used    int
-	dropped int
+	mu            sync.Mutex
+	currentSecond int64
+	used          int
+	dropped       int
 }
 
-// Limit returns a logger that writes at most perSecond lines a second to another.
-func Limit(to log.Logger, perSecond int) *Limited {
-	return &Limited{to: to, perSecond: perSecond, now: time.Now}
+// Limit returns a logger that writes at most perSecond lines per second to next.
+func Limit(next log.Logger, perSecond int) *Limited {
+	return &Limited{next: next, perSecond: perSecond, now: time.Now}
 }
 
-// Log writes one line, or drops it.
+// Log writes one line, or drops it if the limit of this second is reached.
 func (l *Limited) Log(keyvals ...any) error {
-	dropped, ok := l.take()
+	dropped, ok := l.reserve()
 	if !ok {
 		return nil
 	}
 	if dropped > 0 {
 		keyvals = append(keyvals[:len(keyvals):len(keyvals)], "dropped_before", dropped)
 	}
-	return l.to.Log(keyvals...)
+	return l.next.Log(keyvals...)
 }
 
-// take counts one line and tells whether there is room for it, and how many were
-// dropped before it.
-func (l *Limited) take() (dropped int, ok bool) {
+// reserve counts one line. It reports whether the line may be written and how many lines were
+// dropped since the last written one.
+func (l *Limited) reserve() (dropped int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if second := l.now().Unix(); second != l.second {
-		l.second, l.used = second, 0
+	if second := l.now().Unix(); second != l.currentSecond {
+		l.currentSecond, l.used = second, 0
 	}
 	if l.used >= l.perSecond {
 		l.dropped++
--- a/internal/logsink/limit_test.go
+++ b/internal/logsink/limit_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Another writer sends a thousand heartbeats a second that can't be read. The log
-// shows the first of each second and how many it left out.
-func TestALimitedLogTellsWhatItLeftOut(t *testing.T) {
+// A peer sends a thousand malformed heartbeats a second. The log must show the first lines of
+// each second and the number of dropped lines.
+func TestLimitedReportsDroppedLines(t *testing.T) {
 	var lines [][]any
 	l := Limit(log.LoggerFunc(func(keyvals ...any) error {
 		lines = append(lines, keyvals)
--- a/internal/logsink/sink.go
+++ b/internal/logsink/sink.go
@@ -1,10 +1,9 @@
-// Package logsink writes log lines without ever making their writers wait.
+// Package logsink writes log lines without blocking the goroutines that log.
 //
-// Failure: whatever reads the log stops reading. The pipe fills, the next line
-// blocks, and with it the request or the decision that wrote it; the VM looks
-// dead though only its log is. A Sink takes lines into a bounded queue that one
-// goroutine writes; lines that find no room are dropped, counted, and told of
-// by a line of their own once there is room again.
+// When the reader of the log stops reading, its pipe fills and the next write blocks. Without a
+// queue, the request or decision that logs would block too, and the VM would look dead. A Sink
+// puts lines into a bounded queue, which one goroutine writes out. Lines that exceed the bound
+// are dropped and counted, and a line reports the count once writing is possible again.
 package logsink
 
 import (
@@ -16,34 +15,34 @@
 )
 
 const (
-	// maxLines and maxBytes bound what waits: some seconds of an entry's lines
-	// under full load, in a part of the memory of the smallest VM.
-	maxLines = 8192
-	maxBytes = 2 << 20
+	// maxQueuedLines and maxQueuedBytes bound the queue. It holds a few seconds of an entry's
+	// lines under full load, in a small part of the memory of the smallest VM.
+	maxQueuedLines = 8192
+	maxQueuedBytes = 2 << 20
 )
 
-// Sink is an io.Writer of whole lines. It is safe for concurrent use.
+// Sink is an io.Writer that accepts one complete line per Write. It is safe for concurrent use.
 type Sink struct {
-	to      io.Writer
-	lines   chan []byte
-	waiting atomic.Int64
-	dropped atomic.Uint64
-	// quit asks the writing goroutine to end, done tells that it has.
-	quit, done chan struct{}
-	once       sync.Once
+	out         io.Writer
+	lines       chan []byte
+	queuedBytes atomic.Int64
+	dropped     atomic.Uint64
+	// stop asks the writing goroutine to end; done is closed when it has ended.
+	stop, done chan struct{}
+	closeOnce  sync.Once
 }
 
-// New returns a Sink that writes to the writer until Close.
-func New(to io.Writer) *Sink {
-	s := &Sink{to: to, lines: make(chan []byte, maxLines), quit: make(chan struct{}), done: make(chan struct{})}
+// New returns a Sink that writes to out until Close.
+func New(out io.Writer) *Sink {
+	s := &Sink{out: out, lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write takes one line. It never waits and never fails: a logger can do nothing
-// about either.
+// Write queues or drops one line. It never blocks and never returns an error, because a logger
+// could not handle either.
 func (s *Sink) Write(line []byte) (int, error) {
-	if s.waiting.Add(int64(len(line))) > maxBytes {
+	if s.queuedBytes.Add(int64(len(line))) > maxQueuedBytes {
 		s.drop(line)
 		return len(line), nil
 	}
@@ -56,11 +55,11 @@
 }
 
 func (s *Sink) drop(line []byte) {
-	s.waiting.Add(-int64(len(line)))
+	s.queuedBytes.Add(-int64(len(line)))
 	s.dropped.Add(1)
 }
 
-// Dropped returns how many lines found no room and were not told of yet.
+// Dropped returns the number of dropped lines that no line has reported yet.
 func (s *Sink) Dropped() uint64 { return s.dropped.Load() }
 
 func (s *Sink) run() {
@@ -68,38 +67,38 @@
 	for {
 		select {
 		case line := <-s.lines:
-			s.put(line)
-		case <-s.quit:
-			s.putWaiting()
+			s.writeLine(line)
+		case <-s.stop:
+			s.drain()
 			return
 		}
 	}
 }
 
-// putWaiting writes the lines that wait at the end.
-func (s *Sink) putWaiting() {
+// drain writes the lines that are still queued at Close.
+func (s *Sink) drain() {
 	for {
 		select {
 		case line := <-s.lines:
-			s.put(line)
+			s.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-func (s *Sink) put(line []byte) {
-	s.waiting.Add(-int64(len(line)))
+func (s *Sink) writeLine(line []byte) {
+	s.queuedBytes.Add(-int64(len(line)))
 	if n := s.dropped.Swap(0); n > 0 {
 		line = append([]byte("level=warn event=log_lines_dropped lines="+strconv.FormatUint(n, 10)+"\n"), line...)
 	}
-	// There is nowhere to tell that the log can't be written.
-	_, _ = s.to.Write(line)
+	// A failed write is ignored: there is no other place to report it.
+	_, _ = s.out.Write(line)
 }
 
-// Close writes what waits, as long as the writer takes it, and ends the Sink.
-// Lines written after it are lost.
+// Close writes the queued lines, as long as the writer accepts them, and ends the Sink. Lines
+// written after Close are lost.
 func (s *Sink) Close() {
-	s.once.Do(func() { close(s.quit) })
+	s.closeOnce.Do(func() { close(s.stop) })
 	<-s.done
 }
--- a/internal/logsink/sink_test.go
+++ b/internal/logsink/sink_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesKeepTheirOrder(t *testing.T) {
 	var out bytes.Buffer
 	s := New(&out)
 	for _, line := range []string{"a\n", "b\n", "c\n"} {
@@ -23,17 +23,17 @@
 	assert.Equal(t, out.String(), "a\nb\nc\n")
 }
 
-// The reader of the log stops reading. Writers must go on at once, the lines
-// that found no room be counted, and a line tell of them when it reads again.
-func TestAStoppedReaderBlocksNobody(t *testing.T) {
+// The reader of the log stops reading. Writers must not block, excess lines must be counted,
+// and a line must report their number when the reader continues.
+func TestStoppedReaderBlocksNoWriter(t *testing.T) {
 	r, w := io.Pipe()
 	s := New(w)
 	line := []byte(strings.Repeat("x", 999) + "\n")
-	for range 2 * maxLines {
+	for range 2 * maxQueuedLines {
 		_, err := s.Write(line)
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, s.Dropped() > maxLines/2)
+	assert.Assert(t, s.Dropped() > maxQueuedLines/2)
 	var read bytes.Buffer
 	var reading sync.WaitGroup
 	reading.Go(func() { _, _ = io.Copy(&read, r) })
