--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -9,19 +9,19 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// Control are the metrics of the control role. It is fed the status about once
-// a second and finds the outages in what changed. It is not safe for
-// concurrent use; a nil Control records nothing.
+// Control holds the metrics of the control role. Its caller passes it the status about once a
+// second, and it derives outages from the changes. It is not safe for concurrent use; a nil
+// Control records nothing.
 type Control struct {
 	scope   tally.Scope
 	outages outages
-	// last are the measures at the last sample, to count what was added.
+	// last holds the measures of the previous sample, from which the increase is computed.
 	last adminapi.Measures
 }
 
-// Sample records the status as the leader sees it. A process that does not
-// lead passes leading false, and drops what it knew of outages: the status of
-// a follower may be old.
+// Sample records the status that the leader sees. A process that is not the leader passes
+// leading false, which discards the recorded outages: the status of a follower may be out of
+// date.
 func (c *Control) Sample(s adminapi.Status, config blackboard.Configuration, leading bool, now time.Time) {
 	if c == nil {
 		return
@@ -36,11 +36,11 @@
 	c.scope.Gauge(nameEntriesBehind).Update(float64(entriesBehind(s)))
 	c.sampleStates(s)
 	c.sampleMeasures(s.Measures)
-	for _, o := range c.outages.look(s, config, now) {
+	for _, o := range c.outages.update(s, config, now) {
 		c.scope.Tagged(map[string]string{"group": o.group}).Timer(nameOutage).Record(o.took)
 	}
-	for _, took := range c.outages.lookStranded(s, now) {
-		c.scope.Timer(nameStrandedSpell).Record(took)
+	for _, took := range c.outages.updateStranded(s, now) {
+		c.scope.Timer(nameStrandedOutage).Record(took)
 	}
 }
 
@@ -68,14 +68,14 @@
 func (c *Control) sampleMeasures(m adminapi.Measures) {
 	c.scope.Gauge(nameGroupsDown).Update(float64(m.GroupsDown))
 	c.scope.Gauge(nameStranded).Update(float64(m.StrandedAccelerators))
-	c.scope.Counter(nameDowntime).Inc(added(c.last.GroupDowntimeSeconds, m.GroupDowntimeSeconds))
-	c.scope.Counter(nameStrandedTime).Inc(added(c.last.StrandedAcceleratorSeconds, m.StrandedAcceleratorSeconds))
+	c.scope.Counter(nameDowntime).Inc(millisAdded(c.last.GroupDowntimeSeconds, m.GroupDowntimeSeconds))
+	c.scope.Counter(nameStrandedTime).Inc(millisAdded(c.last.StrandedAcceleratorSeconds, m.StrandedAcceleratorSeconds))
 	c.last = m
 }
 
-// added returns what a sum of seconds grew by, in whole milliseconds. A sum
-// that fell started anew with a leader's new term.
-func added(before, now float64) int64 {
+// millisAdded returns the increase of a sum of seconds in whole milliseconds. A sum that
+// decreased was reset by a new leader's term.
+func millisAdded(before, now float64) int64 {
 	const millis = 1000
 	if now < before {
 		before = 0
@@ -83,6 +83,7 @@
 	return int64(now*millis) - int64(before*millis)
 }
 
+// voters counts the voting replicas.
 func voters(s adminapi.Status) int {
 	n := 0
 	for _, r := range s.Replicas {
@@ -93,6 +94,7 @@
 	return n
 }
 
+// entriesBehind counts the entries that have a lease but not the newest configuration.
 func entriesBehind(s adminapi.Status) int {
 	n := 0
 	for _, e := range s.Entries {
@@ -103,12 +105,14 @@
 	return n
 }
 
-// outages remembers since when replicas and VMs have been down.
+// outages records since when replicas and VMs have been out of service.
 type outages struct {
 	// groups holds the starts of the present outages of each group, oldest
 	// first: a group with two replicas down has two.
 	groups map[string][]time.Time
-	vms    map[string]time.Time
+	// strandedVMs holds for each live VM without a working group the time since when it has had
+	// none.
+	strandedVMs map[string]time.Time
 }
 
 type outage struct {
@@ -116,8 +120,8 @@
 	took  time.Duration
 }
 
-// look returns the outages of groups that ended since the last look.
-func (o *outages) look(s adminapi.Status, config blackboard.Configuration, now time.Time) []outage {
+// update returns the outages of groups that ended since the previous call.
+func (o *outages) update(s adminapi.Status, config blackboard.Configuration, now time.Time) []outage {
 	serving := map[string]int{}
 	for _, g := range s.Groups {
 		if g.State.Routable() {
@@ -148,17 +152,17 @@
 	return ended
 }
 
-// lookStranded returns how long each VM had been stranded that is in a
-// working group again.
-func (o *outages) lookStranded(s adminapi.Status, now time.Time) []time.Duration {
+// updateStranded returns, for each VM that is in a working group again, how long it had been
+// without one.
+func (o *outages) updateStranded(s adminapi.Status, now time.Time) []time.Duration {
 	working := map[string]bool{}
 	for _, g := range s.Groups {
 		for _, m := range g.Members {
 			working[m.VM] = working[m.VM] || g.State.Routable()
 		}
 	}
-	before := o.vms
-	o.vms = map[string]time.Time{}
+	before := o.strandedVMs
+	o.strandedVMs = map[string]time.Time{}
 	var ended []time.Duration
 	for _, v := range s.VMs {
 		since, stranded := before[v.ID]
@@ -167,9 +171,9 @@
 			ended = append(ended, now.Sub(since))
 		case working[v.ID] || v.Liveness == blackboard.Dead:
 		case stranded:
-			o.vms[v.ID] = since
+			o.strandedVMs[v.ID] = since
 		default:
-			o.vms[v.ID] = now
+			o.strandedVMs[v.ID] = now
 		}
 	}
 	return ended
--- a/internal/metrics/definitions.go
+++ b/internal/metrics/definitions.go
@@ -1,6 +1,6 @@
 package metrics
 
-// Kind is the kind of a metric.
+// Kind is the type of a metric.
 type Kind string
 
 // The kinds.
@@ -10,9 +10,8 @@
 	KindHistogram Kind = "histogram"
 )
 
-// Definition is one metric: what /metrics says of it, and what
-// docs/operators/metrics.md explains. Times are in seconds, but for counters
-// of time, which count whole milliseconds.
+// Definition describes one metric as /metrics and docs/operators/metrics.md show it. Times are
+// in seconds, except that counters of time count whole milliseconds.
 type Definition struct {
 	Name    string
 	Kind    Kind
@@ -21,16 +20,17 @@
 	Buckets []float64
 }
 
-// Buckets of the histograms, in seconds. Each range starts below what a
-// healthy system shows and ends at the deadline past which nothing is waited
-// for; the steps are about a factor of two.
+// Buckets of the histograms, in seconds. Each range starts below the values of a healthy system
+// and ends at the deadline after which nothing waits any longer. Each bound is about twice the
+// one before it.
 var (
-	// requestBuckets: 1 ms to two minutes, past the default deadline of 60 s.
+	// requestBuckets: 1 ms to two minutes, which is above the default deadline of 60 s.
 	requestBuckets = []float64{.001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 10, 20, 30, 60, 120}
-	// commitBuckets: 0.5 ms, a write synced nearby, to 10 s, past an election.
+	// commitBuckets: 0.5 ms, a synced write on a nearby disk, to 10 s, which is longer than an
+	// election.
 	commitBuckets = []float64{.0005, .001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 10}
-	// outageBuckets: half a second, a group replaced by a waiting spare, to
-	// eight hours, a group that broke in the evening and was found at dawn.
+	// outageBuckets: half a second, when a free VM replaces a group at once, to eight hours,
+	// when a group breaks in the evening and is noticed in the morning.
 	outageBuckets = []float64{.5, 1, 2, 5, 10, 20, 30, 60, 120, 300, 600, 1800, 3600, 7200, 14400, 28800}
 )
 
@@ -39,7 +39,7 @@
 // The names of all metrics.
 const (
 	nameRequests    = prefix + "requests_total"
-	nameWhole       = prefix + "request_seconds"
+	nameRequestTime = prefix + "request_seconds"
 	nameFirstToken  = prefix + "first_token_seconds"
 	nameQueued      = prefix + "queue_seconds"
 	nameTokens      = prefix + "tokens_total"
@@ -48,29 +48,29 @@
 
 	nameRateLimitedAttempts = prefix + "rate_limited_attempts_total"
 
-	nameClaims         = prefix + "claim_seconds"
+	nameClaimTime      = prefix + "claim_seconds"
 	nameOpen           = prefix + "open_requests"
 	nameWaiting        = prefix + "waiting_requests"
 	nameRoutes         = prefix + "routable_targets"
 	nameLease          = prefix + "config_lease_seconds"
 	nameConfigRevision = prefix + "config_revision"
 
-	nameLeading       = prefix + "leading"
-	nameVoters        = prefix + "voters"
-	nameEntriesBehind = prefix + "entries_behind"
-	nameGroups        = prefix + "groups"
-	nameGroupsDown    = prefix + "groups_down"
-	nameVMs           = prefix + "vms"
-	nameStranded      = prefix + "stranded_accelerators"
-	nameDowntime      = prefix + "group_downtime_milliseconds_total"
-	nameStrandedTime  = prefix + "stranded_accelerator_milliseconds_total"
-	nameOutage        = prefix + "group_outage_seconds"
-	nameStrandedSpell = prefix + "stranded_seconds"
+	nameLeading        = prefix + "leading"
+	nameVoters         = prefix + "voters"
+	nameEntriesBehind  = prefix + "entries_behind"
+	nameGroups         = prefix + "groups"
+	nameGroupsDown     = prefix + "groups_down"
+	nameVMs            = prefix + "vms"
+	nameStranded       = prefix + "stranded_accelerators"
+	nameDowntime       = prefix + "group_downtime_milliseconds_total"
+	nameStrandedTime   = prefix + "stranded_accelerator_milliseconds_total"
+	nameOutage         = prefix + "group_outage_seconds"
+	nameStrandedOutage = prefix + "stranded_seconds"
 
 	nameInvariants = prefix + "invariant_violations_total"
 )
 
-// Definitions returns all metrics, those of the entry role first.
+// Definitions returns all metrics, beginning with the entry role's.
 func Definitions() []Definition {
 	return append(append(entryDefinitions(), controlDefinitions()...),
 		Definition{nameInvariants, KindCounter, nil, "Invariants found broken in this process; the step was refused.", nil})
@@ -79,14 +79,14 @@
 func entryDefinitions() []Definition {
 	return []Definition{
 		{nameRequests, KindCounter, []string{"workspace", "class", "outcome", "ran"}, "Requests answered, by final outcome and by what a refusal says of the request having run.", nil},
-		{nameWhole, KindHistogram, []string{"class"}, "Time from arrival to the end of a whole answer.", requestBuckets},
+		{nameRequestTime, KindHistogram, []string{"class"}, "Time from arrival to the end of a whole answer.", requestBuckets},
 		{nameFirstToken, KindHistogram, []string{"class"}, "Time from arrival to the first token of a whole answer.", requestBuckets},
 		{nameQueued, KindHistogram, []string{"class"}, "Time that a request waited for room before its first attempt, or before it was refused.", requestBuckets},
 		{nameTokens, KindCounter, []string{"class"}, "Tokens of whole answers.", nil},
 		{nameAttempts, KindCounter, []string{"outcome"}, "Attempts on backend servers by how they ended.", nil},
 		{nameRateLimited, KindGauge, nil, "Backend servers that name a rate limit, as this entry knows.", nil},
 		{nameRateLimitedAttempts, KindCounter, nil, "Attempts of this entry on backend servers that name a rate limit.", nil},
-		{nameClaims, KindHistogram, nil, "Time of writing an at-most-once claim on a majority of the control processes.", commitBuckets},
+		{nameClaimTime, KindHistogram, nil, "Time of writing an at-most-once claim on a majority of the control processes.", commitBuckets},
 		{nameOpen, KindGauge, nil, "Requests open on this entry.", nil},
 		{nameWaiting, KindGauge, nil, "Requests waiting for room on this entry.", nil},
 		{nameRoutes, KindGauge, nil, "Serving groups and service instances that this entry may send work to.", nil},
@@ -107,6 +107,6 @@
 		{nameDowntime, KindCounter, nil, "Time of wanted replicas not serving, added up over replicas.", nil},
 		{nameStrandedTime, KindCounter, nil, "Time of accelerators stranded, added up over accelerators.", nil},
 		{nameOutage, KindHistogram, []string{"group"}, "How long a wanted replica did not serve, recorded when one serves again.", outageBuckets},
-		{nameStrandedSpell, KindHistogram, nil, "How long a live VM was in no working group, recorded when it is in one again.", outageBuckets},
+		{nameStrandedOutage, KindHistogram, nil, "How long a live VM was in no working group, recorded when it is in one again.", outageBuckets},
 	}
 }
--- a/internal/metrics/entry.go
+++ b/internal/metrics/entry.go
@@ -6,39 +6,40 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// NoClass is the class tag of requests that name none.
+// NoClass is the class tag of requests that name no class.
 const NoClass = "none"
 
-// Answered is the outcome of a request that was answered with success.
+// Answered is the outcome of a successful request.
 const Answered = "answered"
 
-// Entry are the metrics of the entry role. A nil Entry records nothing, so
-// that tests need none.
+// Entry holds the metrics of the entry role. A nil Entry records nothing, so tests need not
+// create one.
 type Entry struct{ scope tally.Scope }
 
-// Request is one request that has got its final answer.
+// Request describes one request with its final answer.
 type Request struct {
 	Workspace string
 	Class     string
-	// Outcome is Answered or the failure's type, Ran what the failure says.
+	// Outcome is Answered or the failure type. Ran states, for a failure, whether the request
+	// ran.
 	Outcome string
 	Ran     string
-	// Queued is the time before the first attempt; FirstToken and Whole count
-	// from the arrival. Zero times are not recorded.
+	// Queued is the time before the first attempt. FirstToken and Whole (the total time) count
+	// from the arrival of the request. A FirstToken of zero is not recorded.
 	Queued     time.Duration
 	FirstToken time.Duration
 	Whole      time.Duration
 	Tokens     int
 }
 
-// Request records a request's final answer.
+// Request records the final answer of a request.
 func (e *Entry) Request(r Request) {
 	if e == nil {
 		return
 	}
-	class := orNone(r.Class)
+	class := tagOrNone(r.Class)
 	e.scope.Tagged(map[string]string{
-		"workspace": r.Workspace, "class": class, "outcome": r.Outcome, "ran": orNone(r.Ran),
+		"workspace": r.Workspace, "class": class, "outcome": r.Outcome, "ran": tagOrNone(r.Ran),
 	}).Counter(nameRequests).Inc(1)
 	scope := e.scope.Tagged(map[string]string{"class": class})
 	scope.Timer(nameQueued).Record(r.Queued)
@@ -49,7 +50,7 @@
 	if r.FirstToken > 0 {
 		scope.Timer(nameFirstToken).Record(r.FirstToken)
 	}
-	scope.Timer(nameWhole).Record(r.Whole)
+	scope.Timer(nameRequestTime).Record(r.Whole)
 }
 
 // Attempt records how an attempt on a backend server ended: "whole",
@@ -61,7 +62,7 @@
 	e.scope.Tagged(map[string]string{"outcome": outcome}).Counter(nameAttempts).Inc(1)
 }
 
-// RateLimitedAttempt counts an attempt on a backend server that names a rate limit.
+// RateLimitedAttempt counts an attempt on a backend server that has announced a rate limit.
 func (e *Entry) RateLimitedAttempt() {
 	if e == nil {
 		return
@@ -69,18 +70,18 @@
 	e.scope.Counter(nameRateLimitedAttempts).Inc(1)
 }
 
-// Claim records the time of writing an at-most-once claim.
+// Claim records the duration of writing an at-most-once claim.
 func (e *Entry) Claim(took time.Duration) {
 	if e == nil {
 		return
 	}
-	e.scope.Timer(nameClaims).Record(took)
+	e.scope.Timer(nameClaimTime).Record(took)
 }
 
-// EntrySample is the present state of an entry.
+// EntrySample is the current state of an entry.
 type EntrySample struct {
 	Open, Waiting, Routes int
-	// RateLimited counts the backend servers that name a rate limit.
+	// RateLimited counts the backend servers that have announced a rate limit.
 	RateLimited    int
 	Lease          time.Duration
 	ConfigRevision uint64
@@ -99,7 +100,7 @@
 	e.scope.Gauge(nameConfigRevision).Update(float64(s.ConfigRevision))
 }
 
-func orNone(tag string) string {
+func tagOrNone(tag string) string {
 	if tag == "" {
 		return NoClass
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics holds the metrics of a process: a tally scope that reports
-// to Prometheus, served under /metrics. docs/operators/metrics.md says what
-// each means and at what value to worry.
+// Package metrics holds the metrics of a process: a tally scope that reports to Prometheus,
+// served under /metrics. docs/operators/metrics.md describes each metric and the values that
+// need attention.
 package metrics
 
 import (
@@ -19,20 +19,20 @@
 // Path is where a process serves its metrics.
 const Path = "/metrics"
 
-// reportInterval is how old a counter or gauge on /metrics may be. Scrapes
-// are seconds apart, so a second adds nothing to see.
+// reportInterval is the largest age of a counter or gauge on /metrics. Scrapes are seconds
+// apart, so an age of one second does not matter.
 const reportInterval = time.Second
 
-// Metrics are all metrics of one process.
+// Metrics holds all metrics of one process.
 type Metrics struct {
 	scope    tally.Scope
 	closer   io.Closer
 	reporter tallyprom.Reporter
-	// violations is the count of broken invariants reported so far.
+	// violations is the number of invariant violations reported so far.
 	violations uint64
 }
 
-// New returns the metrics of a process, registered with their help texts.
+// New returns the metrics of a process and registers them with their help texts.
 func New() (*Metrics, error) {
 	registry := prom.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{
@@ -50,9 +50,9 @@
 	return &Metrics{scope: scope, closer: closer, reporter: reporter}, nil
 }
 
-// register makes the metric known under its own help and buckets. Histograms
-// are timers to tally: its own histograms report a bucket's bound in place of
-// the value, which spoils their sum.
+// register registers a metric with its help text and buckets. Histograms are registered as
+// timers: tally's own histograms report the bound of a bucket instead of the value, which makes
+// their sum wrong.
 func register(r tallyprom.Reporter, d Definition) error {
 	var err error
 	switch d.Kind {
@@ -68,10 +68,10 @@
 	return errors.Trace(err)
 }
 
-// Handler serves the metrics in Prometheus' text format.
+// Handler serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Close reports what is left and stops reporting.
+// Close reports the remaining values and stops reporting.
 func (m *Metrics) Close() error { return errors.Trace(m.closer.Close()) }
 
 // Entry returns the metrics of the entry role.
@@ -80,8 +80,8 @@
 // Control returns the metrics of the control role.
 func (m *Metrics) Control() *Control { return &Control{scope: m.scope} }
 
-// SampleInvariants counts the invariants broken since it was last called. It
-// is not safe for concurrent use.
+// SampleInvariants counts the invariant violations since its previous call. It is not safe for
+// concurrent use.
 func (m *Metrics) SampleInvariants() {
 	now := invariant.Broken()
 	m.scope.Counter(nameInvariants).Inc(int64(now - m.violations))
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,7 +14,8 @@
 	"github.com/citronstep/citronstep/internal/blackboard"
 )
 
-// page closes the metrics, which reports what is left, and returns /metrics.
+// page closes the metrics, which reports the remaining values, and returns the body of
+// /metrics.
 func page(t *testing.T, m *Metrics) string {
 	t.Helper()
 	assert.NilError(t, m.Close())
@@ -47,9 +48,8 @@
 	}
 }
 
-// A group loses a member at night and serves again after 90 seconds. The
-// operator who looks in the morning sees nothing in the gauges; the histogram
-// has to hold the outage with its length.
+// A group loses a member and serves again after 90 seconds. The gauges show nothing of it
+// afterwards, so the histogram must contain the outage with its duration.
 func TestOutageIsRecordedWhenItEnds(t *testing.T) {
 	m, err := New()
 	assert.NilError(t, err)
@@ -81,17 +81,17 @@
 	}
 }
 
-// A control process loses the lead and gets it back an hour later. What it
-// remembers of outages is an hour old and would be counted as one.
-func TestOutagesAreForgottenWithTheLead(t *testing.T) {
+// A control process loses the leadership and regains it an hour later. It must discard the
+// outages that it recorded before; otherwise it would count an outage of an hour.
+func TestOutagesAreDiscardedWithLeadership(t *testing.T) {
 	var o outages
 	config := blackboard.Configuration{Groups: map[string]blackboard.GroupSpec{"memos": {Replicas: 1}}}
 	start := time.Unix(1000, 0)
-	assert.Equal(t, len(o.look(adminapi.Status{}, config, start)), 0)
+	assert.Equal(t, len(o.update(adminapi.Status{}, config, start)), 0)
 	o = outages{}
 	serving := adminapi.Status{Groups: []blackboard.Group{{ID: "memos-0", Spec: "memos", State: blackboard.Serving}}}
-	assert.Equal(t, len(o.look(serving, config, start.Add(time.Hour))), 0)
-	assert.Equal(t, added(90, 5), int64(5000))
+	assert.Equal(t, len(o.update(serving, config, start.Add(time.Hour))), 0)
+	assert.Equal(t, millisAdded(90, 5), int64(5000))
 }
 
 func TestNilMetricsRecordNothing(_ *testing.T) {
@@ -104,9 +104,9 @@
 	c.Sample(adminapi.Status{}, blackboard.Configuration{}, true, time.Time{})
 }
 
-// The page for operators must name each metric that a process reports, with
-// its kind and tags, and no other.
-func TestThePageForOperatorsNamesEachMetric(t *testing.T) {
+// The page for operators must contain each metric that a process reports, with its type and
+// tags, and no other.
+func TestMetricsPageListsEachMetric(t *testing.T) {
 	data, err := os.ReadFile("../../docs/operators/metrics.md")
 	assert.NilError(t, err)
 	text := string(data)
