--- a/internal/requestlog/requestlog.go
+++ b/internal/requestlog/requestlog.go
@@ -1,10 +1,10 @@
-// Package requestlog bounds what is logged of requests.
+// Package requestlog limits the number of log lines about requests.
 //
-// Load: thousands of requests a second, each with a line for its routing and for
-// each attempt, on a VM with a fifth of a core. Harm of logging all: the log takes
-// the processor that requests need; harm of dropping lines one by one: what is left of a
-// failed request explains nothing. So all lines of a request are written or
-// dropped together, those of requests that failed before those that did not.
+// A small VM, with a fifth of a core, may handle thousands of requests per second, each with a
+// line for its routing and for each attempt. Logging all of them would take the processor time
+// that requests need. Dropping single lines would leave failed requests without an explanation.
+// So all lines of a request are written or dropped together, and failed requests have
+// precedence.
 package requestlog
 
 import (
@@ -16,46 +16,47 @@
 )
 
 const (
-	// goodPart is the part of a second's lines that requests may use before it is
-	// known how they end; the rest is kept for those that fail.
-	goodPart = 0.5
-	// maxHeld bounds the lines kept of one request: some attempts with a line each
-	// at their beginning and end.
-	maxHeld = 32
+	// preOutcomeShare is the share of a second's lines that requests may use before their
+	// outcome is known. The rest is reserved for requests that fail.
+	preOutcomeShare = 0.5
+	// maxHeldLines bounds the lines held for one request: a few attempts with one line each at
+	// their start and end.
+	maxHeldLines = 32
 )
 
-// Log shares out the lines of one process. It is safe for concurrent use.
+// Log divides the line limit of one process between its requests. It is safe for concurrent
+// use.
 type Log struct {
-	to        log.Logger
+	next      log.Logger
 	perSecond int
 	now       func() time.Time
 
 	mu     sync.Mutex
 	second int64
-	// used are the lines of this second; dropped and requests are those not
-	// written and not told of yet.
+	// used counts the lines written in this second; dropped and requests count the lines and
+	// requests that were dropped and not reported yet.
 	used, dropped, requests int
 }
 
-// New returns a Log of at most perSecond lines a second; 0 means no bound.
-func New(to log.Logger, perSecond int) *Log {
-	return &Log{to: to, perSecond: perSecond, now: time.Now}
+// New returns a Log that writes at most perSecond lines per second to next; 0 means no limit.
+func New(next log.Logger, perSecond int) *Log {
+	return &Log{next: next, perSecond: perSecond, now: time.Now}
 }
 
-// Lines are those of one request. A nil *Lines writes nothing.
+// Lines holds the log lines of one request. A nil *Lines writes nothing.
 type Lines struct {
 	log *Log
 
 	mu sync.Mutex
-	// through says that the lines are written as they come.
-	through bool
-	held    [][]any
+	// passThrough is set when lines are written at once instead of held.
+	passThrough bool
+	held        [][]any
 }
 
-// Request returns the lines of a new request. They are written as they come while
-// there is room, and else held until it is known whether it failed.
+// Request returns the Lines of a new request. Its lines are written at once while capacity is
+// left; otherwise they are held until it is known whether the request failed.
 func (l *Log) Request() *Lines {
-	return &Lines{log: l, through: l.room(1, goodPart)}
+	return &Lines{log: l, passThrough: l.hasCapacity(1, preOutcomeShare)}
 }
 
 // Info writes or holds one line.
@@ -65,28 +66,28 @@
 	}
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	if ln.through {
+	if ln.passThrough {
 		ln.log.write(keyvals)
 		return
 	}
-	if len(ln.held) < maxHeld {
+	if len(ln.held) < maxHeldLines {
 		ln.held = append(ln.held, keyvals)
 	}
 }
 
-// End says how the request ended. What was held is written if it failed and
-// there is room, and else counted as dropped. Lines that come later are written.
+// End reports how the request ended. Held lines are written if the request failed and capacity
+// is left; otherwise they are counted as dropped. Lines logged after End are written at once.
 func (ln *Lines) End(failed bool) {
 	if ln == nil {
 		return
 	}
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	if ln.through {
+	if ln.passThrough {
 		return
 	}
-	ln.through = true
-	if failed && ln.log.room(len(ln.held), 1) {
+	ln.passThrough = true
+	if failed && ln.log.hasCapacity(len(ln.held), 1) {
 		for _, keyvals := range ln.held {
 			ln.log.write(keyvals)
 		}
@@ -96,17 +97,17 @@
 	ln.held = nil
 }
 
-// room tells whether n more lines fit into a part of this second's.
-func (l *Log) room(n int, part float64) bool {
+// hasCapacity reports whether n more lines fit into the given share of this second's lines.
+func (l *Log) hasCapacity(n int, share float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.turn()
-	return l.perSecond <= 0 || float64(l.used+n) <= part*float64(l.perSecond)
+	l.startSecond()
+	return l.perSecond <= 0 || float64(l.used+n) <= share*float64(l.perSecond)
 }
 
-// turn begins a new second and tells of what the last ones dropped. The lock is
-// held.
-func (l *Log) turn() {
+// startSecond resets the counters when a new second has begun and reports the lines dropped
+// before it. The caller holds l.mu.
+func (l *Log) startSecond() {
 	second := l.now().Unix()
 	if second == l.second {
 		return
@@ -115,8 +116,8 @@
 	if l.dropped == 0 {
 		return
 	}
-	_ = level.Warn(l.to).Log("event", "request_lines_dropped", "requests", l.requests, "lines", l.dropped,
-		"reason", "over the lines a second that the settings allow")
+	_ = level.Warn(l.next).Log("event", "request_lines_dropped", "requests", l.requests, "lines", l.dropped,
+		"reason", "more lines per second than the settings allow")
 	l.dropped, l.requests = 0, 0
 }
 
@@ -129,8 +130,8 @@
 
 func (l *Log) write(keyvals []any) {
 	l.mu.Lock()
-	l.turn()
+	l.startSecond()
 	l.used++
 	l.mu.Unlock()
-	_ = level.Info(l.to).Log(keyvals...)
+	_ = level.Info(l.next).Log(keyvals...)
 }
--- a/internal/requestlog/requestlog_test.go
+++ b/internal/requestlog/requestlog_test.go
@@ -11,8 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// logged runs f with a Log of perSecond lines whose clock it moves, and returns
-// what was written.
+// logged runs f with a Log of perSecond lines whose clock f can move, and returns the output.
 func logged(perSecond int, f func(l *Log, now *time.Time)) string {
 	var out bytes.Buffer
 	now := time.Unix(1_000_000, 0)
@@ -22,9 +21,8 @@
 	return out.String()
 }
 
-// A thousand requests come in one second and ten of them fail. An engineer who
-// looks for one of the ten must find all of its lines, however many others came,
-// and must be told how many lines are missing.
+// A thousand requests arrive in one second and ten of them fail. The log must contain all lines
+// of the ten, and report the number of dropped lines.
 func TestFailedRequestsKeepAllTheirLines(t *testing.T) {
 	out := logged(200, func(l *Log, now *time.Time) {
 		for i := range 1000 {
@@ -47,9 +45,9 @@
 	assert.Assert(t, strings.Contains(out, "event=request_lines_dropped requests="))
 }
 
-// More requests fail in one second than there are lines for. The log must not
-// grow past its bound, and no request may be left with a part of its lines.
-func TestAStormOfFailuresIsBounded(t *testing.T) {
+// More requests fail in one second than the limit has lines for. The log must not exceed the
+// limit, and must contain either all lines of a request or none.
+func TestManyFailuresStayWithinTheLimit(t *testing.T) {
 	out := logged(100, func(l *Log, _ *time.Time) {
 		for i := range 5000 {
 			lines := l.Request()
@@ -68,7 +66,7 @@
 	}
 }
 
-func TestWithoutABoundAllIsWritten(t *testing.T) {
+func TestWithoutLimitAllLinesAreWritten(t *testing.T) {
 	out := logged(0, func(l *Log, _ *time.Time) {
 		for i := range 300 {
 			lines := l.Request()
