--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -107,8 +107,8 @@
 
 // outages records since when replicas and VMs have been out of service.
 type outages struct {
-	// groups holds the starts of the present outages of each group, oldest
-	// first: a group with two replicas down has two.
+	// groups holds the start times of the current outages of each group, oldest first. A group
+	// with two replicas down has two of them.
 	groups map[string][]time.Time
 	// strandedVMs holds for each live VM without a working group the time since when it has had
 	// none.
