--- a/internal/loadgen/check.go
+++ b/internal/loadgen/check.go
@@ -38,38 +38,38 @@
 }
 
 // judge checks answers against each other and against what was asked.
-type judge struct {
+type checker struct {
 	expected func(prompt string, maxTokens int) string
 	mu       sync.Mutex
 	// owners maps each answer's request id to the marker that got it first.
 	owners map[string]string
 }
 
-func newJudge(expected func(string, int) string) *judge {
-	return &judge{expected: expected, owners: map[string]string{}}
+func newChecker(expected func(string, int) string) *checker {
+	return &checker{expected: expected, owners: map[string]string{}}
 }
 
-func (j *judge) judge(f Flow, r request, a *answer) Verdict {
+func (c *checker) check(f Flow, r request, a *answer) Verdict {
 	switch {
-	case a.malformed:
+	case a.isMalformed:
 		return Malformed
 	case a.refusal != nil:
 		return Refused
-	case a.cut != nil || !a.done:
+	case a.connectionErr != nil || !a.isComplete:
 		// A stream without its end mark is cut, and its caller can tell.
 		return Cut
-	case a.late:
+	case a.hasDataAfterEnd:
 		return NotWhole
 	case f.Service != "":
-		return j.judgeService(f, r, a)
-	case a.finish == "" || (a.reported >= 0 && a.reported > r.maxTokens) || a.tokens > r.maxTokens:
+		return c.checkService(f, r, a)
+	case a.finish == "" || (a.reportedTokens >= 0 && a.reportedTokens > r.maxTokens) || a.tokens > r.maxTokens:
 		return NotWhole
-	case a.mixed || !j.owns(a.id, r.marker):
+	case a.hasMixedIDs || !c.claimID(a.id, r.marker):
 		return Doubled
-	case j.expected == nil:
+	case c.expected == nil:
 		return OK
 	}
-	return compareText(a.text.String(), j.expected(r.prompt, r.maxTokens))
+	return compareText(a.text.String(), c.expected(r.prompt, r.maxTokens))
 }
 
 // compareText tells an answer that stops early or goes on from one that
@@ -88,15 +88,15 @@
 
 // owns tells whether the id belongs to this request alone. A resend under the
 // same key may get the id of its first try.
-func (j *judge) owns(id, marker string) bool {
+func (c *checker) claimID(id, marker string) bool {
 	if id == "" {
 		return false
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	owner, taken := j.owners[id]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	owner, taken := c.owners[id]
 	if !taken {
-		j.owners[id] = marker
+		c.owners[id] = marker
 	}
 	return !taken || owner == marker
 }
@@ -110,11 +110,11 @@
 
 // judgeService can check more than the status only where the service is a
 // stand-in, which echoes what it ran.
-func (j *judge) judgeService(f Flow, r request, a *answer) Verdict {
+func (c *checker) checkService(f Flow, r request, a *answer) Verdict {
 	if a.status >= http.StatusInternalServerError {
 		return Refused
 	}
-	if j.expected == nil {
+	if c.expected == nil {
 		return OK
 	}
 	var echo serviceEcho
--- a/internal/loadgen/exchange.go
+++ b/internal/loadgen/exchange.go
@@ -16,31 +16,31 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// maxAnswer bounds what is read of one answer.
-const maxAnswer = 64 << 20
+// maxAnswerBytes bounds what is read of one answer.
+const maxAnswerBytes = 64 << 20
 
 // answer is what one request got, before it is judged.
 type answer struct {
 	status int
 	id     string
 	// mixed says that parts of one stream carried different ids.
-	mixed  bool
-	text   strings.Builder
-	tokens int
+	hasMixedIDs bool
+	text        strings.Builder
+	tokens      int
 	// reported is the token count that a whole answer states; -1 is none.
-	reported int
-	finish   string
+	reportedTokens int
+	finish         string
 	// done says that the stream's end mark came, late that something came
 	// after it.
-	done, late bool
+	isComplete, hasDataAfterEnd bool
 	// malformed says that a part was not what the API promises.
-	malformed bool
-	refusal   *failure.Error
+	isMalformed bool
+	refusal     *failure.Error
 	// retryAfter is what the refusal's header asked for; 0 is nothing.
 	retryAfter time.Duration
 	// cut is set when the connection ended before the answer did.
-	cut   error
-	times []time.Time
+	connectionErr error
+	times         []time.Time
 }
 
 // completionPart is a whole answer, or one part of a stream.
@@ -58,20 +58,20 @@
 
 // send carries out one try of a request.
 func send(ctx context.Context, client *http.Client, f Flow, r request) *answer {
-	a := &answer{reported: -1}
+	a := &answer{reportedTokens: -1}
 	httpRequest, err := newHTTPRequest(ctx, f, r)
 	if err != nil {
-		a.cut = errors.Trace(err)
+		a.connectionErr = errors.Trace(err)
 		return a
 	}
 	response, err := client.Do(httpRequest)
 	if err != nil {
-		a.cut = errors.Trace(err)
+		a.connectionErr = errors.Trace(err)
 		return a
 	}
 	defer func() { _ = response.Body.Close() }()
 	a.status = response.StatusCode
-	body := io.LimitReader(response.Body, maxAnswer)
+	body := io.LimitReader(response.Body, maxAnswerBytes)
 	switch {
 	case f.Service != "":
 		a.readService(response, body)
@@ -80,7 +80,7 @@
 	case strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream"):
 		a.readStream(body)
 	default:
-		a.readWhole(body)
+		a.readCompletion(body)
 	}
 	return a
 }
@@ -121,12 +121,12 @@
 func (a *answer) readRefusal(response *http.Response, body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		a.cut = errors.Trace(err)
+		a.connectionErr = errors.Trace(err)
 		return
 	}
 	var refusal failure.Body
 	if err := json.Unmarshal(data, &refusal); err != nil || refusal.Error == nil {
-		a.malformed = true
+		a.isMalformed = true
 		return
 	}
 	a.refusal = refusal.Error
@@ -140,7 +140,7 @@
 func (a *answer) readService(response *http.Response, body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		a.cut = errors.Trace(err)
+		a.connectionErr = errors.Trace(err)
 		return
 	}
 	var refusal failure.Body
@@ -150,18 +150,18 @@
 	}
 	a.times = append(a.times, time.Now())
 	a.text.Write(data)
-	a.done = true
+	a.isComplete = true
 }
 
-func (a *answer) readWhole(body io.Reader) {
+func (a *answer) readCompletion(body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		a.cut = errors.Trace(err)
+		a.connectionErr = errors.Trace(err)
 		return
 	}
 	a.times = append(a.times, time.Now())
-	a.take(data)
-	a.done = true
+	a.addPart(data)
+	a.isComplete = true
 }
 
 // readStream reads server-sent events up to the end of the connection, past
@@ -174,23 +174,23 @@
 		data, isData := strings.CutPrefix(lines.Text(), "data: ")
 		switch {
 		case !isData:
-		case a.done:
-			a.late = true
+		case a.isComplete:
+			a.hasDataAfterEnd = true
 		case data == "[DONE]":
-			a.done = true
+			a.isComplete = true
 		default:
-			a.take([]byte(data))
+			a.addPart([]byte(data))
 		}
 	}
-	if err := lines.Err(); err != nil && !a.done {
-		a.cut = errors.Trace(err)
+	if err := lines.Err(); err != nil && !a.isComplete {
+		a.connectionErr = errors.Trace(err)
 	}
 }
 
-func (a *answer) take(data []byte) {
+func (a *answer) addPart(data []byte) {
 	var part completionPart
 	if err := json.Unmarshal(data, &part); err != nil {
-		a.malformed = true
+		a.isMalformed = true
 		return
 	}
 	if part.Error != nil {
@@ -198,10 +198,10 @@
 		return
 	}
 	if len(part.Choices) != 1 {
-		a.malformed = true
+		a.isMalformed = true
 		return
 	}
-	a.mixed = a.mixed || (a.id != "" && a.id != part.ID)
+	a.hasMixedIDs = a.hasMixedIDs || (a.id != "" && a.id != part.ID)
 	a.id = part.ID
 	choice := part.Choices[0]
 	if choice.Text != "" {
@@ -213,6 +213,6 @@
 		a.finish = *choice.FinishReason
 	}
 	if part.Usage != nil {
-		a.reported = part.Usage.CompletionTokens
+		a.reportedTokens = part.Usage.CompletionTokens
 	}
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -18,12 +18,12 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// fakeEntry answers completions as an entry does; spoil may answer instead.
+// fakeEntry answers completions as an entry does; override may answer instead.
 type fakeEntry struct {
 	*httptest.Server
-	mu    sync.Mutex
-	keys  map[string]int
-	spoil func(w http.ResponseWriter, try int, prompt string, maxTokens int) bool
+	mu       sync.Mutex
+	keys     map[string]int
+	override func(w http.ResponseWriter, try int, prompt string, maxTokens int) bool
 }
 
 func newFakeEntry(t *testing.T) *fakeEntry {
@@ -44,7 +44,7 @@
 	f.keys[key]++
 	try := f.keys[key]
 	f.mu.Unlock()
-	if f.spoil != nil && f.spoil(w, try, body.Prompt, body.MaxTokens) {
+	if f.override != nil && f.override(w, try, body.Prompt, body.MaxTokens) {
 		return
 	}
 	stream(w, key, body.Prompt, body.MaxTokens, true)
@@ -99,8 +99,8 @@
 // nothing about the system.
 func TestBrokenAnswersAreNamed(t *testing.T) {
 	cases := map[string]struct {
-		spoil func(w http.ResponseWriter, try int, prompt string, maxTokens int) bool
-		want  Verdict
+		override func(w http.ResponseWriter, try int, prompt string, maxTokens int) bool
+		want     Verdict
 	}{
 		"stops early, yet ends": {func(w http.ResponseWriter, _ int, p string, n int) bool {
 			stream(w, p, p, n-1, true)
@@ -135,7 +135,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFakeEntry(t)
-			f.spoil = c.spoil
+			f.override = c.override
 			p := f.plan()
 			p.Flows[0].MaxTokens, p.Retries = 8, 0
 			p.Flows, p.Count = p.Flows[:1], 2
@@ -153,7 +153,7 @@
 // must not count the cut try as an answer.
 func TestCutAnswerIsSentAgainUnderItsKey(t *testing.T) {
 	f := newFakeEntry(t)
-	f.spoil = func(w http.ResponseWriter, try int, p string, n int) bool {
+	f.override = func(w http.ResponseWriter, try int, p string, n int) bool {
 		if try == 1 {
 			stream(w, p, p, n-1, false)
 		}
@@ -183,7 +183,7 @@
 
 func TestFinalRefusalIsCountedWithWhatItSays(t *testing.T) {
 	f := newFakeEntry(t)
-	f.spoil = func(w http.ResponseWriter, _ int, _ string, _ int) bool {
+	f.override = func(w http.ResponseWriter, _ int, _ string, _ int) bool {
 		failure.Write(w, failure.New(failure.TypeUnknownModel, "no such model").WithRan(failure.RanNo))
 		return true
 	}
@@ -196,7 +196,7 @@
 func TestSameSeedDrawsTheSameRequests(t *testing.T) {
 	p := newFakeEntry(t).plan()
 	p.Rate = 10
-	a, b := newDrawer(p), newDrawer(p)
+	a, b := newRequestSource(p), newRequestSource(p)
 	for range p.Count {
 		x, _ := a.draw()
 		y, _ := b.draw()
@@ -208,7 +208,7 @@
 }
 
 func TestPlanIsRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*Plan){
+	for name, override := range map[string]func(*Plan){
 		"remote target": func(p *Plan) { p.Targets = []string{"10.0.0.1:8080"} },
 		"host name":     func(p *Plan) { p.Targets = []string{"localhost:8080"} },
 		"no bound":      func(p *Plan) { p.Count = 0 },
@@ -217,7 +217,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newFakeEntry(t).plan()
-			spoil(p)
+			override(p)
 			assert.Assert(t, errors.Is(p.Check(), ErrPlan))
 		})
 	}
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -99,15 +99,15 @@
 	case len(p.Flows) == 0:
 		return errors.Annotate(ErrPlan, "no flow")
 	case p.Count < 1 || p.Count > MaxCount:
-		return outside("count", 1, MaxCount)
+		return outOfRange("count", 1, MaxCount)
 	case p.Duration <= 0 || p.Duration > MaxDuration:
 		return errors.Annotate(ErrPlan, "duration: allowed are over 0 to "+MaxDuration.String())
 	case p.Rate < 0 || p.Rate > MaxRate:
-		return outside("rate", 0, MaxRate)
+		return outOfRange("rate", 0, MaxRate)
 	case p.Concurrency < 1 || p.Concurrency > MaxConcurrency:
-		return outside("concurrency", 1, MaxConcurrency)
+		return outOfRange("concurrency", 1, MaxConcurrency)
 	case p.Retries < 0 || p.Retries > MaxRetries:
-		return outside("retries", 0, MaxRetries)
+		return outOfRange("retries", 0, MaxRetries)
 	case p.GiveUp <= 0:
 		return errors.Annotate(ErrPlan, "give-up time: allowed is over 0")
 	}
@@ -149,6 +149,6 @@
 	return nil
 }
 
-func outside(name string, low, high int) error {
+func outOfRange(name string, low, high int) error {
 	return errors.Annotate(ErrPlan, name+": allowed are "+strconv.Itoa(low)+" to "+strconv.Itoa(high))
 }
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -137,12 +137,12 @@
 		return Times{}
 	}
 	const microsPerMilli = 1000
-	at := func(percentile float64) float64 {
+	quantile := func(percentile float64) float64 {
 		return float64(h.ValueAtPercentile(percentile)) / microsPerMilli
 	}
 	return Times{
 		Count: h.TotalCount(), Mean: h.Mean() / microsPerMilli,
-		Median: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / microsPerMilli,
+		Median: quantile(50), P95: quantile(95), P99: quantile(99), Max: float64(h.Max()) / microsPerMilli,
 	}
 }
 
--- a/internal/loadgen/request_source.go
+++ b/internal/loadgen/request_source.go
@@ -21,16 +21,16 @@
 	wait time.Duration
 }
 
-// drawer draws the requests of a plan in their order.
-type drawer struct {
+// requestSource draws the requests of a plan in their order.
+type requestSource struct {
 	plan    *Plan
 	random  *rand.Rand
 	weights int
 	next    int
 }
 
-func newDrawer(p *Plan) *drawer {
-	d := &drawer{plan: p, random: rand.New(rand.NewPCG(p.Seed, 0))}
+func newRequestSource(p *Plan) *requestSource {
+	d := &requestSource{plan: p, random: rand.New(rand.NewPCG(p.Seed, 0))}
 	for _, f := range p.Flows {
 		d.weights += f.Weight
 	}
@@ -38,7 +38,7 @@
 }
 
 // draw returns the next request, or false past the plan's count.
-func (d *drawer) draw() (request, bool) {
+func (d *requestSource) draw() (request, bool) {
 	if d.next >= d.plan.Count {
 		return request{}, false
 	}
@@ -49,7 +49,7 @@
 	}
 	f := d.plan.Flows[r.flow]
 	r.prompt = d.prompt(f, r.marker)
-	r.maxTokens = d.around(f.MaxTokens)
+	r.maxTokens = d.drawAround(f.MaxTokens)
 	if d.plan.Rate > 0 {
 		r.wait = time.Duration(d.random.ExpFloat64() / d.plan.Rate * float64(time.Second))
 	}
@@ -57,7 +57,7 @@
 	return r, true
 }
 
-func (d *drawer) pickFlow() int {
+func (d *requestSource) pickFlow() int {
 	n := d.random.IntN(d.weights)
 	for i, f := range d.plan.Flows {
 		if n < f.Weight {
@@ -69,15 +69,15 @@
 }
 
 // around draws evenly from half to one and a half of mean.
-func (d *drawer) around(mean int) int {
+func (d *requestSource) drawAround(mean int) int {
 	return max(1, mean/2+d.random.IntN(mean+1))
 }
 
 // prompt returns a text that begins with one of the flow's beginnings and
 // ends with the request's own marker.
-func (d *drawer) prompt(f Flow, marker string) string {
+func (d *requestSource) prompt(f Flow, marker string) string {
 	beginning := fmt.Sprintf("%s document %d. ", f.Name, d.random.IntN(f.Prefixes))
-	size := d.around(f.PromptBytes)
+	size := d.drawAround(f.PromptBytes)
 	filler := max(0, size-len(beginning)-len(marker)-1)
 	return beginning + strings.Repeat("x", filler) + " " + marker
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// idleConnections keeps one connection a caller, as callers' own
+	// maxIdleConnections keeps one connection a caller, as callers' own
 	// libraries do.
-	idleConnections = MaxConcurrency
-	// pauseWithoutAdvice is the wait before another try where the answer was
+	maxIdleConnections = MaxConcurrency
+	// defaultRetryDelay is the wait before another try where the answer was
 	// cut and so held no Retry-After.
-	pauseWithoutAdvice = 200 * time.Millisecond
-	// spreadPart is the greatest part of a wait that is added at random, so
+	defaultRetryDelay = 200 * time.Millisecond
+	// maxJitterRatio is the greatest part of a wait that is added at random, so
 	// that callers refused together do not come back together.
-	spreadPart = 0.2
+	maxJitterRatio = 0.2
 )
 
 // outcome is what one request came to, tries and waits included.
@@ -47,12 +47,12 @@
 	if err := p.Check(); err != nil {
 		return nil, errors.Trace(err)
 	}
-	transport := &http.Transport{MaxIdleConns: idleConnections, MaxIdleConnsPerHost: idleConnections}
+	transport := &http.Transport{MaxIdleConns: maxIdleConnections, MaxIdleConnsPerHost: maxIdleConnections}
 	defer transport.CloseIdleConnections()
 	g := &generator{
 		plan:     p,
 		client:   &http.Client{Transport: transport},
-		judge:    newJudge(p.Expected),
+		checker:  newChecker(p.Expected),
 		outcomes: make(chan outcome, p.Concurrency),
 		slots:    make(chan struct{}, p.Concurrency),
 	}
@@ -64,7 +64,7 @@
 		}
 	})
 	started := time.Now()
-	g.send(ctx, newDrawer(p))
+	g.send(ctx, newRequestSource(p))
 	g.inFlight.Wait()
 	close(g.outcomes)
 	collected.Wait()
@@ -75,7 +75,7 @@
 type generator struct {
 	plan     *Plan
 	client   *http.Client
-	judge    *judge
+	checker  *checker
 	outcomes chan outcome
 	// slots bounds the open requests.
 	slots    chan struct{}
@@ -87,7 +87,7 @@
 
 // send starts the requests in their order. A closed loop starts one whenever
 // a slot is free; an open loop starts one when it is due.
-func (g *generator) send(ctx context.Context, d *drawer) {
+func (g *generator) send(ctx context.Context, d *requestSource) {
 	over, cancel := context.WithTimeout(ctx, g.plan.Duration)
 	defer cancel()
 	due := time.Now()
@@ -100,7 +100,7 @@
 		if g.plan.Rate > 0 && !sleepUntil(over, due) {
 			return
 		}
-		if !g.takeSlot(over) {
+		if !g.acquireSlot(over) {
 			return
 		}
 		at := due
@@ -109,12 +109,12 @@
 		}
 		g.inFlight.Go(func() {
 			defer func() { <-g.slots }()
-			g.outcomes <- g.carryOut(ctx, r, at)
+			g.outcomes <- g.sendWithRetries(ctx, r, at)
 		})
 	}
 }
 
-func (g *generator) takeSlot(ctx context.Context) bool {
+func (g *generator) acquireSlot(ctx context.Context) bool {
 	select {
 	case g.slots <- struct{}{}:
 		return true
@@ -131,10 +131,10 @@
 	}
 }
 
-// carryOut sends a request until it has its answer, its tries are used up or
+// sendWithRetries sends a request until it has its answer, its tries are used up or
 // the time to give up has come. Each try has the same idempotency key and goes
 // to the next target, as it would through a balancer.
-func (g *generator) carryOut(ctx context.Context, r request, due time.Time) outcome {
+func (g *generator) sendWithRetries(ctx context.Context, r request, due time.Time) outcome {
 	ctx, cancel := context.WithTimeout(ctx, g.plan.GiveUp)
 	defer cancel()
 	f := g.plan.Flows[r.flow]
@@ -143,7 +143,7 @@
 		r.target = g.plan.Targets[(r.number+o.tries)%len(g.plan.Targets)]
 		a := send(ctx, g.client, f, r)
 		o.tries++
-		o.take(g.judge.judge(f, r, a), a, due)
+		o.record(g.checker.check(f, r, a), a, due)
 		wait, again := retryWait(o.verdict, a)
 		if !again || o.tries > g.plan.Retries || !sleepUntil(ctx, time.Now().Add(wait)) {
 			return o
@@ -151,7 +151,7 @@
 	}
 }
 
-func (o *outcome) take(v Verdict, a *answer, due time.Time) {
+func (o *outcome) record(v Verdict, a *answer, due time.Time) {
 	o.verdict, o.refusal, o.ran, o.id = v, "", "", a.id
 	if a.refusal != nil {
 		o.refusal, o.ran, o.id = a.refusal.Type, a.refusal.Ran, a.refusal.RequestID
@@ -172,15 +172,15 @@
 func retryWait(v Verdict, a *answer) (time.Duration, bool) {
 	switch {
 	case v == Cut:
-		return spread(pauseWithoutAdvice), true
+		return withJitter(defaultRetryDelay), true
 	case v == Refused && a.retryAfter > 0:
-		return spread(a.retryAfter), true
+		return withJitter(a.retryAfter), true
 	}
 	return 0, false
 }
 
-func spread(d time.Duration) time.Duration {
-	return d + time.Duration(rand.Float64()*spreadPart*float64(d))
+func withJitter(d time.Duration) time.Duration {
+	return d + time.Duration(rand.Float64()*maxJitterRatio*float64(d))
 }
 
 // sleepUntil tells whether the time came before ctx ended.
