--- a/internal/loadgen/check.go
+++ b/internal/loadgen/check.go
@@ -9,39 +9,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Verdict is what a request came to.
+// Verdict is the result of checking one request.
 type Verdict string
 
-// The verdicts. Those that Broken names break a promise of the system; Refused
-// and Cut do not, as the caller can tell that it has no whole answer.
+// The verdicts. Those for which Broken returns true violate a guarantee of the system. Refused
+// and Cut do not: the caller can detect that it has no complete answer.
 const (
-	// OK: the whole answer to its own request, once.
+	// OK: the caller got the complete answer to its own request, once.
 	OK Verdict = "ok"
-	// Refused: a typed failure was the last word.
+	// Refused: the request ended with a typed failure.
 	Refused Verdict = "refused"
-	// Cut: the connection ended, or nothing came in time.
+	// Cut: the connection ended early, or no answer came in time.
 	Cut Verdict = "cut"
-	// NotWhole: it was passed off as whole and was not.
+	// NotWhole: the answer was presented as complete but is not.
 	NotWhole Verdict = "not_whole"
 	// NotOwn: the text is not the answer to this request.
 	NotOwn Verdict = "not_own"
-	// Doubled: a request id was given to two requests, or a non-idempotent
-	// request ran more than once.
+	// Doubled: two requests got the same request id, or a non-idempotent request ran more than
+	// once.
 	Doubled Verdict = "doubled"
-	// Malformed: not what the API promises.
+	// Malformed: the answer does not conform to the API.
 	Malformed Verdict = "malformed"
 )
 
-// Broken tells whether a verdict breaks a promise of the system.
+// Broken reports whether the verdict violates a guarantee of the system.
 func (v Verdict) Broken() bool {
 	return v == NotWhole || v == NotOwn || v == Doubled || v == Malformed
 }
 
-// judge checks answers against each other and against what was asked.
+// checker compares answers with their requests and with each other.
 type checker struct {
 	expected func(prompt string, maxTokens int) string
 	mu       sync.Mutex
-	// owners maps each answer's request id to the marker that got it first.
+	// owners maps the request id of each answer to the marker of the first request that got it.
 	owners map[string]string
 }
 
@@ -49,6 +49,7 @@
 	return &checker{expected: expected, owners: map[string]string{}}
 }
 
+// check returns the verdict on an answer.
 func (c *checker) check(f Flow, r request, a *answer) Verdict {
 	switch {
 	case a.isMalformed:
@@ -56,7 +57,7 @@
 	case a.refusal != nil:
 		return Refused
 	case a.connectionErr != nil || !a.isComplete:
-		// A stream without its end mark is cut, and its caller can tell.
+		// A stream without its end mark is cut, which the caller can detect.
 		return Cut
 	case a.hasDataAfterEnd:
 		return NotWhole
@@ -72,8 +73,8 @@
 	return compareText(a.text.String(), c.expected(r.prompt, r.maxTokens))
 }
 
-// compareText tells an answer that stops early or goes on from one that
-// belongs to another request.
+// compareText distinguishes a text that ends early or goes on too long from the text of another
+// request.
 func compareText(got, want string) Verdict {
 	switch {
 	case got == want:
@@ -86,8 +87,8 @@
 	return NotOwn
 }
 
-// owns tells whether the id belongs to this request alone. A resend under the
-// same key may get the id of its first try.
+// claimID records the request id for marker and reports whether no other request has it. A
+// resend under the same key may get the id of its first attempt.
 func (c *checker) claimID(id, marker string) bool {
 	if id == "" {
 		return false
@@ -101,15 +102,15 @@
 	return !taken || owner == marker
 }
 
-// serviceEcho is what a stand-in service answers; BodyHash is the hash of the
-// body that it got, Run how often it ran that body.
+// serviceEcho is the answer of a stand-in service. BodyHash is the hash of the received body,
+// Run the number of times that the service ran this body.
 type serviceEcho struct {
 	BodyHash string `json:"body_hash"`
 	Run      int    `json:"run"`
 }
 
-// judgeService can check more than the status only where the service is a
-// stand-in, which echoes what it ran.
+// checkService checks the answer of a plain service. It can check more than the status only if
+// the service is a stand-in, which echoes what it ran.
 func (c *checker) checkService(f Flow, r request, a *answer) Verdict {
 	if a.status >= http.StatusInternalServerError {
 		return Refused
--- a/internal/loadgen/exchange.go
+++ b/internal/loadgen/exchange.go
@@ -19,31 +19,31 @@
 // maxAnswerBytes bounds what is read of one answer.
 const maxAnswerBytes = 64 << 20
 
-// answer is what one request got, before it is judged.
+// answer is the response to one attempt, before it is checked.
 type answer struct {
 	status int
 	id     string
-	// mixed says that parts of one stream carried different ids.
+	// hasMixedIDs is set when parts of one stream carried different request ids.
 	hasMixedIDs bool
 	text        strings.Builder
 	tokens      int
-	// reported is the token count that a whole answer states; -1 is none.
+	// reportedTokens is the token count that the answer states; -1 if it states none.
 	reportedTokens int
 	finish         string
-	// done says that the stream's end mark came, late that something came
-	// after it.
+	// isComplete is set when the end mark of the stream arrived, hasDataAfterEnd when data
+	// followed it.
 	isComplete, hasDataAfterEnd bool
-	// malformed says that a part was not what the API promises.
+	// isMalformed is set when a part does not conform to the API.
 	isMalformed bool
 	refusal     *failure.Error
-	// retryAfter is what the refusal's header asked for; 0 is nothing.
+	// retryAfter is the delay in the Retry-After header of a refusal; 0 if there is none.
 	retryAfter time.Duration
-	// cut is set when the connection ended before the answer did.
+	// connectionErr is set when the connection ended before the answer did.
 	connectionErr error
 	times         []time.Time
 }
 
-// completionPart is a whole answer, or one part of a stream.
+// completionPart is a complete answer or one event of a stream.
 type completionPart struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -56,7 +56,7 @@
 	Error *failure.Error `json:"error"`
 }
 
-// send carries out one try of a request.
+// send carries out one attempt of a request.
 func send(ctx context.Context, client *http.Client, f Flow, r request) *answer {
 	a := &answer{reportedTokens: -1}
 	httpRequest, err := newHTTPRequest(ctx, f, r)
@@ -118,6 +118,7 @@
 	return httpRequest, nil
 }
 
+// readRefusal reads a typed failure and the Retry-After header.
 func (a *answer) readRefusal(response *http.Response, body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
@@ -135,8 +136,8 @@
 	}
 }
 
-// readService reads a plain service's answer; what the service itself
-// refuses counts as its answer.
+// readService reads the answer of a plain service. A refusal by the service itself counts as
+// its answer; a typed failure in the body counts as a refusal by the entry.
 func (a *answer) readService(response *http.Response, body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
@@ -164,8 +165,8 @@
 	a.isComplete = true
 }
 
-// readStream reads server-sent events up to the end of the connection, past
-// the end mark, so that whatever comes after it is seen.
+// readStream reads server-sent events until the connection ends. It reads past the end mark, to
+// detect data after it.
 func (a *answer) readStream(body io.Reader) {
 	const longestLine = 1 << 20
 	lines := bufio.NewScanner(body)
@@ -187,6 +188,7 @@
 	}
 }
 
+// addPart adds a complete answer or one event of a stream.
 func (a *answer) addPart(data []byte) {
 	var part completionPart
 	if err := json.Unmarshal(data, &part); err != nil {
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -18,7 +18,7 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// fakeEntry answers completions as an entry does; override may answer instead.
+// fakeEntry answers completions as an entry does; override, if set, may answer instead.
 type fakeEntry struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestWholeAnswersPass(t *testing.T) {
+func TestCompleteAnswersAreOK(t *testing.T) {
 	f := newFakeEntry(t)
 	r, err := Run(context.Background(), f.plan())
 	assert.NilError(t, err)
@@ -84,7 +84,7 @@
 	assert.Equal(t, r.Total.BetweenTokens.Count, int64(r.Total.Tokens-40))
 }
 
-func TestOpenLoopSendsAllThatIsDue(t *testing.T) {
+func TestOpenLoopSendsAllRequests(t *testing.T) {
 	f := newFakeEntry(t)
 	p := f.plan()
 	p.Rate = 2000
@@ -93,11 +93,9 @@
 	assert.Equal(t, r.Total.Verdicts[string(OK)], 40)
 }
 
-// Each way in which a wrong answer could pass for a right one: a caller would
-// see a memo that ends early, that continues into its own copy, or that is the
-// answer to someone else's request. The check must name each, or it proves
-// nothing about the system.
-func TestBrokenAnswersAreNamed(t *testing.T) {
+// Each case is a wrong answer that could pass for a right one: it ends early, repeats itself,
+// or belongs to another request. The check must return the verdict for each of them.
+func TestWrongAnswersGetTheirVerdict(t *testing.T) {
 	cases := map[string]struct {
 		override func(w http.ResponseWriter, try int, prompt string, maxTokens int) bool
 		want     Verdict
@@ -141,17 +139,17 @@
 			p.Flows, p.Count = p.Flows[:1], 2
 			r, err := Run(context.Background(), p)
 			assert.NilError(t, err)
-			// The first of two requests with one id is not doubled yet.
+			// The first of two requests with the same id is not doubled yet.
 			assert.Assert(t, r.Total.Verdicts[string(c.want)] >= 1, "%v", r.Total.Verdicts)
 			assert.Equal(t, r.Broken > 0, c.want.Broken())
 		})
 	}
 }
 
-// A connection is cut in mid-answer, as when an entry dies. The caller sends
-// the request again under the same key and gets the whole answer; the report
-// must not count the cut try as an answer.
-func TestCutAnswerIsSentAgainUnderItsKey(t *testing.T) {
+// A connection is closed in the middle of an answer, as when an entry crashes. The caller sends
+// the request again with the same key and gets the complete answer. The report must not count
+// the interrupted attempt as an answer.
+func TestCutRequestIsRetriedWithSameKey(t *testing.T) {
 	f := newFakeEntry(t)
 	f.override = func(w http.ResponseWriter, try int, p string, n int) bool {
 		if try == 1 {
@@ -168,8 +166,8 @@
 	assert.Equal(t, len(f.keys), 3)
 }
 
-// A storm of callers that come back at once, or all at the same moment, makes
-// an overload last. Retry-After is a lower bound, with a spread above it.
+// Callers that retry at once, or all at the same moment, prolong an overload. Retry-After must
+// be a lower bound, with jitter added to it.
 func TestRetryAfterIsALowerBound(t *testing.T) {
 	a := &answer{refusal: failure.New(failure.TypeOverloaded, ""), retryAfter: 3 * time.Second}
 	for range 100 {
@@ -181,7 +179,7 @@
 	assert.Assert(t, !again, "a refusal without Retry-After is final")
 }
 
-func TestFinalRefusalIsCountedWithWhatItSays(t *testing.T) {
+func TestFinalRefusalIsCountedByTypeAndRan(t *testing.T) {
 	f := newFakeEntry(t)
 	f.override = func(w http.ResponseWriter, _ int, _ string, _ int) bool {
 		failure.Write(w, failure.New(failure.TypeUnknownModel, "no such model").WithRan(failure.RanNo))
@@ -207,7 +205,7 @@
 	assert.Assert(t, !more)
 }
 
-func TestPlanIsRefused(t *testing.T) {
+func TestInvalidPlanIsRefused(t *testing.T) {
 	for name, override := range map[string]func(*Plan){
 		"remote target": func(p *Plan) { p.Targets = []string{"10.0.0.1:8080"} },
 		"host name":     func(p *Plan) { p.Targets = []string{"localhost:8080"} },
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -1,9 +1,8 @@
-// Package loadgen drives a running system as its callers do and checks every
-// answer: it is the engine of `citronstep load`.
+// Package loadgen implements `citronstep load`: it generates load on a running system and
+// checks every answer.
 //
-// The load is bounded by a number of requests and by a duration, and drawn
-// from a seed, so that two runs of one plan send the same requests, but for
-// their idempotency keys.
+// The load is bounded by a number of requests and by a duration. It is generated from a seed,
+// so two runs of one plan send the same requests except for their idempotency keys.
 package loadgen
 
 import (
@@ -14,7 +13,7 @@
 	"github.com/juju/errors"
 )
 
-// The headers of the callers' API that the load uses.
+// The headers of the callers' API that loadgen sets.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	headerClass          = "Citronstep-Class"
@@ -22,8 +21,8 @@
 	headerTimeout        = "Citronstep-Timeout-Ms"
 )
 
-// Limits of a plan. They keep a slip of the finger from becoming an outage:
-// one process of the tool is no match for them, so no honest plan meets them.
+// Limits of a plan. They prevent a typing error from causing an outage. One process of the tool
+// can't generate that much load, so they don't restrict reasonable plans.
 const (
 	MaxCount       = 1_000_000
 	MaxDuration    = time.Hour
@@ -32,25 +31,25 @@
 	MaxRetries     = 1000
 )
 
-// Flow is a kind of request that one workspace sends.
+// Flow describes one kind of request of one workspace.
 type Flow struct {
 	// Name labels the flow in the report.
 	Name string
-	// Key is the workspace's key.
+	// Key is the secret key of the workspace.
 	Key   string
 	Class string
-	// Model names the model of a completion; Service and Path name a call of
-	// a plain service instead.
+	// Model is the model of a completion. Service and Path are set instead of Model for calls
+	// of a plain service.
 	Model   string
 	Service string
 	Path    string
-	// Weight is the flow's part of all requests against the other flows'.
+	// Weight is the flow's share of all requests, relative to the other flows.
 	Weight int
-	// PromptBytes and MaxTokens are the means of what is drawn for each
-	// request, evenly from half to one and a half of it.
+	// PromptBytes and MaxTokens are mean values. The value of each request is uniformly
+	// distributed between 0.5 and 1.5 times the mean.
 	PromptBytes int
 	MaxTokens   int
-	// Prefixes is how many different prompt beginnings the flow has.
+	// Prefixes is the number of different prompt beginnings of the flow.
 	Prefixes      int
 	Stream        bool
 	NonIdempotent bool
@@ -58,40 +57,40 @@
 	Timeout time.Duration
 }
 
-// Plan is what to send and how.
+// Plan describes the load to generate.
 type Plan struct {
 	// Targets are the entries' addresses, as IP:port, used in turn.
 	Targets []string
 	Flows   []Flow
-	// Rate is the arrivals a second of an open loop, whose requests do not
-	// wait for each other; 0 makes a closed loop.
+	// Rate is the mean number of arrivals per second of an open loop, whose requests do not
+	// wait for each other; 0 means a closed loop.
 	Rate float64
-	// Concurrency is the number of callers of a closed loop, and the bound on
-	// open requests of an open one.
+	// Concurrency is the number of callers of a closed loop, or the limit on open requests of
+	// an open loop.
 	Concurrency int
-	// Count and Duration end the sending, whichever comes first.
+	// Count and Duration limit the sending; the limit reached first ends it.
 	Count    int
 	Duration time.Duration
-	// Retries bounds how often one request is sent again, each time under its
-	// first idempotency key and not before the Retry-After it was given.
+	// Retries bounds the retries of one request. Each retry has the idempotency key of the
+	// first attempt and waits at least for the received Retry-After.
 	Retries int
 	Seed    uint64
-	// RunID sets this run's idempotency keys apart from those of earlier runs
-	// of the same seed, whose answers the system may still keep.
+	// RunID makes the idempotency keys of this run differ from those of earlier runs with the
+	// same seed, whose answers the system may still store.
 	RunID string
 	// GiveUp bounds the wait for one answer, retries included.
 	GiveUp time.Duration
 	// AllowRemote permits targets that are not on the loopback interface.
 	AllowRemote bool
-	// Expected returns the one right text of a completion, where the engines
-	// are stand-ins; nil checks the shape of answers only.
+	// Expected returns the expected text of a completion by stand-in engines. If it is nil,
+	// only the form of the answers is checked.
 	Expected func(prompt string, maxTokens int) string
 }
 
-// ErrPlan is the cause of every refusal of a plan.
-const ErrPlan = errors.ConstError("faulty load plan")
+// ErrPlan is the cause of every error about an invalid plan.
+const ErrPlan = errors.ConstError("invalid load plan")
 
-// Check refuses a plan that can't be run, or could do harm.
+// Check returns an error for a plan that can't be run or that could cause damage.
 func (p *Plan) Check() error {
 	switch {
 	case len(p.Targets) == 0:
@@ -101,7 +100,7 @@
 	case p.Count < 1 || p.Count > MaxCount:
 		return outOfRange("count", 1, MaxCount)
 	case p.Duration <= 0 || p.Duration > MaxDuration:
-		return errors.Annotate(ErrPlan, "duration: allowed are over 0 to "+MaxDuration.String())
+		return errors.Annotate(ErrPlan, "duration: must be over 0 and at most "+MaxDuration.String())
 	case p.Rate < 0 || p.Rate > MaxRate:
 		return outOfRange("rate", 0, MaxRate)
 	case p.Concurrency < 1 || p.Concurrency > MaxConcurrency:
@@ -109,7 +108,7 @@
 	case p.Retries < 0 || p.Retries > MaxRetries:
 		return outOfRange("retries", 0, MaxRetries)
 	case p.GiveUp <= 0:
-		return errors.Annotate(ErrPlan, "give-up time: allowed is over 0")
+		return errors.Annotate(ErrPlan, "give-up time: must be over 0")
 	}
 	for _, target := range p.Targets {
 		if err := p.checkTarget(target); err != nil {
@@ -127,10 +126,10 @@
 func (p *Plan) checkTarget(target string) error {
 	address, err := netip.ParseAddrPort(target)
 	if err != nil {
-		return errors.Annotate(ErrPlan, "target "+strconv.Quote(target)+": allowed is IP:port")
+		return errors.Annotate(ErrPlan, "target "+strconv.Quote(target)+": must be IP:port")
 	}
 	if !address.Addr().IsLoopback() && !p.AllowRemote {
-		return errors.Annotate(ErrPlan, "target "+target+" is on another machine: give -allow-remote if that is meant")
+		return errors.Annotate(ErrPlan, "target "+target+" is on another machine: give -allow-remote to permit it")
 	}
 	return nil
 }
@@ -138,17 +137,17 @@
 func (f *Flow) check() error {
 	switch {
 	case (f.Model == "") == (f.Service == ""):
-		return errors.Annotate(ErrPlan, "flow "+f.Name+": one of model and service is needed")
+		return errors.Annotate(ErrPlan, "flow "+f.Name+": give either a model or a service")
 	case f.Weight < 1 || f.PromptBytes < 1 || f.Prefixes < 1:
-		return errors.Annotate(ErrPlan, "flow "+f.Name+": weight, prompt_bytes and prefixes are 1 or more")
+		return errors.Annotate(ErrPlan, "flow "+f.Name+": weight, prompt_bytes and prefixes must be 1 or more")
 	case f.Model != "" && f.MaxTokens < 1:
-		return errors.Annotate(ErrPlan, "flow "+f.Name+": max_tokens is 1 or more")
+		return errors.Annotate(ErrPlan, "flow "+f.Name+": max_tokens must be 1 or more")
 	case f.Timeout < 0:
-		return errors.Annotate(ErrPlan, "flow "+f.Name+": timeout_ms is 0 or more")
+		return errors.Annotate(ErrPlan, "flow "+f.Name+": timeout_ms must be 0 or more")
 	}
 	return nil
 }
 
 func outOfRange(name string, low, high int) error {
-	return errors.Annotate(ErrPlan, name+": allowed are "+strconv.Itoa(low)+" to "+strconv.Itoa(high))
+	return errors.Annotate(ErrPlan, name+": must be from "+strconv.Itoa(low)+" to "+strconv.Itoa(high))
 }
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of the histograms: a microsecond to an hour, to three digits.
+// The range of the histograms: from a microsecond to an hour, with three significant digits.
 const (
 	lowestMicros  = 1
 	highestMicros = int64(time.Hour / time.Microsecond)
@@ -18,7 +18,7 @@
 // maxExamples bounds the examples of broken answers in a report.
 const maxExamples = 10
 
-// Times are quantiles of one kind of time, in milliseconds.
+// Times are quantiles of one measured time, in milliseconds.
 type Times struct {
 	Count  int64   `json:"count"`
 	Mean   float64 `json:"mean_ms"`
@@ -28,18 +28,18 @@
 	Max    float64 `json:"max_ms"`
 }
 
-// FlowReport is what came of one flow, or of all.
+// FlowReport is the result of one flow or of all flows.
 type FlowReport struct {
 	Name     string         `json:"name"`
 	Requests int            `json:"requests"`
 	Verdicts map[string]int `json:"verdicts"`
-	// Refusals counts the final refusals by type and by what they say of
-	// the request having run, as in "overloaded/no".
+	// Refusals counts the final refusals by type and by whether the request ran, as in
+	// "overloaded/no".
 	Refusals map[string]int `json:"refusals,omitempty"`
 	Retries  int            `json:"retries"`
 	Tokens   int            `json:"tokens"`
-	// FirstToken, BetweenTokens and Whole are of the answers found OK; the
-	// first and the last count from when the request was due.
+	// FirstToken, BetweenTokens and Whole cover the answers with verdict OK. FirstToken and
+	// Whole count from the time at which the request was due.
 	FirstToken    Times `json:"first_token"`
 	BetweenTokens Times `json:"between_tokens"`
 	Whole         Times `json:"whole"`
@@ -47,7 +47,7 @@
 	first, between, whole *hdrhistogram.Histogram
 }
 
-// Example names one broken answer, to be looked up in the logs.
+// Example identifies one broken answer, so that it can be found in the logs.
 type Example struct {
 	Verdict   Verdict `json:"verdict"`
 	Flow      string  `json:"flow"`
@@ -55,16 +55,16 @@
 	RequestID string  `json:"request_id"`
 }
 
-// Report is the outcome of a load.
+// Report is the result of a load run.
 type Report struct {
 	Seed    uint64  `json:"seed"`
 	RunID   string  `json:"run_id"`
 	Seconds float64 `json:"seconds"`
-	// Held counts requests of an open loop that were due while Concurrency
-	// requests were open: the load was then less than asked for.
+	// Held counts the requests of an open loop that were due while Concurrency requests were
+	// open. If it is not 0, the load was lower than requested.
 	Held int `json:"held"`
-	// Exact says that each text was compared with the one right text; else
-	// only the shape of the answers was checked.
+	// Exact is set when each text was compared with the expected text; otherwise only the form
+	// of the answers was checked.
 	Exact    bool          `json:"exact"`
 	Total    *FlowReport   `json:"total"`
 	Flows    []*FlowReport `json:"flows"`
@@ -119,11 +119,12 @@
 	}
 }
 
-// record counts a time; one past the histogram's end counts as its end.
+// record adds a time to a histogram. A time above the range counts as the end of the range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(lowestMicros, d.Microseconds()), highestMicros))
 }
 
+// finish sets the duration, the number of held requests and the quantiles.
 func (r *Report) finish(took time.Duration, held int) {
 	r.Seconds = took.Seconds()
 	r.Held = held
@@ -146,7 +147,7 @@
 	}
 }
 
-// Lines returns the counts of a map as "name=count", greatest first.
+// Lines formats the counts of a map as "name=count", sorted by descending count.
 func Lines(counts map[string]int) []string {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
--- a/internal/loadgen/request_source.go
+++ b/internal/loadgen/request_source.go
@@ -7,21 +7,20 @@
 	"time"
 )
 
-// request is one request as it was drawn. Nothing in it depends on what the
-// system answers.
+// request is one randomly generated request. It does not depend on the answers of the system.
 type request struct {
 	number int
 	flow   int
-	// target is set for each try.
+	// target is set anew for each attempt.
 	target    string
 	marker    string
 	prompt    string
 	maxTokens int
-	// wait is the time since the request before it, in an open loop.
+	// wait is the time after the previous request was due; open loop only.
 	wait time.Duration
 }
 
-// requestSource draws the requests of a plan in their order.
+// requestSource generates the requests of a plan in order, from the plan's seed.
 type requestSource struct {
 	plan    *Plan
 	random  *rand.Rand
@@ -37,7 +36,7 @@
 	return d
 }
 
-// draw returns the next request, or false past the plan's count.
+// draw returns the next request, or false when the plan's count is reached.
 func (d *requestSource) draw() (request, bool) {
 	if d.next >= d.plan.Count {
 		return request{}, false
@@ -57,6 +56,7 @@
 	return r, true
 }
 
+// pickFlow returns the index of a flow, chosen at random by weight.
 func (d *requestSource) pickFlow() int {
 	n := d.random.IntN(d.weights)
 	for i, f := range d.plan.Flows {
@@ -68,13 +68,13 @@
 	return 0
 }
 
-// around draws evenly from half to one and a half of mean.
+// drawAround returns a uniformly distributed value between 0.5 and 1.5 times mean.
 func (d *requestSource) drawAround(mean int) int {
 	return max(1, mean/2+d.random.IntN(mean+1))
 }
 
-// prompt returns a text that begins with one of the flow's beginnings and
-// ends with the request's own marker.
+// prompt returns a text that starts with one of the flow's beginnings and ends with the marker
+// of the request.
 func (d *requestSource) prompt(f Flow, marker string) string {
 	beginning := fmt.Sprintf("%s document %d. ", f.Name, d.random.IntN(f.Prefixes))
 	size := d.drawAround(f.PromptBytes)
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	// maxIdleConnections keeps one connection a caller, as callers' own
-	// libraries do.
+	// maxIdleConnections keeps one connection open for each caller, as the client libraries of
+	// callers do.
 	maxIdleConnections = MaxConcurrency
-	// defaultRetryDelay is the wait before another try where the answer was
-	// cut and so held no Retry-After.
+	// defaultRetryDelay is the wait before a retry when the connection was cut, so that no
+	// Retry-After was received.
 	defaultRetryDelay = 200 * time.Millisecond
-	// maxJitterRatio is the greatest part of a wait that is added at random, so
-	// that callers refused together do not come back together.
+	// maxJitterRatio is the largest share of a wait that is added at random, so that callers
+	// that are refused together do not retry together.
 	maxJitterRatio = 0.2
 )
 
-// outcome is what one request came to, tries and waits included.
+// outcome is the result of one request, retries and waits included.
 type outcome struct {
 	flow    int
 	verdict Verdict
-	// refusal is the type of the last refusal, if that was the last word.
+	// refusal is the type of the final refusal; empty if the request ended otherwise.
 	refusal failure.Type
 	ran     failure.Ran
 	tries   int
 	tokens  int
-	// first is the time to the first token, whole that to the end, both from
-	// when the request was due; gaps are the times between tokens.
+	// first is the time to the first token and whole the time to the end, both from when the
+	// request was due; gaps are the times between tokens.
 	first, whole time.Duration
 	gaps         []time.Duration
 	marker       string
 	id           string
 }
 
-// Run sends the plan's load until its count or duration is over or ctx ends,
-// waits for the requests in flight, and returns the report.
+// Run sends the plan's load until its count or duration is reached or ctx ends. It then waits
+// for the requests in flight and returns the report.
 func Run(ctx context.Context, p *Plan) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, errors.Trace(err)
@@ -72,21 +72,22 @@
 	return report, nil
 }
 
+// generator sends the requests of one run and collects their outcomes.
 type generator struct {
 	plan     *Plan
 	client   *http.Client
 	checker  *checker
 	outcomes chan outcome
-	// slots bounds the open requests.
+	// slots limits the number of open requests.
 	slots    chan struct{}
 	inFlight sync.WaitGroup
-	// held counts the open loop's requests that were due while all slots were
-	// taken. Their wait counts into their times.
+	// held counts the requests of an open loop that were due while all slots were in use. The
+	// time until they were sent counts into their measured times.
 	held int
 }
 
-// send starts the requests in their order. A closed loop starts one whenever
-// a slot is free; an open loop starts one when it is due.
+// send starts the requests in order. A closed loop starts a request when a slot is free; an
+// open loop starts it when it is due.
 func (g *generator) send(ctx context.Context, d *requestSource) {
 	over, cancel := context.WithTimeout(ctx, g.plan.Duration)
 	defer cancel()
@@ -114,6 +115,7 @@
 	}
 }
 
+// acquireSlot waits for a free slot. It returns false if ctx ends first.
 func (g *generator) acquireSlot(ctx context.Context) bool {
 	select {
 	case g.slots <- struct{}{}:
@@ -131,9 +133,9 @@
 	}
 }
 
-// sendWithRetries sends a request until it has its answer, its tries are used up or
-// the time to give up has come. Each try has the same idempotency key and goes
-// to the next target, as it would through a balancer.
+// sendWithRetries sends a request until it has a final answer, its retries are used up, or
+// GiveUp has passed. Each attempt has the same idempotency key and goes to the next target, as
+// it would through a load balancer.
 func (g *generator) sendWithRetries(ctx context.Context, r request, due time.Time) outcome {
 	ctx, cancel := context.WithTimeout(ctx, g.plan.GiveUp)
 	defer cancel()
@@ -151,6 +153,7 @@
 	}
 }
 
+// record sets the outcome to the result of the latest attempt.
 func (o *outcome) record(v Verdict, a *answer, due time.Time) {
 	o.verdict, o.refusal, o.ran, o.id = v, "", "", a.id
 	if a.refusal != nil {
@@ -167,8 +170,8 @@
 	}
 }
 
-// retryWait says whether and when a caller tries again. It waits at least
-// what Retry-After says; a refusal without one is final.
+// retryWait returns whether the caller retries and after which wait. The wait is at least
+// Retry-After; a refusal without Retry-After is final.
 func retryWait(v Verdict, a *answer) (time.Duration, bool) {
 	switch {
 	case v == Cut:
@@ -179,11 +182,12 @@
 	return 0, false
 }
 
+// withJitter returns d increased by a random share of up to maxJitterRatio.
 func withJitter(d time.Duration) time.Duration {
 	return d + time.Duration(rand.Float64()*maxJitterRatio*float64(d))
 }
 
-// sleepUntil tells whether the time came before ctx ended.
+// sleepUntil reports whether the given time was reached before ctx ended.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
