--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	defaultInterval = 500 * time.Millisecond
-	announceTimeout = time.Second
-	maxAnnounceBody = 1 << 20
+	defaultInterval      = 500 * time.Millisecond
+	announceTimeout      = time.Second
+	maxAnnounceBodyBytes = 1 << 20
 )
 
 // announcer posts announcements to one entry at a time, and goes to the next
@@ -67,11 +67,11 @@
 		if m := message(); m != nil {
 			a.announce(ctx, m)
 		}
-		sleep(ctx, a.wait())
+		sleep(ctx, a.currentInterval())
 	}
 }
 
-func (a *announcer) wait() time.Duration {
+func (a *announcer) currentInterval() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.interval
@@ -83,8 +83,8 @@
 	if err != nil {
 		return
 	}
-	for range a.count() {
-		entry := a.current()
+	for range a.entryCount() {
+		entry := a.currentEntry()
 		if a.post(ctx, entry, body) {
 			return
 		}
@@ -92,7 +92,7 @@
 			return
 		}
 		_ = level.Debug(a.logger).Log("msg", "entry took no announcement", "id", m.ID, "entry", entry)
-		a.rotate()
+		a.useNextEntry()
 	}
 }
 
@@ -115,16 +115,16 @@
 		return false
 	}
 	var reply backend.AnnounceReply
-	if json.NewDecoder(io.LimitReader(response.Body, maxAnnounceBody)).Decode(&reply) != nil {
+	if json.NewDecoder(io.LimitReader(response.Body, maxAnnounceBodyBytes)).Decode(&reply) != nil {
 		return false
 	}
-	a.learn(entry, reply)
+	a.applyReply(entry, reply)
 	return true
 }
 
 // learn takes the entries and the interval that an entry named. The seeds stay
 // known, so that a wrong list can't strand the stand-in.
-func (a *announcer) learn(current string, reply backend.AnnounceReply) {
+func (a *announcer) applyReply(current string, reply backend.AnnounceReply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if reply.IntervalMillis > 0 {
@@ -152,19 +152,19 @@
 	return out
 }
 
-func (a *announcer) count() int {
+func (a *announcer) entryCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.entries)
 }
 
-func (a *announcer) current() string {
+func (a *announcer) currentEntry() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.entries[a.next%len(a.entries)]
 }
 
-func (a *announcer) rotate() {
+func (a *announcer) useNextEntry() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.next++
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -11,8 +11,8 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// maxRequestBody bounds what a stand-in reads of a request.
-const maxRequestBody = 8 << 20
+// maxRequestBodyBytes bounds what a stand-in reads of a request.
+const maxRequestBodyBytes = 8 << 20
 
 // Engine is a stand-in for a model engine on a VM.
 type Engine struct {
@@ -26,11 +26,11 @@
 
 // engineState is all that a crash loses.
 type engineState struct {
-	life      *life
-	scheduler *scheduler
-	cache     *prefixCache
-	load      *loadReport
-	running   *runningSet
+	incarnation *incarnation
+	scheduler   *scheduler
+	cache       *prefixCache
+	load        *loadReport
+	running     *runningSet
 
 	mu sync.Mutex
 	// newest is the newest fencing token seen; an engine that ignores tokens
@@ -48,8 +48,8 @@
 	o = o.withDefaults()
 	e := &Engine{options: o, client: &http.Client{Transport: &http.Transport{IdleConnTimeout: 10 * time.Second}}}
 	e.host = newHost(ctx, o.Common, e.routes())
-	e.born = e.newState
-	e.message = e.announce
+	e.onStart = e.newState
+	e.newAnnouncement = e.announce
 	if err := e.start(); err != nil {
 		e.cancel()
 		return nil, errors.Trace(err)
@@ -74,14 +74,14 @@
 	return mux
 }
 
-func (e *Engine) newState(l *life) {
+func (e *Engine) newState(l *incarnation) {
 	s := &engineState{
-		life:      l,
-		scheduler: newScheduler(e.options.Slots, e.options.QueueLimit),
-		cache:     newPrefixCache(e.options),
-		load:      &loadReport{lag: e.options.LoadLag},
-		running:   newRunningSet(),
-		weights:   map[string]bool{},
+		incarnation: l,
+		scheduler:   newScheduler(e.options.Slots, e.options.QueueLimit),
+		cache:       newPrefixCache(e.options),
+		load:        &loadReport{lag: e.options.LoadLag},
+		running:     newRunningSet(),
+		weights:     map[string]bool{},
 	}
 	for _, model := range e.options.Weights {
 		s.weights[model] = true
@@ -91,22 +91,22 @@
 	e.state = s
 }
 
-func (e *Engine) now() *engineState {
+func (e *Engine) currentState() *engineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state
 }
 
 // announce says what the engine is part of and how it fares.
-func (e *Engine) announce(*life) *backend.Announcement {
-	s := e.now()
+func (e *Engine) announce(*incarnation) *backend.Announcement {
+	s := e.currentState()
 	now := time.Now()
 	m := &backend.Announcement{
 		Kind:         backend.KindEngine,
 		Accelerators: e.options.Accelerators,
 		Phase:        backend.PhaseIdle,
 		Cache:        s.cache.due(now),
-		Load:         s.load.report(now, e.loadNow(s)),
+		Load:         s.load.report(now, e.currentLoad(s)),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +122,7 @@
 	return m
 }
 
-func (e *Engine) loadNow(s *engineState) backend.Load {
+func (e *Engine) currentLoad(s *engineState) backend.Load {
 	running, tokens := s.running.totals()
 	queued := s.scheduler.queued()
 	load := backend.Load{
--- a/internal/standin/engine_group.go
+++ b/internal/standin/engine_group.go
@@ -15,8 +15,8 @@
 // the engines' own affair and no part of the protocol with the system.
 const pathMember = "/v1/member"
 
-// memberBeat is a member's heartbeat; the answer is the head's own.
-type memberBeat struct {
+// memberHeartbeat is a member's heartbeat; the answer is the head's own.
+type memberHeartbeat struct {
 	Group       string `json:"group"`
 	Epoch       uint64 `json:"epoch"`
 	VM          string `json:"vm"`
@@ -24,37 +24,37 @@
 	Ready       bool   `json:"ready"`
 }
 
-// keepMembership beats and checks until the membership ends.
-func (e *Engine) keepMembership(s *engineState, g *membership) {
+// runMembership beats and checks until the membership ends.
+func (e *Engine) runMembership(s *engineState, g *membership) {
 	for g.ctx.Err() == nil {
 		e.server.gate.wait(g.ctx.Done())
-		if !g.head() {
-			e.beat(s, g)
+		if !g.isHead() {
+			e.sendHeartbeat(s, g)
 		}
 		g.check(time.Now())
 		sleep(g.ctx, e.options.MemberInterval)
 	}
 }
 
-func (e *Engine) ownBeat(s *engineState, g *membership) memberBeat {
+func (e *Engine) ownHeartbeat(s *engineState, g *membership) memberHeartbeat {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return memberBeat{
+	return memberHeartbeat{
 		Group:       g.order.Group,
 		Epoch:       g.order.Token.Epoch,
 		VM:          g.self,
-		Incarnation: s.life.incarnation,
+		Incarnation: s.incarnation.id,
 		Ready:       g.phase == backend.PhaseReady,
 	}
 }
 
-func (e *Engine) beat(s *engineState, g *membership) {
+func (e *Engine) sendHeartbeat(s *engineState, g *membership) {
 	if len(g.order.Members) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, g.memberTimeout)
 	defer cancel()
-	body, err := json.Marshal(e.ownBeat(s, g))
+	body, err := json.Marshal(e.ownHeartbeat(s, g))
 	if err != nil {
 		return
 	}
@@ -68,28 +68,28 @@
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	var head memberBeat
-	err = json.NewDecoder(io.LimitReader(response.Body, maxRequestBody)).Decode(&head)
+	var head memberHeartbeat
+	err = json.NewDecoder(io.LimitReader(response.Body, maxRequestBodyBytes)).Decode(&head)
 	if err != nil || response.StatusCode != http.StatusOK {
 		return
 	}
-	g.hear(head.VM, head.Incarnation, head.Ready, time.Now())
+	g.recordHeartbeat(head.VM, head.Incarnation, head.Ready, time.Now())
 }
 
 func (e *Engine) serveMember(w http.ResponseWriter, r *http.Request) {
-	var b memberBeat
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody)).Decode(&b); err != nil {
+	var b memberHeartbeat
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBodyBytes)).Decode(&b); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s := e.now()
+	s := e.currentState()
 	s.mu.Lock()
 	g := s.group
 	s.mu.Unlock()
-	if g == nil || g.order.Group != b.Group || g.order.Token.Epoch != b.Epoch || !g.head() {
+	if g == nil || g.order.Group != b.Group || g.order.Token.Epoch != b.Epoch || !g.isHead() {
 		http.Error(w, "not the head of this group and epoch", http.StatusConflict)
 		return
 	}
-	g.hear(b.VM, b.Incarnation, b.Ready, time.Now())
-	writeJSON(w, http.StatusOK, e.ownBeat(s, g))
+	g.recordHeartbeat(b.VM, b.Incarnation, b.Ready, time.Now())
+	writeJSON(w, http.StatusOK, e.ownHeartbeat(s, g))
 }
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -15,22 +15,22 @@
 		return
 	}
 	var o backend.Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody)).Decode(&o); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBodyBytes)).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	reply := e.obey(e.now(), o)
+	reply := e.executeOrder(e.currentState(), o)
 	_ = level.Info(e.options.Logger).Log("msg", "order", "id", e.common.ID, "kind", o.Kind, "group", o.Group,
 		"term", o.Token.Term, "epoch", o.Token.Epoch, "accepted", reply.Accepted)
 	writeJSON(w, http.StatusOK, reply)
 }
 
 // obey carries an order out, unless it is stale and the engine checks that.
-func (e *Engine) obey(s *engineState, o backend.Order) backend.OrderReply {
+func (e *Engine) executeOrder(s *engineState, o backend.Order) backend.OrderReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.options.Fencing == FencingCheck {
-		if s.stale(o) {
+		if s.isStale(o) {
 			return backend.OrderReply{Newest: s.newest}
 		}
 		s.newest = o.Token
@@ -50,8 +50,8 @@
 }
 
 // stale is called with s.mu held.
-func (s *engineState) stale(o backend.Order) bool {
-	otherIncarnation := o.Incarnation != "" && o.Incarnation != s.life.incarnation
+func (s *engineState) isStale(o backend.Order) bool {
+	otherIncarnation := o.Incarnation != "" && o.Incarnation != s.incarnation.id
 	late := o.Kind == backend.OrderLoad && o.Token.Epoch <= s.released
 	return otherIncarnation || late || o.Token.Less(s.newest)
 }
@@ -59,21 +59,21 @@
 // join is called with s.mu held. A repeated order changes nothing.
 func (e *Engine) join(s *engineState, o backend.Order) {
 	if g := s.group; g != nil {
-		if g.same(o) {
+		if g.matches(o) {
 			return
 		}
 		g.end()
 	}
 	g := e.newMembership(s, o)
 	s.group = g
-	s.life.wg.Add(2)
+	s.incarnation.wg.Add(2)
 	go func() {
-		defer s.life.wg.Done()
+		defer s.incarnation.wg.Done()
 		e.loadModel(s, g)
 	}()
 	go func() {
-		defer s.life.wg.Done()
-		e.keepMembership(s, g)
+		defer s.incarnation.wg.Done()
+		e.runMembership(s, g)
 	}()
 }
 
@@ -86,9 +86,9 @@
 	}
 	g.setPhase(backend.PhaseReleasing)
 	g.end()
-	s.life.wg.Add(1)
+	s.incarnation.wg.Add(1)
 	go func() {
-		defer s.life.wg.Done()
+		defer s.incarnation.wg.Done()
 		g.streams.Wait()
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/standin/event_writer.go
+++ b/internal/standin/event_writer.go
@@ -46,7 +46,7 @@
 		Text:    TokenText(o.generation.Prompt, offset),
 	}
 	if o.fault.Kind != "" && o.sent == o.fault.After {
-		if !o.disturb(ctx, event, total) {
+		if !o.injectFault(ctx, event, total) {
 			return false
 		}
 		o.sent++
@@ -70,13 +70,13 @@
 
 // disturb sends the event at which the fault happens. It returns false when
 // the answer ends here.
-func (o *eventWriter) disturb(ctx context.Context, event backend.Token, total int) bool {
+func (o *eventWriter) injectFault(ctx context.Context, event backend.Token, total int) bool {
 	switch o.fault.Kind {
 	case StreamCut:
 		return false
 	case StreamCrossed:
 		crossed := event
-		crossed.Attempt = o.running.other(event.Attempt)
+		crossed.Attempt = o.running.otherAttempt(event.Attempt)
 		crossed.Text = " crossed"
 		o.event(crossed)
 	case StreamDoubled:
--- a/internal/standin/conn.go
+++ b/internal/standin/fault_conn.go
@@ -42,7 +42,7 @@
 func (c *faultConn) Close() error {
 	c.once.Do(func() {
 		close(c.done)
-		c.server.forget(c)
+		c.server.removeConn(c)
 	})
 	return c.Conn.Close()
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -85,35 +85,35 @@
 	RateLimit *float64 `json:"rate_limit,omitempty"`
 }
 
-// faultBox holds the faults in force.
-type faultBox struct {
-	mu        sync.Mutex
-	faults    Faults
-	rateLimit float64
-	used      int
+// faultState holds the faults in force.
+type faultState struct {
+	mu            sync.Mutex
+	faults        Faults
+	rateLimit     float64
+	faultyAnswers int
 }
 
-func (b *faultBox) set(f Faults) {
+func (b *faultState) set(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
-	b.used = 0
+	b.faultyAnswers = 0
 }
 
-func (b *faultBox) get() Faults {
+func (b *faultState) get() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults
 }
 
-func (b *faultBox) limitRate(perSecond float64) {
+func (b *faultState) limitRate(perSecond float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rateLimit = perSecond
 }
 
 // nameRateLimit names the rate limit in the header of an answer, if there is one.
-func (b *faultBox) nameRateLimit(h http.Header) {
+func (b *faultState) nameRateLimit(h http.Header) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.rateLimit > 0 {
@@ -122,28 +122,28 @@
 }
 
 // crashes tells whether a request with this text crashes the stand-in.
-func (b *faultBox) crashes(text string) bool {
+func (b *faultState) crashes(text string) bool {
 	marker := b.get().CrashMarker
 	return marker != "" && strings.Contains(text, marker)
 }
 
 // takeStream returns the fault of a new answer, and counts it.
-func (b *faultBox) takeStream(text string) StreamFaults {
+func (b *faultState) takeStream(text string) StreamFaults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f := b.faults.Stream
 	if f.Kind == "" || !strings.Contains(text, f.Marker) {
 		return StreamFaults{}
 	}
-	if f.Answers > 0 && b.used >= f.Answers {
+	if f.Answers > 0 && b.faultyAnswers >= f.Answers {
 		return StreamFaults{}
 	}
-	b.used++
+	b.faultyAnswers++
 	return f
 }
 
 // scale applies SlowFactor to a duration of work.
-func (b *faultBox) scale(d time.Duration) time.Duration {
+func (b *faultState) scale(d time.Duration) time.Duration {
 	factor := b.get().SlowFactor
 	if factor <= 0 {
 		return d
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -22,7 +22,7 @@
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
 	var g backend.Generation
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody)).Decode(&g); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBodyBytes)).Decode(&g); err != nil {
 		refuse(w, http.StatusBadRequest, backend.Refusal{Message: err.Error()})
 		return
 	}
@@ -31,8 +31,8 @@
 		return
 	}
 	e.faults.nameRateLimit(w.Header())
-	s := e.now()
-	group := s.holds(g)
+	s := e.currentState()
+	group := s.membershipFor(g)
 	if group == nil || !group.enter(time.Now()) {
 		refuse(w, http.StatusConflict, backend.Refusal{Message: "group and epoch not served here"})
 		return
@@ -45,18 +45,18 @@
 		return
 	}
 	defer s.running.remove(g.Attempt)
-	place := s.scheduler.enter(g.Priority)
-	if place == nil || e.faults.get().FullQueue {
+	slot := s.scheduler.enter(g.Priority)
+	if slot == nil || e.faults.get().FullQueue {
 		refuse(w, http.StatusTooManyRequests, backend.Refusal{
 			Busy: true, RetryAfterMillis: busyRetryAfterMillis, Message: "queue full",
 		})
-		if place != nil {
-			s.scheduler.leave(place)
+		if slot != nil {
+			s.scheduler.leave(slot)
 		}
 		return
 	}
-	defer s.scheduler.leave(place)
-	e.run(ctx, w, s, group, g, place)
+	defer s.scheduler.leave(slot)
+	e.run(ctx, w, s, group, g, slot)
 }
 
 // streamContext ends with the caller's connection, with the group, or with a
@@ -66,7 +66,7 @@
 ) (context.Context, context.CancelCauseFunc) {
 	base := caller
 	if e.faults.get().IgnoreCancel {
-		base = s.life.ctx
+		base = s.incarnation.ctx
 	}
 	ctx, cancel := context.WithCancelCause(base)
 	stop := context.AfterFunc(group.ctx, func() { cancel(errGroupLost) })
@@ -76,7 +76,7 @@
 	}
 }
 
-func (s *engineState) holds(g backend.Generation) *membership {
+func (s *engineState) membershipFor(g backend.Generation) *membership {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held := s.group
@@ -92,15 +92,15 @@
 // run answers a generation that has been taken. The response header goes out
 // at once; a run is recorded when the generation gets its slot.
 func (e *Engine) run(
-	ctx context.Context, w http.ResponseWriter, s *engineState, group *membership, g backend.Generation, place *ticket,
+	ctx context.Context, w http.ResponseWriter, s *engineState, group *membership, g backend.Generation, slot *ticket,
 ) {
 	out := newEventWriter(w, g, e.faults.takeStream(g.Prompt), s.running)
 	out.start()
-	if !e.awaitSlot(ctx, out, place) {
+	if !e.awaitSlot(ctx, out, slot) {
 		return
 	}
 	number := e.common.Recorder.begin(Run{
-		Server: e.common.ID, Incarnation: s.life.incarnation, Attempt: g.Attempt, Request: g.Request,
+		Server: e.common.ID, Incarnation: s.incarnation.id, Attempt: g.Attempt, Request: g.Request,
 		Work: g.Prompt, Group: g.Group, Epoch: g.Epoch, Offset: g.Offset,
 	})
 	if e.faults.crashes(g.Prompt) {
@@ -117,12 +117,12 @@
 	}
 }
 
-func (e *Engine) awaitSlot(ctx context.Context, out *eventWriter, place *ticket) bool {
+func (e *Engine) awaitSlot(ctx context.Context, out *eventWriter, slot *ticket) bool {
 	ticker := time.NewTicker(e.options.KeepAlive)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-place.ready:
+		case <-slot.ready:
 			return true
 		case <-ticker.C:
 			out.keepAlive()
@@ -143,7 +143,7 @@
 	due := time.Now()
 	for offset := g.Offset; offset < total; offset++ {
 		due = e.nextDue(due)
-		if !e.step(ctx, group, due) {
+		if !e.awaitNextToken(ctx, group, due) {
 			return outcomeOf(ctx)
 		}
 		if !out.token(ctx, offset, total) {
@@ -169,7 +169,7 @@
 
 // step waits until the next token is due and the whole group is there. While a
 // member is missing the stream stalls; when the group fails, ctx ends.
-func (e *Engine) step(ctx context.Context, group *membership, due time.Time) bool {
+func (e *Engine) awaitNextToken(ctx context.Context, group *membership, due time.Time) bool {
 	if wait := time.Until(due); wait > 0 && !sleep(ctx, wait) {
 		return false
 	}
@@ -178,7 +178,7 @@
 		if ctx.Err() != nil {
 			return false
 		}
-		if group.serving(time.Now()) {
+		if group.isServing(time.Now()) {
 			return true
 		}
 		sleep(ctx, e.options.MemberInterval)
@@ -187,7 +187,7 @@
 
 // prefill takes the time that the uncached blocks need, with keep-alives.
 func (e *Engine) prefill(ctx context.Context, out *eventWriter, s *engineState, prompt string) bool {
-	blocks := s.cache.take(backend.PrefixBlocks(prompt))
+	blocks := s.cache.insert(backend.PrefixBlocks(prompt))
 	left := e.faults.scale(time.Duration(blocks) * e.options.PrefillPerBlock)
 	for left > 0 {
 		part := min(left, e.options.KeepAlive)
@@ -215,12 +215,12 @@
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	var c backend.CancelOrder
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody)).Decode(&c); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBodyBytes)).Decode(&c); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if !e.faults.get().IgnoreCancel {
-		e.now().running.stop(c.Attempt)
+		e.currentState().running.stop(c.Attempt)
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
 }
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -14,11 +14,11 @@
 )
 
 // life is one incarnation. All that it started ends with ctx.
-type life struct {
-	ctx         context.Context
-	cancel      context.CancelFunc
-	incarnation string
-	wg          sync.WaitGroup
+type incarnation struct {
+	ctx    context.Context
+	cancel context.CancelFunc
+	id     string
+	wg     sync.WaitGroup
 }
 
 // host is what engines and plain services share: a listener, announcements,
@@ -27,20 +27,20 @@
 	common    Common
 	server    *server
 	announcer *announcer
-	faults    faultBox
+	faults    faultState
 	// born makes the state of a new incarnation; message is its announcement.
-	born    func(*life)
-	message func(*life) *backend.Announcement
+	onStart         func(*incarnation)
+	newAnnouncement func(*incarnation) *backend.Announcement
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu       sync.Mutex
-	life     *life
-	crashing bool
-	sequence uint64
-	leaving  bool
+	mu          sync.Mutex
+	incarnation *incarnation
+	crashing    bool
+	sequence    uint64
+	leaving     bool
 }
 
 func newHost(ctx context.Context, o Common, handler http.Handler) *host {
@@ -56,13 +56,13 @@
 }
 
 func (h *host) begin(address string) error {
-	l := &life{incarnation: uuid.NewString()}
+	l := &incarnation{id: uuid.NewString()}
 	l.ctx, l.cancel = context.WithCancel(h.ctx)
 	h.mu.Lock()
-	h.life = l
+	h.incarnation = l
 	h.sequence = 0
 	h.mu.Unlock()
-	h.born(l)
+	h.onStart(l)
 	if err := h.server.listen(l.ctx, address); err != nil {
 		l.cancel()
 		return err
@@ -78,14 +78,14 @@
 }
 
 // announcement fills in what all stand-ins announce.
-func (h *host) announcement(l *life) *backend.Announcement {
+func (h *host) announcement(l *incarnation) *backend.Announcement {
 	h.server.gate.wait(l.ctx.Done())
 	if h.faults.get().Muted || l.ctx.Err() != nil {
 		return nil
 	}
-	m := h.message(l)
+	m := h.newAnnouncement(l)
 	m.ID = h.common.ID
-	m.Incarnation = l.incarnation
+	m.Incarnation = l.id
 	m.Address = h.Address()
 	m.DataCentre = h.common.DataCentre
 	m.FabricDomain = h.common.FabricDomain
@@ -109,15 +109,15 @@
 func (h *host) ListenAddress() string { return h.server.addr() }
 
 // Incarnation returns the incarnation in force.
-func (h *host) Incarnation() string { return h.current().incarnation }
+func (h *host) Incarnation() string { return h.current().id }
 
 // Runs returns all runs that its recorder holds.
 func (h *host) Runs() []Run { return h.common.Recorder.Runs() }
 
-func (h *host) current() *life {
+func (h *host) current() *incarnation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.life
+	return h.incarnation
 }
 
 // Apply puts faults in force, and does those that happen once.
@@ -133,7 +133,7 @@
 		h.mu.Unlock()
 	}
 	if o.PauseMillis > 0 {
-		h.server.gate.shutFor(time.Duration(o.PauseMillis) * time.Millisecond)
+		h.server.gate.closeFor(time.Duration(o.PauseMillis) * time.Millisecond)
 	}
 	if o.Silence {
 		h.server.silence()
@@ -157,10 +157,10 @@
 	}
 	h.crashing = true
 	h.wg.Add(1)
-	go h.crashAndReturn(h.life)
+	go h.crashAndRestart(h.incarnation)
 }
 
-func (h *host) crashAndReturn(l *life) {
+func (h *host) crashAndRestart(l *incarnation) {
 	defer h.wg.Done()
 	_ = level.Info(h.common.Logger).Log("msg", "stand-in crashes", "id", h.common.ID)
 	l.cancel()
@@ -181,7 +181,7 @@
 func (h *host) Close() {
 	h.mu.Lock()
 	h.cancel()
-	l := h.life
+	l := h.incarnation
 	h.mu.Unlock()
 	h.wg.Wait()
 	h.server.gate.open()
--- a/internal/standin/membership.go
+++ b/internal/standin/membership.go
@@ -16,7 +16,7 @@
 	self          string
 	memberTimeout time.Duration
 	groupTimeout  time.Duration
-	lost          func() []string
+	lostMembers   func() []string
 
 	// ctx ends with the membership, and with it the group's streams.
 	ctx     context.Context
@@ -27,16 +27,16 @@
 	phase backend.Phase
 	peers map[string]*peer
 	// complete is set once all members have been ready together.
-	complete bool
+	wasComplete bool
 	// broken is when a complete group was first found with a member missing.
-	broken time.Time
+	brokenSince time.Time
 }
 
 type peer struct {
-	heard       time.Time
-	incarnation string
-	ready       bool
-	replaced    bool
+	lastReceived time.Time
+	incarnation  string
+	ready        bool
+	replaced     bool
 }
 
 func (e *Engine) newMembership(s *engineState, o backend.Order) *membership {
@@ -45,20 +45,20 @@
 		self:          e.common.ID,
 		memberTimeout: e.options.MemberTimeout,
 		groupTimeout:  e.options.GroupTimeout,
-		lost:          func() []string { return e.faults.get().LostMembers },
+		lostMembers:   func() []string { return e.faults.get().LostMembers },
 		phase:         backend.PhaseLoading,
 		peers:         map[string]*peer{},
 	}
-	g.ctx, g.cancel = context.WithCancel(s.life.ctx)
+	g.ctx, g.cancel = context.WithCancel(s.incarnation.ctx)
 	return g
 }
 
-func (g *membership) same(o backend.Order) bool {
+func (g *membership) matches(o backend.Order) bool {
 	return g.order.Group == o.Group && g.order.Token.Epoch == o.Token.Epoch && g.order.Rank == o.Rank &&
 		g.order.Model == o.Model && slices.Equal(g.order.Members, o.Members) && g.ctx.Err() == nil
 }
 
-func (g *membership) head() bool { return g.order.Rank == 0 }
+func (g *membership) isHead() bool { return g.order.Rank == 0 }
 
 // end ends the membership. It holds the lock so that no stream enters after
 // the wait for the streams has begun.
@@ -84,7 +84,7 @@
 
 // enter counts a stream of the group, if the group serves.
 func (g *membership) enter(now time.Time) bool {
-	if !g.serving(now) {
+	if !g.isServing(now) {
 		return false
 	}
 	g.mu.Lock()
@@ -98,17 +98,17 @@
 
 // serving tells whether this engine is the head of a group whose members are
 // all ready and heard from.
-func (g *membership) serving(now time.Time) bool {
+func (g *membership) isServing(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.head() && g.phase == backend.PhaseReady && g.complete && len(g.missing(now)) == 0
+	return g.isHead() && g.phase == backend.PhaseReady && g.wasComplete && len(g.missing(now)) == 0
 }
 
 // status is what the engine announces.
 func (g *membership) status(now time.Time) (backend.Phase, []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.complete {
+	if !g.wasComplete {
 		return g.phase, nil
 	}
 	return g.phase, g.missing(now)
@@ -116,8 +116,8 @@
 
 // hear takes a peer's heartbeat. A peer that comes back as a new incarnation
 // has lost its part of the model, so it counts as missing for good.
-func (g *membership) hear(vm, incarnation string, ready bool, now time.Time) {
-	if slices.Contains(g.lost(), vm) {
+func (g *membership) recordHeartbeat(vm, incarnation string, ready bool, now time.Time) {
+	if slices.Contains(g.lostMembers(), vm) {
 		return
 	}
 	g.mu.Lock()
@@ -128,7 +128,7 @@
 		g.peers[vm] = p
 	}
 	p.replaced = p.replaced || p.incarnation != incarnation
-	p.heard = now
+	p.lastReceived = now
 	p.ready = ready
 }
 
@@ -137,17 +137,17 @@
 func (g *membership) missing(now time.Time) []string {
 	var out []string
 	for rank, member := range g.order.Members {
-		watched := member.VM != g.self && (g.head() || rank == 0)
-		if watched && !g.present(member.VM, now) {
+		watched := member.VM != g.self && (g.isHead() || rank == 0)
+		if watched && !g.isPresent(member.VM, now) {
 			out = append(out, member.VM)
 		}
 	}
 	return out
 }
 
-func (g *membership) present(vm string, now time.Time) bool {
+func (g *membership) isPresent(vm string, now time.Time) bool {
 	p, ok := g.peers[vm]
-	return ok && p.ready && !p.replaced && now.Sub(p.heard) <= g.memberTimeout
+	return ok && p.ready && !p.replaced && now.Sub(p.lastReceived) <= g.memberTimeout
 }
 
 // check finds a group become complete, and a complete one that has been
@@ -156,15 +156,15 @@
 func (g *membership) check(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	whole := g.phase == backend.PhaseReady && len(g.missing(now)) == 0
+	allReady := g.phase == backend.PhaseReady && len(g.missing(now)) == 0
 	switch {
-	case whole:
-		g.complete = true
-		g.broken = time.Time{}
-	case !g.complete || g.phase != backend.PhaseReady:
-	case g.broken.IsZero():
-		g.broken = now
-	case now.Sub(g.broken) > g.groupTimeout:
+	case allReady:
+		g.wasComplete = true
+		g.brokenSince = time.Time{}
+	case !g.wasComplete || g.phase != backend.PhaseReady:
+	case g.brokenSince.IsZero():
+		g.brokenSince = now
+	case now.Sub(g.brokenSince) > g.groupTimeout:
 		g.phase = backend.PhaseFailed
 		g.cancel()
 	}
--- a/internal/standin/prefix_cache.go
+++ b/internal/standin/prefix_cache.go
@@ -14,34 +14,34 @@
 // prefixCache is an engine's cache of prompt prefixes, least recently used
 // out first. Its events come late, and some never.
 type prefixCache struct {
-	limit int
-	lag   time.Duration
-	gap   uint64
+	limit      int
+	lag        time.Duration
+	lossStride uint64
 
 	mu       sync.Mutex
 	order    *list.List
 	blocks   map[uint64]*list.Element
 	sequence uint64
-	events   []datedEvent
+	events   []timedEvent
 }
 
-type datedEvent struct {
+type timedEvent struct {
 	at    time.Time
 	event backend.CacheEvent
 }
 
 func newPrefixCache(o EngineOptions) *prefixCache {
 	return &prefixCache{
-		limit:  o.CacheBlocks,
-		lag:    o.CacheLag,
-		gap:    o.CacheGap,
-		order:  list.New(),
-		blocks: map[uint64]*list.Element{},
+		limit:      o.CacheBlocks,
+		lag:        o.CacheLag,
+		lossStride: o.CacheGap,
+		order:      list.New(),
+		blocks:     map[uint64]*list.Element{},
 	}
 }
 
 // take puts a prompt's blocks into the cache and returns how many were new.
-func (c *prefixCache) take(blocks []uint64) int {
+func (c *prefixCache) insert(blocks []uint64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var added, removed []uint64
@@ -66,11 +66,11 @@
 
 func (c *prefixCache) record(added, removed []uint64) {
 	c.sequence++
-	if c.gap > 0 && c.sequence%c.gap == 0 {
+	if c.lossStride > 0 && c.sequence%c.lossStride == 0 {
 		return
 	}
 	event := backend.CacheEvent{Sequence: c.sequence, Added: added, Removed: removed}
-	c.events = append(c.events, datedEvent{at: time.Now(), event: event})
+	c.events = append(c.events, timedEvent{at: time.Now(), event: event})
 }
 
 // due returns the events that are old enough, and forgets them.
--- a/internal/standin/running.go
+++ b/internal/standin/running_set.go
@@ -5,35 +5,35 @@
 	"sync"
 )
 
-// keptCancels bounds the attempts remembered as cancelled before they came.
-const keptCancels = 1024
+// maxClosedAttempts bounds the attempts remembered as cancelled before they came.
+const maxClosedAttempts = 1024
 
 // runningSet holds the generations that an engine has taken, and the cancels
 // that overtook their generation.
 type runningSet struct {
-	mu        sync.Mutex
-	byAttempt map[string]*running
-	early     map[string]bool
-	earlyList []string
+	mu          sync.Mutex
+	byAttempt   map[string]*generationInProgress
+	closed      map[string]bool
+	closedOrder []string
 }
 
-type running struct {
-	cancel context.CancelCauseFunc
-	left   int
+type generationInProgress struct {
+	cancel     context.CancelCauseFunc
+	tokensLeft int
 }
 
 func newRunningSet() *runningSet {
-	return &runningSet{byAttempt: map[string]*running{}, early: map[string]bool{}}
+	return &runningSet{byAttempt: map[string]*generationInProgress{}, closed: map[string]bool{}}
 }
 
 // add takes a generation, unless its attempt is known or already cancelled.
 func (r *runningSet) add(attempt string, tokens int, cancel context.CancelCauseFunc) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.early[attempt] || r.byAttempt[attempt] != nil {
+	if r.closed[attempt] || r.byAttempt[attempt] != nil {
 		return false
 	}
-	r.byAttempt[attempt] = &running{cancel: cancel, left: tokens}
+	r.byAttempt[attempt] = &generationInProgress{cancel: cancel, tokensLeft: tokens}
 	return true
 }
 
@@ -41,19 +41,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.byAttempt, attempt)
-	r.remember(attempt)
+	r.markClosed(attempt)
 }
 
 // remember is called with mu held.
-func (r *runningSet) remember(attempt string) {
-	if r.early[attempt] {
+func (r *runningSet) markClosed(attempt string) {
+	if r.closed[attempt] {
 		return
 	}
-	r.early[attempt] = true
-	r.earlyList = append(r.earlyList, attempt)
-	if len(r.earlyList) > keptCancels {
-		delete(r.early, r.earlyList[0])
-		r.earlyList = r.earlyList[1:]
+	r.closed[attempt] = true
+	r.closedOrder = append(r.closedOrder, attempt)
+	if len(r.closedOrder) > maxClosedAttempts {
+		delete(r.closed, r.closedOrder[0])
+		r.closedOrder = r.closedOrder[1:]
 	}
 }
 
@@ -61,7 +61,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if one := r.byAttempt[attempt]; one != nil {
-		one.left = left
+		one.tokensLeft = left
 	}
 }
 
@@ -73,7 +73,7 @@
 		one.cancel(errCancelled)
 		return
 	}
-	r.remember(attempt)
+	r.markClosed(attempt)
 }
 
 // totals returns the number of generations and of the tokens still to come.
@@ -81,13 +81,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, one := range r.byAttempt {
-		tokens += one.left
+		tokens += one.tokensLeft
 	}
 	return len(r.byAttempt), tokens
 }
 
 // others returns the id of another attempt under way, if there is one.
-func (r *runningSet) other(attempt string) string {
+func (r *runningSet) otherAttempt(attempt string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.byAttempt {
--- a/internal/standin/scheduler.go
+++ b/internal/standin/scheduler.go
@@ -11,7 +11,7 @@
 	waiting []*ticket
 }
 
-// ticket is a place in the queue. ready is closed when it gets a slot.
+// ticket is a slot in the queue. ready is closed when it gets a slot.
 type ticket struct {
 	priority int
 	ready    chan struct{}
@@ -48,7 +48,7 @@
 	s.waiting[at] = t
 }
 
-// leave gives back the ticket's slot, or its place in the queue.
+// leave gives back the ticket's slot, or its slot in the queue.
 func (s *scheduler) leave(t *ticket) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func (s *server) forget(c *faultConn) {
+func (s *server) removeConn(c *faultConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -56,8 +56,8 @@
 		runs:    map[string]int{},
 	}
 	s.host = newHost(ctx, o.Common, s.routes())
-	s.born = func(*life) {}
-	s.message = s.announce
+	s.onStart = func(*incarnation) {}
+	s.newAnnouncement = s.announce
 	if err := s.start(); err != nil {
 		s.cancel()
 		return nil, errors.Trace(err)
@@ -73,7 +73,7 @@
 	return mux
 }
 
-func (s *Service) announce(*life) *backend.Announcement {
+func (s *Service) announce(*incarnation) *backend.Announcement {
 	running := int(s.running.Load())
 	return &backend.Announcement{
 		Kind:    backend.KindService,
@@ -83,18 +83,18 @@
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBodyBytes))
 	if err != nil {
-		notStarted(w, http.StatusBadRequest)
+		refuseCall(w, http.StatusBadRequest)
 		return
 	}
 	if !s.authorised(r) {
-		notStarted(w, http.StatusUnauthorized)
+		refuseCall(w, http.StatusUnauthorized)
 		return
 	}
 	s.faults.nameRateLimit(w.Header())
 	if s.faults.get().FullQueue || !s.enter() {
-		notStarted(w, http.StatusServiceUnavailable)
+		refuseCall(w, http.StatusServiceUnavailable)
 		return
 	}
 	defer s.leave()
@@ -128,7 +128,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	fault := s.faults.takeStream(string(body))
-	finished := s.work(r.Context(), fault)
+	finished := s.simulateWork(r.Context(), fault)
 	if !finished {
 		s.common.Recorder.end(number, 0, OutcomeCut)
 		panic(http.ErrAbortHandler)
@@ -138,7 +138,7 @@
 }
 
 // work takes the call's time.
-func (s *Service) work(ctx context.Context, fault StreamFaults) bool {
+func (s *Service) simulateWork(ctx context.Context, fault StreamFaults) bool {
 	wait := s.faults.scale(s.options.CallTime)
 	if fault.Kind == StreamLate {
 		wait += time.Duration(fault.DelayMillis) * time.Millisecond
@@ -177,7 +177,7 @@
 }
 
 // notStarted says that the call was not started.
-func notStarted(w http.ResponseWriter, status int) {
+func refuseCall(w http.ResponseWriter, status int) {
 	w.Header().Set(backend.HeaderStarted, backend.StartedNo)
 	http.Error(w, "call not started", status)
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -21,20 +21,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// entryFake takes announcements and keeps the newest of each stand-in.
-type entryFake struct {
+// fakeEntry takes announcements and keeps the newest of each stand-in.
+type fakeEntry struct {
 	mu     sync.Mutex
 	newest map[string]backend.Announcement
 }
 
-func newEntry(t *testing.T) (*entryFake, string) {
-	f := &entryFake{newest: map[string]backend.Announcement{}}
+func newEntry(t *testing.T) (*fakeEntry, string) {
+	f := &fakeEntry{newest: map[string]backend.Announcement{}}
 	s := httptest.NewServer(f)
 	t.Cleanup(s.Close)
 	return f, s.Listener.Addr().String()
 }
 
-func (f *entryFake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var a backend.Announcement
 	_ = json.NewDecoder(r.Body).Decode(&a)
 	f.mu.Lock()
@@ -43,7 +43,7 @@
 	writeJSON(w, http.StatusOK, backend.AnnounceReply{IntervalMillis: 10})
 }
 
-func (f *entryFake) get(id string) backend.Announcement {
+func (f *fakeEntry) get(id string) backend.Announcement {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.newest[id]
@@ -90,8 +90,8 @@
 		assert.Assert(t, reply.Accepted)
 	}
 	await(t, "group serves", func() bool {
-		g := engines[0].now().group
-		return g != nil && g.serving(time.Now())
+		g := engines[0].currentState().group
+		return g != nil && g.isServing(time.Now())
 	})
 }
 
@@ -248,13 +248,13 @@
 	checking := startEngine(t, EngineOptions{Common: Common{ID: "vm-0"}})
 	assert.Assert(t, order(checking, 5, backend.OrderLoad))
 	assert.Assert(t, !order(checking, 4, backend.OrderRelease))
-	assert.Assert(t, checking.now().group != nil)
+	assert.Assert(t, checking.currentState().group != nil)
 
 	ignoring := startEngine(t, EngineOptions{Common: Common{ID: "vm-1"}, Fencing: FencingIgnore})
 	assert.Assert(t, order(ignoring, 5, backend.OrderLoad))
 	assert.Assert(t, order(ignoring, 4, backend.OrderRelease))
 	await(t, "released", func() bool {
-		s := ignoring.now()
+		s := ignoring.currentState()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.group == nil
@@ -272,7 +272,7 @@
 	assert.Assert(t, err != nil && err != io.EOF)
 	await(t, "returns", func() bool { return e.Incarnation() != first })
 	assert.Equal(t, e.Address(), address)
-	assert.Assert(t, e.now().group == nil)
+	assert.Assert(t, e.currentState().group == nil)
 	assert.Equal(t, e.Runs()[0].Outcome, OutcomeCrashed)
 }
 
@@ -351,7 +351,7 @@
 func TestCacheEventsShowGaps(t *testing.T) {
 	cache := newPrefixCache(EngineOptions{CacheBlocks: 1, CacheGap: 2})
 	for block := range uint64(3) {
-		assert.Equal(t, cache.take([]uint64{block}), 1)
+		assert.Equal(t, cache.insert([]uint64{block}), 1)
 	}
 	assert.DeepEqual(t, cache.due(time.Now()), []backend.CacheEvent{
 		{Sequence: 1, Added: []uint64{0}},
