--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -22,8 +22,8 @@
 	maxAnnounceBodyBytes = 1 << 20
 )
 
-// announcer posts announcements to one entry at a time, and goes to the next
-// when that one does not answer.
+// announcer sends announcements to one entry at a time and switches to the next entry when a
+// request fails.
 type announcer struct {
 	secret string
 	seeds  []string
@@ -51,7 +51,7 @@
 	}
 }
 
-// firstEntry spreads the stand-ins over the entries.
+// firstEntry distributes the stand-ins over the entries by a hash of their ids.
 func firstEntry(id string, entries int) int {
 	if entries == 0 {
 		return 0
@@ -59,8 +59,8 @@
 	return int(xxhash.Sum64String(id) % uint64(entries))
 }
 
-// run announces what message returns until ctx ends. A message that is nil is
-// not sent.
+// run sends the announcement that message returns at each interval until ctx ends. A nil
+// announcement is not sent.
 func (a *announcer) run(ctx context.Context, message func() *backend.Announcement) {
 	defer a.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -77,7 +77,8 @@
 	return a.interval
 }
 
-// announce tries each known entry once.
+// announce tries the known entries in turn, each at most once, until one accepts the
+// announcement.
 func (a *announcer) announce(ctx context.Context, m *backend.Announcement) {
 	body, err := json.Marshal(m)
 	if err != nil {
@@ -91,11 +92,12 @@
 		if ctx.Err() != nil {
 			return
 		}
-		_ = level.Debug(a.logger).Log("msg", "entry took no announcement", "id", m.ID, "entry", entry)
+		_ = level.Debug(a.logger).Log("msg", "entry did not accept announcement", "id", m.ID, "entry", entry)
 		a.useNextEntry()
 	}
 }
 
+// post sends an announcement to an entry and reports whether the entry accepted it.
 func (a *announcer) post(ctx context.Context, entry string, body []byte) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost,
 		"http://"+entry+backend.PathAnnounce, bytes.NewReader(body))
@@ -122,8 +124,8 @@
 	return true
 }
 
-// learn takes the entries and the interval that an entry named. The seeds stay
-// known, so that a wrong list can't strand the stand-in.
+// applyReply adopts the entries and the interval of a reply. The configured entries stay in the
+// list, so that a wrong list can't cut the stand-in off.
 func (a *announcer) applyReply(current string, reply backend.AnnounceReply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -138,6 +140,7 @@
 	}
 }
 
+// union returns the elements of both lists without duplicates.
 func union(first, second []string) []string {
 	seen := map[string]bool{}
 	var out []string
@@ -170,7 +173,7 @@
 	a.next++
 }
 
-// sleep waits for d or for the end of ctx, and tells whether d has passed.
+// sleep waits for d or until ctx ends, and reports whether d has passed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/standin/debug_api.go
+++ b/internal/standin/debug_api.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// The paths by which tests steer a stand-in and read what it ran.
+// The paths by which tests control a stand-in and read its runs.
 const (
 	PathRuns   = "/debug/runs"
 	PathFaults = "/debug/faults"
@@ -15,8 +15,8 @@
 	writeJSON(w, http.StatusOK, h.Runs())
 }
 
-// serveFaults answers before the faults come into force: a pause, a silence
-// or a crash would hold the answer back.
+// serveFaults sends the response before it applies the faults: a pause, a silence or a crash
+// would delay or lose the response.
 func (h *host) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var o FaultOrder
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,15 +1,15 @@
-// Package standin holds small stand-ins for what the system meets outside
-// itself: model engines, plain services and the rate-limited weight store.
-// They speak the protocol of docs/backend-protocol.md over real sockets, take
-// faults as settings or at run time, and record what they ran, so that tests
-// can prove what the system promises. `citronstepd -dev` runs them too.
+// Package standin implements small stand-ins for the external systems: model engines, plain
+// services and the rate-limited weight store. They use the protocol of docs/backend-protocol.md
+// over real sockets. They accept faults as settings or at run time, and record the work that
+// they ran, so that tests can verify the guarantees of the system. `citronstepd -dev` runs them
+// too.
 //
-// Engine text is a pure function of the prompt (ExpectedText), so that a
-// checker can tell a whole answer to its own prompt from a cut, doubled or
-// crossed one.
+// The text that an engine generates is a pure function of the prompt (ExpectedText). A checker
+// can therefore distinguish the complete answer to a prompt from one that is truncated, has
+// repeated parts or belongs to another prompt.
 package standin
 
 import "github.com/juju/errors"
 
-// errWeights is the cause of a load that the weight store did not serve.
+// errWeights is the cause of an error when the weight store did not serve a load.
 const errWeights = errors.ConstError("weights not loaded")
--- a/internal/standin/fault_conn.go
+++ b/internal/standin/fault_conn.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// faultConn is an accepted connection that can be paused with its server or
-// go silent for good: then what is written is lost and nothing is read, and
-// neither end is told, as after a middlebox has dropped its state.
+// faultConn is an accepted connection with injected faults. It can be paused together with its
+// server, or fall silent for good: then written data is lost, nothing can be read, and neither
+// side is notified, as after a middlebox has dropped its connection state.
 type faultConn struct {
 	net.Conn
 
@@ -18,7 +18,7 @@
 	once   sync.Once
 }
 
-// Read reads, unless the connection is paused or silent.
+// Read blocks while the server is paused, and until Close on a silent connection.
 func (c *faultConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.server.gate.wait(c.done)
@@ -29,7 +29,7 @@
 	return n, err
 }
 
-// Write writes, unless the connection is paused or silent.
+// Write blocks while the server is paused, and discards the data on a silent connection.
 func (c *faultConn) Write(p []byte) (int, error) {
 	c.server.gate.wait(c.done)
 	if c.silent.Load() {
@@ -38,7 +38,7 @@
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection and wakes what waits on it.
+// Close closes the connection and unblocks its reads and writes.
 func (c *faultConn) Close() error {
 	c.once.Do(func() {
 		close(c.done)
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,11 +10,11 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// StreamFault names what is wrong with an answer.
+// StreamFault is a kind of fault in an answer.
 type StreamFault string
 
-// The faults of an answer. Each happens after StreamFaults.After tokens, or,
-// for a plain service, after that many bytes of the body.
+// The faults of an answer. Each takes place after StreamFaults.After tokens, or, for a plain
+// service, after that many bytes of the body.
 const (
 	// StreamCut closes the connection before the end mark.
 	StreamCut StreamFault = "cut"
@@ -24,68 +24,68 @@
 	StreamDoubled StreamFault = "doubled"
 	// StreamSkipped leaves one token out.
 	StreamSkipped StreamFault = "skipped"
-	// StreamShort sends the end mark early, with the whole answer's total.
+	// StreamShort sends the end mark early, with the total of the complete answer.
 	StreamShort StreamFault = "short"
-	// StreamMalformed sends a line that is no JSON.
+	// StreamMalformed sends a line that is not valid JSON.
 	StreamMalformed StreamFault = "malformed"
 	// StreamOverlong sends a line of overlongBytes.
 	StreamOverlong StreamFault = "overlong"
 	// StreamStalled sends nothing more, not even keep-alives.
 	StreamStalled StreamFault = "stalled"
-	// StreamLate sends nothing for DelayMillis and then goes on.
+	// StreamLate pauses for DelayMillis and then continues.
 	StreamLate StreamFault = "late"
 )
 
-// StreamFaults say which answers go wrong and how.
+// StreamFaults select the answers that get a fault, and the fault.
 type StreamFaults struct {
 	Kind StreamFault `json:"kind,omitempty"`
-	// After is the number of tokens sent well before the fault.
+	// After is the number of tokens sent correctly before the fault.
 	After int `json:"after,omitempty"`
-	// DelayMillis is the length of StreamLate.
+	// DelayMillis is the duration of the pause of StreamLate.
 	DelayMillis int64 `json:"delay_ms,omitempty"`
-	// Marker limits the fault to requests that hold it.
+	// Marker limits the fault to requests whose text contains it.
 	Marker string `json:"marker,omitempty"`
-	// Answers limits the fault to so many answers; 0 is no limit.
+	// Answers limits the number of answers with the fault; 0 means no limit.
 	Answers int `json:"answers,omitempty"`
 }
 
-// Faults are the lasting faults of a stand-in. A post to /debug/faults
-// replaces them all.
+// Faults are the persistent faults of a stand-in. A post to /debug/faults replaces all of them.
 type Faults struct {
-	// CrashMarker crashes the stand-in on a request that holds it.
+	// CrashMarker makes the stand-in crash on a request whose text contains it.
 	CrashMarker string `json:"crash_marker,omitempty"`
-	// SlowFactor multiplies the time of all work; 0 and 1 are normal.
+	// SlowFactor multiplies the duration of all work; 0 and 1 mean normal speed.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// LostMembers are VMs of the group that this engine no longer hears.
+	// LostMembers are VMs of the group whose heartbeats this engine ignores.
 	LostMembers []string `json:"lost_members,omitempty"`
-	// IgnoreCancel keeps a generation running after it is cancelled and
-	// after its caller has gone.
+	// IgnoreCancel keeps a generation running after it was cancelled and after its caller has
+	// disconnected.
 	IgnoreCancel bool `json:"ignore_cancel,omitempty"`
-	// Muted stops the announcements while all else goes on.
+	// Muted stops the announcements only.
 	Muted bool `json:"muted,omitempty"`
-	// FullQueue refuses all new work as busy.
+	// FullQueue makes the stand-in refuse all new work as busy.
 	FullQueue bool         `json:"full_queue,omitempty"`
 	Stream    StreamFaults `json:"stream,omitzero"`
 }
 
-// FaultOrder is the body of a post to /debug/faults: lasting faults, and
-// faults that happen once, when the post arrives.
+// FaultOrder is the body of a post to /debug/faults: persistent faults, and one-time faults
+// that take effect when the post arrives.
 type FaultOrder struct {
 	Faults
-	// Crash ends the stand-in, which comes back as a new incarnation.
+	// Crash crashes the stand-in, which restarts as a new incarnation.
 	Crash bool `json:"crash,omitempty"`
-	// PauseMillis stops all of the stand-in for so long.
+	// PauseMillis pauses the whole stand-in for this time.
 	PauseMillis int64 `json:"pause_ms,omitempty"`
 	// Silence makes the open connections silent for good.
 	Silence bool `json:"silence,omitempty"`
-	// Leaving announces that the stand-in wants no new work.
+	// Leaving announces that the stand-in accepts no new work.
 	Leaving *bool `json:"leaving,omitempty"`
-	// RateLimit is named from now on in each answer to a generation or call, in requests a
-	// second; 0 names none. Nothing is refused for it, and such an order changes nothing else.
+	// RateLimit is announced in each further answer to a generation or call, in requests per
+	// second; 0 announces none. It causes no refusals, and an order with RateLimit changes
+	// nothing else.
 	RateLimit *float64 `json:"rate_limit,omitempty"`
 }
 
-// faultState holds the faults in force.
+// faultState holds the active faults.
 type faultState struct {
 	mu            sync.Mutex
 	faults        Faults
@@ -112,7 +112,7 @@
 	b.rateLimit = perSecond
 }
 
-// nameRateLimit names the rate limit in the header of an answer, if there is one.
+// nameRateLimit sets the rate limit header of an answer, if a rate limit is configured.
 func (b *faultState) nameRateLimit(h http.Header) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -121,13 +121,13 @@
 	}
 }
 
-// crashes tells whether a request with this text crashes the stand-in.
+// crashes reports whether a request with this text crashes the stand-in.
 func (b *faultState) crashes(text string) bool {
 	marker := b.get().CrashMarker
 	return marker != "" && strings.Contains(text, marker)
 }
 
-// takeStream returns the fault of a new answer, and counts it.
+// takeStream returns the fault for a new answer and counts it against Answers.
 func (b *faultState) takeStream(text string) StreamFaults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -142,7 +142,7 @@
 	return f
 }
 
-// scale applies SlowFactor to a duration of work.
+// scale multiplies the duration of work by SlowFactor.
 func (b *faultState) scale(d time.Duration) time.Duration {
 	factor := b.get().SlowFactor
 	if factor <= 0 {
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// gate holds back all that passes through it while it is shut; a paused
-// stand-in is one whose gate is shut.
+// gate blocks all goroutines that call wait while it is closed. A paused stand-in has a closed
+// gate.
 type gate struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// reopened is closed when the gate opens; it is nil while the gate is open.
 	reopened chan struct{}
 	timer    *time.Timer
 }
 
-// closeFor shuts the gate for d, or until open is called if d is 0.
+// closeFor closes the gate for d, or until open is called if d is 0.
 func (g *gate) closeFor(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -37,7 +38,7 @@
 	}
 }
 
-// wait returns when the gate is open or done is closed.
+// wait blocks until the gate is open or done is closed.
 func (g *gate) wait(done <-chan struct{}) {
 	g.mu.Lock()
 	reopened := g.reopened
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -13,7 +13,8 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// life is one incarnation. All that it started ends with ctx.
+// incarnation is one run of a stand-in between start and crash. All its goroutines end with
+// ctx.
 type incarnation struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -21,14 +22,14 @@
 	wg     sync.WaitGroup
 }
 
-// host is what engines and plain services share: a listener, announcements,
-// faults and the crash and return as a new incarnation.
+// host is the common part of engines and plain services: listener, announcements, faults, and
+// crash and restart as a new incarnation.
 type host struct {
 	common    Common
 	server    *server
 	announcer *announcer
 	faults    faultState
-	// born makes the state of a new incarnation; message is its announcement.
+	// onStart creates the state of a new incarnation; newAnnouncement returns its announcement.
 	onStart         func(*incarnation)
 	newAnnouncement func(*incarnation) *backend.Announcement
 
@@ -50,11 +51,12 @@
 	return h
 }
 
-// start begins the first incarnation.
+// start starts the first incarnation.
 func (h *host) start() error {
 	return h.begin(h.common.Listen)
 }
 
+// begin starts a new incarnation that listens on address.
 func (h *host) begin(address string) error {
 	l := &incarnation{id: uuid.NewString()}
 	l.ctx, l.cancel = context.WithCancel(h.ctx)
@@ -77,7 +79,8 @@
 	return nil
 }
 
-// announcement fills in what all stand-ins announce.
+// announcement returns the announcement with the fields common to all stand-ins, or nil if none
+// is to be sent.
 func (h *host) announcement(l *incarnation) *backend.Announcement {
 	h.server.gate.wait(l.ctx.Done())
 	if h.faults.get().Muted || l.ctx.Err() != nil {
@@ -97,7 +100,7 @@
 	return m
 }
 
-// Address returns the announced address.
+// Address returns the address that the stand-in announces.
 func (h *host) Address() string {
 	if h.common.Advertise != "" {
 		return h.common.Advertise
@@ -108,10 +111,10 @@
 // ListenAddress returns the address that the stand-in listens on.
 func (h *host) ListenAddress() string { return h.server.addr() }
 
-// Incarnation returns the incarnation in force.
+// Incarnation returns the id of the current incarnation.
 func (h *host) Incarnation() string { return h.current().id }
 
-// Runs returns all runs that its recorder holds.
+// Runs returns all runs in the recorder.
 func (h *host) Runs() []Run { return h.common.Recorder.Runs() }
 
 func (h *host) current() *incarnation {
@@ -120,7 +123,8 @@
 	return h.incarnation
 }
 
-// Apply puts faults in force, and does those that happen once.
+// Apply sets the persistent faults and carries out the one-time faults. An order with a rate
+// limit sets only the rate limit.
 func (h *host) Apply(o FaultOrder) {
 	if o.RateLimit != nil {
 		h.faults.limitRate(*o.RateLimit)
@@ -143,8 +147,8 @@
 	}
 }
 
-// crash drops the incarnation with all its state and connections, and comes
-// back as a new one on the same address.
+// crash discards the incarnation with its state and connections, and restarts as a new
+// incarnation on the same address.
 func (h *host) crash() {
 	if h.common.OnCrash != nil {
 		h.common.OnCrash()
@@ -162,7 +166,7 @@
 
 func (h *host) crashAndRestart(l *incarnation) {
 	defer h.wg.Done()
-	_ = level.Info(h.common.Logger).Log("msg", "stand-in crashes", "id", h.common.ID)
+	_ = level.Info(h.common.Logger).Log("msg", "stand-in crashed by fault", "id", h.common.ID)
 	l.cancel()
 	h.server.kill()
 	l.wg.Wait()
@@ -173,11 +177,11 @@
 	h.crashing = false
 	h.mu.Unlock()
 	if err := h.begin(h.server.addr()); err != nil {
-		_ = level.Error(h.common.Logger).Log("msg", "stand-in does not return", "id", h.common.ID, "err", err)
+		_ = level.Error(h.common.Logger).Log("msg", "stand-in failed to restart", "id", h.common.ID, "err", err)
 	}
 }
 
-// Close ends the stand-in and all its connections.
+// Close stops the stand-in and closes all its connections.
 func (h *host) Close() {
 	h.mu.Lock()
 	h.cancel()
@@ -189,7 +193,7 @@
 	l.wg.Wait()
 }
 
-// authorised tells whether a request carries the secret that is asked for.
+// authorised reports whether a request carries the required secret.
 func (h *host) authorised(r *http.Request) bool {
 	if h.common.Secret == "" {
 		return true
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -12,14 +12,14 @@
 	"github.com/juju/errors"
 )
 
-// loopbackAnyPort is where a stand-in listens unless told otherwise.
+// loopbackAnyPort is the default listen address of a stand-in.
 const loopbackAnyPort = "127.0.0.1:0"
 
-// readHeaderTimeout bounds a slow request header.
+// readHeaderTimeout bounds the time for reading a request header.
 const readHeaderTimeout = 5 * time.Second
 
-// server is the listener of a stand-in with its faults at connection level.
-// It can be killed and started again on the same address.
+// server is the listener of a stand-in, with faults at the connection level. It can be killed
+// and restarted on the same address.
 type server struct {
 	handler http.Handler
 	gate    gate
@@ -35,8 +35,8 @@
 	return &server{handler: handler, conns: map[*faultConn]struct{}{}}
 }
 
-// listen starts serving on address and keeps the port for later listens.
-// Handlers' contexts descend from ctx.
+// listen starts serving on address and records the address with its port, so that a restart can
+// reuse it. The contexts of handlers derive from ctx.
 func (s *server) listen(ctx context.Context, address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return s.address
 }
 
-// kill closes the listener and all connections at once.
+// kill closes the listener and all connections immediately.
 func (s *server) kill() {
 	s.mu.Lock()
 	h := s.http
@@ -84,7 +84,7 @@
 	s.served.Wait()
 }
 
-// silence makes every open connection silent for good; new ones work.
+// silence makes every open connection silent for good. New connections work normally.
 func (s *server) silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 	server *server
 }
 
-// Accept hands on a connection that the server's faults act on.
+// Accept returns a connection that is subject to the faults of the server.
 func (l *faultListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
