--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -11,7 +11,7 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// maxRequestBodyBytes bounds what a stand-in reads of a request.
+// maxRequestBodyBytes bounds what a stand-in reads of a request body.
 const maxRequestBodyBytes = 8 << 20
 
 // Engine is a stand-in for a model engine on a VM.
@@ -24,7 +24,7 @@
 	state *engineState
 }
 
-// engineState is all that a crash loses.
+// engineState is the state that a crash discards.
 type engineState struct {
 	incarnation *incarnation
 	scheduler   *scheduler
@@ -33,11 +33,11 @@
 	running     *runningSet
 
 	mu sync.Mutex
-	// newest is the newest fencing token seen; an engine that ignores tokens
-	// keeps none.
+	// newest is the newest fencing token received. An engine that ignores fencing tokens does
+	// not set it.
 	newest backend.FencingToken
-	// released is the newest epoch that an engine that checks tokens was told
-	// to leave; a load of it that comes late is refused.
+	// released is the newest epoch that an engine that checks tokens was ordered to release. A
+	// late load order for this epoch or an older one is refused.
 	released uint64
 	group    *membership
 	weights  map[string]bool
@@ -57,7 +57,7 @@
 	return e, nil
 }
 
-// Close ends the engine and all its connections.
+// Close stops the engine and closes all its connections.
 func (e *Engine) Close() {
 	e.host.Close()
 	e.client.CloseIdleConnections()
@@ -91,13 +91,14 @@
 	e.state = s
 }
 
+// currentState returns the state of the current incarnation.
 func (e *Engine) currentState() *engineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state
 }
 
-// announce says what the engine is part of and how it fares.
+// announce returns the announcement of the engine: its group, phase, cache events and load.
 func (e *Engine) announce(*incarnation) *backend.Announcement {
 	s := e.currentState()
 	now := time.Now()
@@ -122,6 +123,7 @@
 	return m
 }
 
+// currentLoad returns the load at this moment, without the configured lag.
 func (e *Engine) currentLoad(s *engineState) backend.Load {
 	running, tokens := s.running.totals()
 	queued := s.scheduler.queued()
--- a/internal/standin/engine_group.go
+++ b/internal/standin/engine_group.go
@@ -11,11 +11,11 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// pathMember is how the members of a group tell the head that they live. It is
-// the engines' own affair and no part of the protocol with the system.
+// pathMember is the path to which members of a group send heartbeats to the head. It is
+// internal to the engines and no part of the protocol with the system.
 const pathMember = "/v1/member"
 
-// memberHeartbeat is a member's heartbeat; the answer is the head's own.
+// memberHeartbeat is the heartbeat of a member. The response is the head's own heartbeat.
 type memberHeartbeat struct {
 	Group       string `json:"group"`
 	Epoch       uint64 `json:"epoch"`
@@ -24,7 +24,7 @@
 	Ready       bool   `json:"ready"`
 }
 
-// runMembership beats and checks until the membership ends.
+// runMembership sends heartbeats and checks the group until the membership ends.
 func (e *Engine) runMembership(s *engineState, g *membership) {
 	for g.ctx.Err() == nil {
 		e.server.gate.wait(g.ctx.Done())
@@ -36,6 +36,7 @@
 	}
 }
 
+// ownHeartbeat returns the current heartbeat of this engine.
 func (e *Engine) ownHeartbeat(s *engineState, g *membership) memberHeartbeat {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -48,6 +49,8 @@
 	}
 }
 
+// sendHeartbeat sends a heartbeat to the head and records the head's own heartbeat from the
+// response.
 func (e *Engine) sendHeartbeat(s *engineState, g *membership) {
 	if len(g.order.Members) == 0 {
 		return
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -25,7 +25,8 @@
 	writeJSON(w, http.StatusOK, reply)
 }
 
-// obey carries an order out, unless it is stale and the engine checks that.
+// executeOrder executes an order, or refuses it if the engine checks fencing tokens and the
+// order is stale.
 func (e *Engine) executeOrder(s *engineState, o backend.Order) backend.OrderReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,14 +50,16 @@
 	return backend.OrderReply{Accepted: true, Newest: s.newest}
 }
 
-// stale is called with s.mu held.
+// isStale reports whether an order is for another incarnation, for a released epoch, or older
+// than the newest token. The caller holds s.mu.
 func (s *engineState) isStale(o backend.Order) bool {
 	otherIncarnation := o.Incarnation != "" && o.Incarnation != s.incarnation.id
 	late := o.Kind == backend.OrderLoad && o.Token.Epoch <= s.released
 	return otherIncarnation || late || o.Token.Less(s.newest)
 }
 
-// join is called with s.mu held. A repeated order changes nothing.
+// join starts the membership in the ordered group. A repeated order changes nothing. The caller
+// holds s.mu.
 func (e *Engine) join(s *engineState, o backend.Order) {
 	if g := s.group; g != nil {
 		if g.matches(o) {
@@ -77,8 +80,8 @@
 	}()
 }
 
-// leave is called with s.mu held. The engine says "releasing" until its
-// generations have ended.
+// leave ends the membership. The engine announces the phase "releasing" until its generations
+// have ended. The caller holds s.mu.
 func (e *Engine) leave(s *engineState, o backend.Order) {
 	g := s.group
 	if g == nil || (o.Group != "" && g.order.Group != o.Group) {
@@ -98,6 +101,7 @@
 	}()
 }
 
+// loadModel makes the weights available and marks the membership as ready.
 func (e *Engine) loadModel(s *engineState, g *membership) {
 	model := g.order.Model
 	s.mu.Lock()
@@ -112,7 +116,8 @@
 	g.becomeReady()
 }
 
-// fetch loads weights from the store, or takes the set time.
+// fetch loads weights from the store, or waits for the configured load time if there is no
+// store.
 func (e *Engine) fetch(g *membership, model string) bool {
 	if e.options.WeightStore == "" {
 		return sleep(g.ctx, e.faults.scale(e.options.LoadTime))
--- a/internal/standin/event_writer.go
+++ b/internal/standin/event_writer.go
@@ -10,10 +10,10 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// overlongBytes is the length of the line of StreamOverlong.
+// overlongBytes is the length of the line that StreamOverlong sends.
 const overlongBytes = 1 << 20
 
-// eventWriter writes the events of one generation, with its fault.
+// eventWriter writes the events of one generation and injects its fault.
 type eventWriter struct {
 	w          http.ResponseWriter
 	flush      func() error
@@ -38,7 +38,7 @@
 
 func (o *eventWriter) keepAlive() { o.line(": keep-alive") }
 
-// token sends the token at offset. It returns false when the answer ends here.
+// token sends the token at offset. It returns false if the answer must end here.
 func (o *eventWriter) token(ctx context.Context, offset, total int) bool {
 	event := backend.Token{
 		Attempt: o.generation.Attempt,
@@ -57,7 +57,7 @@
 	return !o.failed || ctx.Err() == nil
 }
 
-// end sends the end mark. It returns false when the answer ends without one.
+// end sends the end mark. It returns false if the answer ends without one.
 func (o *eventWriter) end(ctx context.Context, total int) bool {
 	if o.fault.Kind == StreamCut && o.sent <= o.fault.After {
 		return false
@@ -68,8 +68,8 @@
 	return ctx.Err() == nil
 }
 
-// disturb sends the event at which the fault happens. It returns false when
-// the answer ends here.
+// injectFault sends the event at which the fault takes place. It returns false if the answer
+// must end here.
 func (o *eventWriter) injectFault(ctx context.Context, event backend.Token, total int) bool {
 	switch o.fault.Kind {
 	case StreamCut:
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -11,13 +11,13 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// Why a generation ends before its end mark.
+// The causes for which a generation ends before its end mark.
 const (
 	errCancelled = errors.ConstError("cancelled")
 	errGroupLost = errors.ConstError("group lost")
 )
 
-// busyRetryAfterMillis is what a full engine asks for.
+// busyRetryAfterMillis is the retry delay that a full engine requests.
 const busyRetryAfterMillis = 200
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
@@ -59,8 +59,8 @@
 	e.run(ctx, w, s, group, g, slot)
 }
 
-// streamContext ends with the caller's connection, with the group, or with a
-// cancel; with the IgnoreCancel fault only with the group.
+// streamContext returns a context that ends with the caller's connection, with the group, or
+// with a cancel. With the fault IgnoreCancel it ends only with the group or the incarnation.
 func (e *Engine) streamContext(
 	caller context.Context, s *engineState, group *membership,
 ) (context.Context, context.CancelCauseFunc) {
@@ -76,6 +76,7 @@
 	}
 }
 
+// membershipFor returns the membership that serves the generation, or nil.
 func (s *engineState) membershipFor(g backend.Generation) *membership {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +90,8 @@
 	return held
 }
 
-// run answers a generation that has been taken. The response header goes out
-// at once; a run is recorded when the generation gets its slot.
+// run answers an accepted generation. It sends the response header at once, and records a run
+// when the generation gets its slot.
 func (e *Engine) run(
 	ctx context.Context, w http.ResponseWriter, s *engineState, group *membership, g backend.Generation, slot *ticket,
 ) {
@@ -109,7 +110,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	outcome := OutcomeLost
-	// The deferred end also records an answer that a fault cuts by a panic.
+	// The deferred end also records an answer that a fault interrupts by a panic.
 	defer func() { e.common.Recorder.end(number, out.sent, outcome) }()
 	outcome = e.answer(ctx, out, s, group, g)
 	if outcome != OutcomeFinished {
@@ -117,6 +118,8 @@
 	}
 }
 
+// awaitSlot sends keep-alives until the generation has a slot. It returns false if ctx ends
+// first.
 func (e *Engine) awaitSlot(ctx context.Context, out *eventWriter, slot *ticket) bool {
 	ticker := time.NewTicker(e.options.KeepAlive)
 	defer ticker.Stop()
@@ -157,7 +160,8 @@
 	return OutcomeFinished
 }
 
-// nextDue paces tokens against the clock, without a burst after a pause.
+// nextDue returns the time of the next token. Tokens follow the clock, but a pause is not made
+// up for by a burst.
 func (e *Engine) nextDue(previous time.Time) time.Time {
 	interval := e.faults.scale(e.options.TokenInterval)
 	due := previous.Add(interval)
@@ -167,8 +171,8 @@
 	return due
 }
 
-// step waits until the next token is due and the whole group is there. While a
-// member is missing the stream stalls; when the group fails, ctx ends.
+// awaitNextToken waits until the next token is due and all members of the group are present.
+// The stream stalls while a member is missing; when the group fails, ctx ends.
 func (e *Engine) awaitNextToken(ctx context.Context, group *membership, due time.Time) bool {
 	if wait := time.Until(due); wait > 0 && !sleep(ctx, wait) {
 		return false
@@ -185,7 +189,8 @@
 	}
 }
 
-// prefill takes the time that the uncached blocks need, with keep-alives.
+// prefill waits for the time that the uncached blocks of the prompt need, and sends
+// keep-alives.
 func (e *Engine) prefill(ctx context.Context, out *eventWriter, s *engineState, prompt string) bool {
 	blocks := s.cache.insert(backend.PrefixBlocks(prompt))
 	left := e.faults.scale(time.Duration(blocks) * e.options.PrefillPerBlock)
@@ -202,6 +207,7 @@
 	return ctx.Err() == nil
 }
 
+// outcomeOf returns the outcome that belongs to the cause of the context's end.
 func outcomeOf(ctx context.Context) Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errCancelled):
@@ -225,7 +231,7 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// refuse says that the request was not started.
+// refuse sends a refusal that states that the request was not started.
 func refuse(w http.ResponseWriter, status int, r backend.Refusal) {
 	started := false
 	r.Started = &started
--- a/internal/standin/membership.go
+++ b/internal/standin/membership.go
@@ -9,8 +9,8 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// membership is an engine's part in one epoch of a serving group. It decides
-// what the engine knows of the group; engine_group.go carries the heartbeats.
+// membership is an engine's membership in one epoch of a serving group. It decides which
+// members are present; engine_group.go sends and receives the heartbeats.
 type membership struct {
 	order         backend.Order
 	self          string
@@ -18,7 +18,7 @@
 	groupTimeout  time.Duration
 	lostMembers   func() []string
 
-	// ctx ends with the membership, and with it the group's streams.
+	// ctx ends with the membership; the group's streams end with it.
 	ctx     context.Context
 	cancel  context.CancelFunc
 	streams sync.WaitGroup
@@ -26,9 +26,10 @@
 	mu    sync.Mutex
 	phase backend.Phase
 	peers map[string]*peer
-	// complete is set once all members have been ready together.
+	// wasComplete is set once all members have been ready at the same time.
 	wasComplete bool
-	// broken is when a complete group was first found with a member missing.
+	// brokenSince is the time at which a member of a complete group was first found missing;
+	// zero while none is.
 	brokenSince time.Time
 }
 
@@ -53,6 +54,7 @@
 	return g
 }
 
+// matches reports whether an order repeats the one that started this membership.
 func (g *membership) matches(o backend.Order) bool {
 	return g.order.Group == o.Group && g.order.Token.Epoch == o.Token.Epoch && g.order.Rank == o.Rank &&
 		g.order.Model == o.Model && slices.Equal(g.order.Members, o.Members) && g.ctx.Err() == nil
@@ -60,8 +62,8 @@
 
 func (g *membership) isHead() bool { return g.order.Rank == 0 }
 
-// end ends the membership. It holds the lock so that no stream enters after
-// the wait for the streams has begun.
+// end ends the membership. It holds the lock so that no stream can enter once the wait for the
+// streams has begun.
 func (g *membership) end() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,7 +84,7 @@
 	}
 }
 
-// enter counts a stream of the group, if the group serves.
+// enter counts a new stream of the group. It returns false if the group does not serve.
 func (g *membership) enter(now time.Time) bool {
 	if !g.isServing(now) {
 		return false
@@ -96,15 +98,15 @@
 	return true
 }
 
-// serving tells whether this engine is the head of a group whose members are
-// all ready and heard from.
+// isServing reports whether this engine is the head of a group whose members are all ready and
+// have sent recent heartbeats.
 func (g *membership) isServing(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.isHead() && g.phase == backend.PhaseReady && g.wasComplete && len(g.missing(now)) == 0
 }
 
-// status is what the engine announces.
+// status returns the phase and the missing members to announce.
 func (g *membership) status(now time.Time) (backend.Phase, []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,8 +116,8 @@
 	return g.phase, g.missing(now)
 }
 
-// hear takes a peer's heartbeat. A peer that comes back as a new incarnation
-// has lost its part of the model, so it counts as missing for good.
+// recordHeartbeat records a heartbeat of a peer. A peer that restarted as a new incarnation has
+// lost its part of the model, so it counts as missing for the rest of the epoch.
 func (g *membership) recordHeartbeat(vm, incarnation string, ready bool, now time.Time) {
 	if slices.Contains(g.lostMembers(), vm) {
 		return
@@ -132,8 +134,8 @@
 	p.ready = ready
 }
 
-// missing is called with g.mu held. The head watches all members, the others
-// watch the head.
+// missing returns the monitored members that sent no recent heartbeat, are not ready or have
+// restarted. The head monitors all members, the others monitor the head. The caller holds g.mu.
 func (g *membership) missing(now time.Time) []string {
 	var out []string
 	for rank, member := range g.order.Members {
@@ -150,9 +152,9 @@
 	return ok && p.ready && !p.replaced && now.Sub(p.lastReceived) <= g.memberTimeout
 }
 
-// check finds a group become complete, and a complete one that has been
-// without a member for longer than groupTimeout: that one has failed and needs
-// a new epoch, as a collective operation that timed out can't be resumed.
+// check updates wasComplete and brokenSince. A complete group that lacks a member for longer
+// than groupTimeout has failed and needs a new epoch, because a collective operation that timed
+// out can't be resumed.
 func (g *membership) check(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
