--- a/internal/standin/expected_text.go
+++ b/internal/standin/expected_text.go
@@ -7,17 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultMaxTokens is the length of an answer whose request names none.
+// DefaultMaxTokens is the length of an answer whose request sets no max_tokens.
 const DefaultMaxTokens = 16
 
-// syllables make the words of the stand-in's text: three to a word give
-// 4096 words, so that two prompts soon differ.
+// syllables form the words of the generated text. Three syllables per word give 4096 words, so
+// that the texts of two prompts soon differ.
 var syllables = [16]string{
 	"ba", "de", "fi", "go", "hu", "ka", "le", "mi",
 	"no", "pu", "ra", "se", "ti", "vo", "wu", "za",
 }
 
-// TokenText returns the text of the token at offset of the answer to prompt.
+// TokenText returns the text of the token at offset in the answer to prompt.
 func TokenText(prompt string, offset int) string {
 	var position [8]byte
 	binary.LittleEndian.PutUint64(position[:], uint64(offset))
@@ -32,7 +32,7 @@
 	return " " + word
 }
 
-// ExpectedText returns the whole answer to prompt.
+// ExpectedText returns the complete answer to prompt.
 func ExpectedText(prompt string, maxTokens int) string {
 	var text strings.Builder
 	for offset := range answerLength(maxTokens) {
--- a/internal/standin/load_report.go
+++ b/internal/standin/load_report.go
@@ -7,7 +7,7 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// loadReport reports a load that is lag old.
+// loadReport returns loads with a delay of lag.
 type loadReport struct {
 	lag time.Duration
 
@@ -20,8 +20,8 @@
 	load backend.Load
 }
 
-// report takes the load of now and returns the newest that is old enough, or
-// nil when there is none yet.
+// report records the current load and returns the newest recorded load that is at least lag
+// old, or nil if there is none yet.
 func (r *loadReport) report(now time.Time, load backend.Load) *backend.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/options.go
+++ b/internal/standin/options.go
@@ -6,38 +6,38 @@
 	"github.com/go-kit/log"
 )
 
-// Common are the settings that engines and plain services share. A zero field
-// takes the default named at it.
+// Common holds the settings that engines and plain services share. A zero field has the default
+// given in its comment.
 type Common struct {
 	// ID is the stable name under which the stand-in announces itself.
 	ID string
 	// Listen is the address to listen on; default 127.0.0.1:0.
 	Listen string
-	// Advertise is the address that is announced; default the one listened
-	// on. A test names its proxy here.
+	// Advertise is the address to announce; default is the listen address. Tests set it to the
+	// address of their proxy.
 	Advertise string
-	// Entries are the first addresses to announce to. A stand-in without any
-	// is not announced.
+	// Entries are the initial addresses to announce to. Without any, the stand-in sends no
+	// announcements.
 	Entries []string
-	// Interval is the time between announcements until an entry says
-	// otherwise; default 500 ms.
+	// Interval is the time between announcements until an entry sets another one; default 500
+	// ms.
 	Interval time.Duration
-	// Secret is the bearer token that orders, generations and calls must
-	// carry; empty takes all.
+	// Secret is the bearer token that orders, generations and calls must carry; if empty, none
+	// is required.
 	Secret string
 	// AnnounceSecret is the bearer token that announcements carry.
 	AnnounceSecret string
 	DataCentre     string
 	FabricDomain   string
-	// LoadLag is the age of the load that is reported; default 0.
+	// LoadLag is the age of the reported load; default 0.
 	LoadLag time.Duration
-	// RestartAfter is how long a crashed stand-in stays away; default 200 ms.
+	// RestartAfter is the time from a crash to the restart; default 200 ms.
 	RestartAfter time.Duration
-	// OnCrash replaces the crash and return within the process, for instance
-	// by the end of the process.
+	// OnCrash, if not nil, replaces the crash and restart within the process, for example by
+	// ending the process.
 	OnCrash func()
 	Faults  Faults
-	// Recorder keeps the runs; default a new one.
+	// Recorder records the runs; default is a new one.
 	Recorder *Recorder
 	Logger   log.Logger
 }
@@ -57,7 +57,7 @@
 	return o
 }
 
-// Fencing says whether an engine checks fencing tokens.
+// Fencing selects whether an engine checks fencing tokens.
 type Fencing string
 
 // The fencing modes.
@@ -66,40 +66,39 @@
 	FencingIgnore Fencing = "ignore"
 )
 
-// EngineOptions are the settings of an engine. A zero field takes the default
-// named at it.
+// EngineOptions holds the settings of an engine. A zero field has the default given in its
+// comment.
 type EngineOptions struct {
 	Common
-	// Accelerators is the number that the VM announces; default 4.
+	// Accelerators is the number of accelerators that the VM announces; default 4.
 	Accelerators int
 	// Fencing is the mode; default FencingCheck.
 	Fencing Fencing
-	// Slots bounds the generations that run at once; default 8.
+	// Slots bounds the generations that run at the same time; default 8.
 	Slots int
-	// QueueLimit bounds those that wait; default 64.
+	// QueueLimit bounds the generations that wait for a slot; default 64.
 	QueueLimit int
-	// TokenInterval is the time a token takes; 0 sends without a wait.
+	// TokenInterval is the time between tokens; 0 sends them without delay.
 	TokenInterval time.Duration
-	// PrefillPerBlock is the time that a prompt block not in the cache takes.
+	// PrefillPerBlock is the prefill time for each prompt block that is not in the cache.
 	PrefillPerBlock time.Duration
 	// KeepAlive is the time between keep-alives; default 500 ms.
 	KeepAlive time.Duration
-	// WeightStore is the address to load weights from. Without one a load
-	// takes LoadTime.
+	// WeightStore is the address to load weights from. If it is empty, a load takes LoadTime.
 	WeightStore string
 	LoadTime    time.Duration
-	// Weights are the models whose weights the VM holds from the start.
+	// Weights are the models whose weights the VM has at the start.
 	Weights []string
 	// CacheBlocks bounds the prefix cache; default 4096 blocks.
 	CacheBlocks int
-	// CacheLag delays cache events; CacheGap loses each event whose sequence
-	// it divides; 0 loses none.
+	// CacheLag delays cache events. CacheGap drops each event whose sequence number is a
+	// multiple of it; 0 drops none.
 	CacheLag time.Duration
 	CacheGap uint64
-	// MemberInterval is the time between the heartbeats of a group's members;
-	// default 100 ms. Past MemberTimeout without one the member is missing
-	// and the group's streams stall; default 500 ms. Past GroupTimeout the
-	// group has failed; default 2 s.
+	// MemberInterval is the time between heartbeats of a group's members; default 100 ms. After
+	// MemberTimeout without a heartbeat a member counts as missing and the group's streams
+	// stall; default 500 ms. After GroupTimeout with a missing member the group has failed;
+	// default 2 s.
 	MemberInterval time.Duration
 	MemberTimeout  time.Duration
 	GroupTimeout   time.Duration
@@ -130,14 +129,14 @@
 	return o
 }
 
-// ServiceOptions are the settings of a plain service.
+// ServiceOptions holds the settings of a plain service.
 type ServiceOptions struct {
 	Common
-	// Name is the service's name, under which callers call it.
+	// Name is the name under which callers call the service.
 	Name string
-	// Slots bounds the calls that run at once; default 64.
+	// Slots bounds the calls that run at the same time; default 64.
 	Slots int
-	// CallTime is how long a call takes.
+	// CallTime is the duration of a call.
 	CallTime time.Duration
 }
 
@@ -149,11 +148,11 @@
 	return o
 }
 
-// WeightStoreOptions are the settings of the weight store.
+// WeightStoreOptions holds the settings of the weight store.
 type WeightStoreOptions struct {
 	// Listen is the address to listen on; default 127.0.0.1:0.
 	Listen string
-	// BytesPerSecond bounds all loads together; default 64 MiB.
+	// BytesPerSecond bounds the total rate of all loads; default 64 MiB.
 	BytesPerSecond int
 	// ModelBytes is the size of each model; default 4 MiB.
 	ModelBytes int
--- a/internal/standin/prefix_cache.go
+++ b/internal/standin/prefix_cache.go
@@ -8,11 +8,11 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// maxCacheEvents bounds the events of one announcement.
+// maxCacheEvents bounds the cache events in one announcement.
 const maxCacheEvents = 64
 
-// prefixCache is an engine's cache of prompt prefixes, least recently used
-// out first. Its events come late, and some never.
+// prefixCache is an engine's LRU cache of prompt prefixes. It reports its events with a delay
+// of lag and drops every lossStride-th one.
 type prefixCache struct {
 	limit      int
 	lag        time.Duration
@@ -40,7 +40,7 @@
 	}
 }
 
-// take puts a prompt's blocks into the cache and returns how many were new.
+// insert adds the blocks of a prompt to the cache and returns the number of new ones.
 func (c *prefixCache) insert(blocks []uint64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +73,7 @@
 	c.events = append(c.events, timedEvent{at: time.Now(), event: event})
 }
 
-// due returns the events that are old enough, and forgets them.
+// due removes and returns the events that are at least lag old, up to maxCacheEvents.
 func (c *prefixCache) due(now time.Time) []backend.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/running_set.go
+++ b/internal/standin/running_set.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// maxClosedAttempts bounds the attempts remembered as cancelled before they came.
+// maxClosedAttempts bounds the number of ended or cancelled attempts that are remembered.
 const maxClosedAttempts = 1024
 
-// runningSet holds the generations that an engine has taken, and the cancels
-// that overtook their generation.
+// runningSet holds the generations in progress, and remembers attempts that ended or that were
+// cancelled before their generation arrived.
 type runningSet struct {
 	mu          sync.Mutex
 	byAttempt   map[string]*generationInProgress
@@ -26,7 +26,7 @@
 	return &runningSet{byAttempt: map[string]*generationInProgress{}, closed: map[string]bool{}}
 }
 
-// add takes a generation, unless its attempt is known or already cancelled.
+// add adds a generation. It returns false if the attempt is already known or was cancelled.
 func (r *runningSet) add(attempt string, tokens int, cancel context.CancelCauseFunc) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,7 +44,7 @@
 	r.markClosed(attempt)
 }
 
-// remember is called with mu held.
+// markClosed remembers an attempt as ended or cancelled. The caller holds r.mu.
 func (r *runningSet) markClosed(attempt string) {
 	if r.closed[attempt] {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// stop cancels an attempt, also one that has yet to come.
+// stop cancels an attempt, even if its generation has not arrived yet.
 func (r *runningSet) stop(attempt string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +76,8 @@
 	r.markClosed(attempt)
 }
 
-// totals returns the number of generations and of the tokens still to come.
+// totals returns the number of generations in progress and the number of tokens that they have
+// yet to send.
 func (r *runningSet) totals() (count, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,7 +87,8 @@
 	return len(r.byAttempt), tokens
 }
 
-// others returns the id of another attempt under way, if there is one.
+// otherAttempt returns the id of another attempt in progress, or an invented id if there is
+// none.
 func (r *runningSet) otherAttempt(attempt string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/runs.go
+++ b/internal/standin/runs.go
@@ -7,11 +7,10 @@
 	"time"
 )
 
-// Outcome is how a run ended.
+// Outcome describes how a run ended.
 type Outcome string
 
-// The outcomes. A run without outcome is still under way, or its process was
-// killed.
+// The outcomes. A run without an outcome is still in progress, or its process was killed.
 const (
 	OutcomeFinished  Outcome = "finished"
 	OutcomeCancelled Outcome = "cancelled"
@@ -20,13 +19,13 @@
 	OutcomeLost      Outcome = "group lost"
 )
 
-// Run is one request that a stand-in began to work on.
+// Run is one request that a stand-in started to process.
 type Run struct {
 	Server      string `json:"server"`
 	Incarnation string `json:"incarnation"`
 	Attempt     string `json:"attempt"`
 	Request     string `json:"request,omitempty"`
-	// Work is the prompt of a generation, or the hash of a call's body.
+	// Work is the prompt of a generation or the hash of a call's body.
 	Work     string    `json:"work"`
 	Method   string    `json:"method,omitempty"`
 	Path     string    `json:"path,omitempty"`
@@ -39,19 +38,19 @@
 	Outcome  Outcome   `json:"outcome,omitempty"`
 }
 
-// Recorder keeps the runs of one or more stand-ins. It outlives their crashes,
-// and it can write each start and finish to a file that outlives the process.
+// Recorder stores the runs of one or more stand-ins. It survives their simulated crashes, and
+// can write each start and end to a file that survives the process.
 type Recorder struct {
 	mu   sync.Mutex
 	runs []Run
 	sink io.Writer
 }
 
-// NewRecorder returns a recorder that also writes each change as a JSON line
-// to sink, which may be nil.
+// NewRecorder returns a recorder that also writes each start and end as a JSON line to sink,
+// which may be nil.
 func NewRecorder(sink io.Writer) *Recorder { return &Recorder{sink: sink} }
 
-// begin records a start and returns the run's number.
+// begin records the start of a run and returns the index of the run.
 func (r *Recorder) begin(run Run) int {
 	run.Started = time.Now()
 	r.mu.Lock()
@@ -78,7 +77,7 @@
 	_ = json.NewEncoder(r.sink).Encode(run)
 }
 
-// Runs returns a copy of all runs in the order of their starts.
+// Runs returns a copy of all runs, ordered by start.
 func (r *Recorder) Runs() []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/scheduler.go
+++ b/internal/standin/scheduler.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// scheduler gives an engine's slots to generations: the highest priority
-// first, and within one priority the first come.
+// scheduler assigns an engine's slots to generations: highest priority first, and in order of
+// arrival within one priority.
 type scheduler struct {
 	mu      sync.Mutex
 	free    int
@@ -11,7 +11,8 @@
 	waiting []*ticket
 }
 
-// ticket is a slot in the queue. ready is closed when it gets a slot.
+// ticket is a generation that waits for a slot or has one. ready is closed when it gets the
+// slot.
 type ticket struct {
 	priority int
 	ready    chan struct{}
@@ -21,7 +22,7 @@
 	return &scheduler{free: slots, limit: limit}
 }
 
-// enter returns a ticket, or nil when the queue is full.
+// enter returns a ticket, or nil if the queue is full.
 func (s *scheduler) enter(priority int) *ticket {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +49,7 @@
 	s.waiting[at] = t
 }
 
-// leave gives back the ticket's slot, or its slot in the queue.
+// leave releases the slot of a ticket, or removes the ticket from the queue.
 func (s *scheduler) leave(t *ticket) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -28,19 +28,19 @@
 	running atomic.Int64
 }
 
-// ServiceEcho is the body of a plain service's answer.
+// ServiceEcho is the body of a plain service's response.
 type ServiceEcho struct {
 	Service  string `json:"service"`
 	Instance string `json:"instance"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
-	// BodyHash is BodyHash of the call's body.
+	// BodyHash is the BodyHash of the call's body.
 	BodyHash string `json:"body_hash"`
-	// Run is how often this instance has run a call with this body.
+	// Run is the number of times that this instance has run a call with this body.
 	Run int `json:"run"`
 }
 
-// BodyHash is the hash under which a plain service records a call's body.
+// BodyHash returns the hash under which a plain service records a call's body.
 func BodyHash(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
@@ -137,7 +137,7 @@
 	s.reply(w, r, hash, fault)
 }
 
-// work takes the call's time.
+// simulateWork waits for the duration of the call. It returns false if ctx ends first.
 func (s *Service) simulateWork(ctx context.Context, fault StreamFaults) bool {
 	wait := s.faults.scale(s.options.CallTime)
 	if fault.Kind == StreamLate {
@@ -176,7 +176,7 @@
 	return s.runs[hash]
 }
 
-// notStarted says that the call was not started.
+// refuseCall sends a response that states that the call was not started.
 func refuseCall(w http.ResponseWriter, status int) {
 	w.Header().Set(backend.HeaderStarted, backend.StartedNo)
 	http.Error(w, "call not started", status)
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeEntry takes announcements and keeps the newest of each stand-in.
+// fakeEntry accepts announcements and keeps the newest one of each stand-in.
 type fakeEntry struct {
 	mu     sync.Mutex
 	newest map[string]backend.Announcement
@@ -74,7 +74,7 @@
 	return c
 }
 
-// form orders the engines into one group and waits until it serves.
+// form orders the engines to form one group and waits until the group serves.
 func form(t *testing.T, c backend.Client, epoch uint64, engines ...*Engine) {
 	t.Helper()
 	var members []backend.GroupMember
@@ -102,7 +102,7 @@
 	}
 }
 
-// read returns the events of an answer and the error that ended it.
+// read returns the tokens of an answer and the error that ended it.
 func read(t *testing.T, c backend.Client, e *Engine, g backend.Generation) ([]backend.Token, error) {
 	t.Helper()
 	s, err := c.Generate(t.Context(), e.Address(), g)
@@ -153,11 +153,11 @@
 	assert.Equal(t, tokens[0].Offset, 5)
 
 	assert.Equal(t, len(head.Runs()), 2)
-	// The engine records the end of a run after it sent the end mark.
+	// The engine records the end of a run after it has sent the end mark.
 	await(t, "recorded as finished", func() bool { return head.Runs()[1].Outcome == OutcomeFinished })
 }
 
-func TestRefusesWhatItDoesNotServe(t *testing.T) {
+func TestRefusesGenerationsItDoesNotServe(t *testing.T) {
 	c := newClient(t)
 	head := startEngine(t, EngineOptions{Common: Common{ID: "vm-0"}})
 	member := startEngine(t, EngineOptions{Common: Common{ID: "vm-1"}})
@@ -199,10 +199,10 @@
 	await(t, "run ends", func() bool { return e.Runs()[0].Outcome == OutcomeCancelled })
 }
 
-// A replica of two VMs answers until one VM's process dies. Its streams stall
-// and then break, though the head itself is well; the head names the member it
-// lost, and refuses new work as not started.
-func TestLostMemberKillsTheGroup(t *testing.T) {
+// The process on one of two VMs of a replica dies. The streams of the replica must stall and
+// then break although the head is healthy. The head must announce the missing member and refuse
+// new work as not started.
+func TestLostMemberFailsTheGroup(t *testing.T) {
 	entry, address := newEntry(t)
 	c := newClient(t)
 	options := EngineOptions{
@@ -261,7 +261,7 @@
 	})
 }
 
-func TestCrashMarkerEndsTheIncarnation(t *testing.T) {
+func TestCrashMarkerStartsNewIncarnation(t *testing.T) {
 	c := newClient(t)
 	e := startEngine(t, EngineOptions{Common: Common{
 		ID: "vm-0", Faults: Faults{CrashMarker: "boom"}, RestartAfter: time.Millisecond,
@@ -305,9 +305,8 @@
 	}
 }
 
-// Requests on pooled connections hang while new connections work at once: the
-// stand-in's open connections have gone silent.
-func TestSilenceHoldsOpenConnectionsOnly(t *testing.T) {
+// Silence must block requests on pooled connections while requests on new connections succeed.
+func TestSilenceAffectsOpenConnectionsOnly(t *testing.T) {
 	c := newClient(t)
 	e := startEngine(t, EngineOptions{Common: Common{ID: "vm-0"}})
 	form(t, c, 1, e)
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -11,13 +11,13 @@
 	"golang.org/x/time/rate"
 )
 
-// PathWeights is followed by the model's name.
+// PathWeights is the path of the weight store; the name of the model follows it.
 const PathWeights = "/weights/"
 
-// weightChunk is the grain of the rate limit in bytes.
+// weightChunk is the number of bytes served between two waits for the rate limit.
 const weightChunk = 32 << 10
 
-// WeightStore serves model weights to all engines under one rate limit.
+// WeightStore serves model weights to all engines under one common rate limit.
 type WeightStore struct {
 	options WeightStoreOptions
 	server  *server
@@ -44,13 +44,13 @@
 	return s, nil
 }
 
-// Address returns the address that engines load from.
+// Address returns the address from which engines load weights.
 func (s *WeightStore) Address() string { return s.server.addr() }
 
-// Loads returns how many loads it has served whole.
+// Loads returns the number of completed loads.
 func (s *WeightStore) Loads() int64 { return s.served.Load() }
 
-// Close ends the store and all loads under way.
+// Close stops the store and interrupts all loads.
 func (s *WeightStore) Close() {
 	s.cancel()
 	s.server.kill()
@@ -72,7 +72,7 @@
 	s.served.Add(1)
 }
 
-// fetchWeights loads a model's weights and throws them away.
+// fetchWeights loads the weights of a model and discards them.
 func fetchWeights(ctx context.Context, store, model string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+store+PathWeights+model, nil)
 	if err != nil {
