--- a/internal/tool/apply.go
+++ b/internal/tool/apply.go
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// initWithRetry sends the init request until it succeeds, fails for good, or the timeout
+// initWithRetry sends the init request until it succeeds, fails permanently, or the timeout
 // passes.
 //
 // While a control process can't ask every other process whether that process already belongs to
--- a/internal/tool/drain.go
+++ b/internal/tool/drain.go
@@ -30,9 +30,9 @@
 		summary:   "Take a VM or a serving group out of service without interrupting requests",
 		details: `A replacement forms first if there are enough free VMs. Then the group gets no new
 requests, requests in flight finish, and the group is released. Prints progress and
-returns when the drain is complete, after at most -done-wait. Draining a VM drains
-its whole group, because a group serves only with all its members. For a group, NAME is the group (all its replicas)
-or one replica, such as memos-0. Drains last until undrain.
+returns when the drain is complete, or after -done-wait. Draining a VM drains its
+whole group, because a group serves only with all its members. For a group, NAME is
+the group (all its replicas) or one replica, such as memos-0. Drains last until undrain.
 
 Example: citronstep drain vm engine-07
 `,
--- a/internal/tool/events.go
+++ b/internal/tool/events.go
@@ -17,8 +17,8 @@
 	return command{
 		name:    "events",
 		summary: "Show recent events of groups, VMs, entries and the configuration",
-		details: `The leader keeps recent events in memory. A new leader starts with an empty list and
-sequence number 1. With -json, prints one object per line.
+		details: `The leader keeps recent events. A new leader starts with an empty list and sequence
+number 1. With -json, prints one object per line.
 
 Example: citronstep events -follow -kind group
 `,
