--- a/internal/loadgen/exchange.go
+++ b/internal/loadgen/exchange.go
@@ -30,8 +30,8 @@
 	// reportedTokens is the token count that the answer states; -1 if it states none.
 	reportedTokens int
 	finish         string
-	// isComplete is set when the end mark of the stream arrived, hasDataAfterEnd when data
-	// followed it.
+	// isComplete is set when the complete answer arrived; for a stream, when its end mark
+	// arrived. hasDataAfterEnd is set when data followed the end mark.
 	isComplete, hasDataAfterEnd bool
 	// isMalformed is set when a part does not conform to the API.
 	isMalformed bool
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -31,8 +31,9 @@
 	// refusal is the type of the final refusal; empty if the request ended otherwise.
 	refusal failure.Type
 	ran     failure.Ran
-	tries   int
-	tokens  int
+	// tries counts the attempts, the first one included.
+	tries  int
+	tokens int
 	// first is the time to the first token and whole the time to the end, both from when the
 	// request was due; gaps are the times between tokens.
 	first, whole time.Duration
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -87,9 +87,10 @@
 
 // faultState holds the active faults.
 type faultState struct {
-	mu            sync.Mutex
-	faults        Faults
-	rateLimit     float64
+	mu        sync.Mutex
+	faults    Faults
+	rateLimit float64
+	// faultyAnswers counts the answers that got the fault of Faults.Stream.
 	faultyAnswers int
 }
 
--- a/internal/standin/membership.go
+++ b/internal/standin/membership.go
@@ -33,11 +33,13 @@
 	brokenSince time.Time
 }
 
+// peer is what the engine knows of another member from its heartbeats.
 type peer struct {
 	lastReceived time.Time
 	incarnation  string
 	ready        bool
-	replaced     bool
+	// replaced is set once the peer has restarted as another incarnation.
+	replaced bool
 }
 
 func (e *Engine) newMembership(s *engineState, o backend.Order) *membership {
--- a/internal/standin/prefix_cache.go
+++ b/internal/standin/prefix_cache.go
@@ -14,8 +14,9 @@
 // prefixCache is an engine's LRU cache of prompt prefixes. It reports its events with a delay
 // of lag and drops every lossStride-th one.
 type prefixCache struct {
-	limit      int
-	lag        time.Duration
+	limit int
+	lag   time.Duration
+	// lossStride drops each event whose sequence number is a multiple of it; 0 drops none.
 	lossStride uint64
 
 	mu       sync.Mutex
--- a/internal/standin/running_set.go
+++ b/internal/standin/running_set.go
@@ -37,6 +37,7 @@
 	return true
 }
 
+// remove removes a generation that has ended, and remembers its attempt.
 func (r *runningSet) remove(attempt string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,11 +58,12 @@
 	}
 }
 
+// progress sets the number of tokens that a generation has yet to send.
 func (r *runningSet) progress(attempt string, left int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if one := r.byAttempt[attempt]; one != nil {
-		one.tokensLeft = left
+	if g := r.byAttempt[attempt]; g != nil {
+		g.tokensLeft = left
 	}
 }
 
@@ -69,8 +71,8 @@
 func (r *runningSet) stop(attempt string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if one := r.byAttempt[attempt]; one != nil {
-		one.cancel(errCancelled)
+	if g := r.byAttempt[attempt]; g != nil {
+		g.cancel(errCancelled)
 		return
 	}
 	r.markClosed(attempt)
@@ -81,8 +83,8 @@
 func (r *runningSet) totals() (count, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, one := range r.byAttempt {
-		tokens += one.tokensLeft
+	for _, g := range r.byAttempt {
+		tokens += g.tokensLeft
 	}
 	return len(r.byAttempt), tokens
 }
--- a/internal/standin/scheduler.go
+++ b/internal/standin/scheduler.go
@@ -5,9 +5,10 @@
 // scheduler assigns an engine's slots to generations: highest priority first, and in order of
 // arrival within one priority.
 type scheduler struct {
-	mu      sync.Mutex
-	free    int
-	limit   int
+	mu    sync.Mutex
+	free  int
+	limit int
+	// waiting is sorted by descending priority, then by arrival.
 	waiting []*ticket
 }
 
