--- a/internal/standin/prefix_cache.go
+++ b/internal/standin/prefix_cache.go
@@ -8,40 +8,41 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// maxCacheEvents bounds the events of one announcement.
+// maxCacheEvents bounds the cache events in one announcement.
 const maxCacheEvents = 64
 
-// prefixCache is an engine's cache of prompt prefixes, least recently used
-// out first. Its events come late, and some never.
+// prefixCache is an engine's LRU cache of prompt prefixes. It reports its events with a delay
+// of lag and drops every lossStride-th one.
 type prefixCache struct {
 	limit int
 	lag   time.Duration
-	gap   uint64
+	// lossStride drops each event whose sequence number is a multiple of it; 0 drops none.
+	lossStride uint64
 
 	mu       sync.Mutex
 	order    *list.List
 	blocks   map[uint64]*list.Element
 	sequence uint64
-	events   []datedEvent
+	events   []timedEvent
 }
 
-type datedEvent struct {
+type timedEvent struct {
 	at    time.Time
 	event backend.CacheEvent
 }
 
 func newPrefixCache(o EngineOptions) *prefixCache {
 	return &prefixCache{
-		limit:  o.CacheBlocks,
-		lag:    o.CacheLag,
-		gap:    o.CacheGap,
-		order:  list.New(),
-		blocks: map[uint64]*list.Element{},
+		limit:      o.CacheBlocks,
+		lag:        o.CacheLag,
+		lossStride: o.CacheGap,
+		order:      list.New(),
+		blocks:     map[uint64]*list.Element{},
 	}
 }
 
-// take puts a prompt's blocks into the cache and returns how many were new.
-func (c *prefixCache) take(blocks []uint64) int {
+// insert adds the blocks of a prompt to the cache and returns the number of new ones.
+func (c *prefixCache) insert(blocks []uint64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var added, removed []uint64
@@ -66,14 +67,14 @@
 
 func (c *prefixCache) record(added, removed []uint64) {
 	c.sequence++
-	if c.gap > 0 && c.sequence%c.gap == 0 {
+	if c.lossStride > 0 && c.sequence%c.lossStride == 0 {
 		return
 	}
 	event := backend.CacheEvent{Sequence: c.sequence, Added: added, Removed: removed}
-	c.events = append(c.events, datedEvent{at: time.Now(), event: event})
+	c.events = append(c.events, timedEvent{at: time.Now(), event: event})
 }
 
-// due returns the events that are old enough, and forgets them.
+// due removes and returns the events that are at least lag old, up to maxCacheEvents.
 func (c *prefixCache) due(now time.Time) []backend.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -28,19 +28,19 @@
 	running atomic.Int64
 }
 
-// ServiceEcho is the body of a plain service's answer.
+// ServiceEcho is the body of a plain service's response.
 type ServiceEcho struct {
 	Service  string `json:"service"`
 	Instance string `json:"instance"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
-	// BodyHash is BodyHash of the call's body.
+	// BodyHash is the BodyHash of the call's body.
 	BodyHash string `json:"body_hash"`
-	// Run is how often this instance has run a call with this body.
+	// Run is the number of times that this instance has run a call with this body.
 	Run int `json:"run"`
 }
 
-// BodyHash is the hash under which a plain service records a call's body.
+// BodyHash returns the hash under which a plain service records a call's body.
 func BodyHash(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
@@ -56,8 +56,8 @@
 		runs:    map[string]int{},
 	}
 	s.host = newHost(ctx, o.Common, s.routes())
-	s.born = func(*life) {}
-	s.message = s.announce
+	s.onStart = func(*incarnation) {}
+	s.newAnnouncement = s.announce
 	if err := s.start(); err != nil {
 		s.cancel()
 		return nil, errors.Trace(err)
@@ -73,7 +73,7 @@
 	return mux
 }
 
-func (s *Service) announce(*life) *backend.Announcement {
+func (s *Service) announce(*incarnation) *backend.Announcement {
 	running := int(s.running.Load())
 	return &backend.Announcement{
 		Kind:    backend.KindService,
@@ -83,18 +83,18 @@
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBodyBytes))
 	if err != nil {
-		notStarted(w, http.StatusBadRequest)
+		refuseCall(w, http.StatusBadRequest)
 		return
 	}
 	if !s.authorised(r) {
-		notStarted(w, http.StatusUnauthorized)
+		refuseCall(w, http.StatusUnauthorized)
 		return
 	}
 	s.faults.nameRateLimit(w.Header())
 	if s.faults.get().FullQueue || !s.enter() {
-		notStarted(w, http.StatusServiceUnavailable)
+		refuseCall(w, http.StatusServiceUnavailable)
 		return
 	}
 	defer s.leave()
@@ -128,7 +128,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	fault := s.faults.takeStream(string(body))
-	finished := s.work(r.Context(), fault)
+	finished := s.simulateWork(r.Context(), fault)
 	if !finished {
 		s.common.Recorder.end(number, 0, OutcomeCut)
 		panic(http.ErrAbortHandler)
@@ -137,8 +137,8 @@
 	s.reply(w, r, hash, fault)
 }
 
-// work takes the call's time.
-func (s *Service) work(ctx context.Context, fault StreamFaults) bool {
+// simulateWork waits for the duration of the call. It returns false if ctx ends first.
+func (s *Service) simulateWork(ctx context.Context, fault StreamFaults) bool {
 	wait := s.faults.scale(s.options.CallTime)
 	if fault.Kind == StreamLate {
 		wait += time.Duration(fault.DelayMillis) * time.Millisecond
@@ -176,8 +176,8 @@
 	return s.runs[hash]
 }
 
-// notStarted says that the call was not started.
-func notStarted(w http.ResponseWriter, status int) {
+// refuseCall sends a response that states that the call was not started.
+func refuseCall(w http.ResponseWriter, status int) {
 	w.Header().Set(backend.HeaderStarted, backend.StartedNo)
 	http.Error(w, "call not started", status)
 }
--- a/internal/tool/evacuate.go
+++ b/internal/tool/evacuate.go
@@ -16,11 +16,12 @@
 	return command{
 		name:      "evacuate",
 		arguments: "[DATA_CENTRE]",
-		summary:   "Send nothing more to the backend servers of a data centre, or list such data centres",
-		details: `Groups and instances there get no new request and finish those that they have; groups
-are formed elsewhere as far as free VMs allow. What stands in the data centre stays
-for its return. Returns once the order is in force on all entries. Safe to send
-again. Without a name, lists the data centres that are evacuated.
+		summary:   "Stop sending requests to the backend servers of a data centre, or list evacuated data centres",
+		details: `Groups and instances in the data centre get no new requests and finish their current
+ones. Replacement groups form elsewhere if there are enough free VMs. Groups and
+instances in the data centre are kept until the evacuation ends. The command returns
+once the order is in force on all entries. It is safe to send again. Without a name,
+it lists the evacuated data centres.
 
 Example: citronstep evacuate hall-b
 `,
@@ -36,21 +37,21 @@
 		name:      "return",
 		arguments: "DATA_CENTRE",
 		summary:   "End the evacuation of a data centre",
-		details: `Its backend servers get requests again, at first no more than their service states for
-cold ones, until they announce that they are not. Safe to send again.
+		details: `Its backend servers get requests again. Until a server announces that its slow start
+is over, it gets no more than its service allows for cold servers. Safe to send again.
 
 Example: citronstep return hall-b
 `,
 		setup: func(*flag.FlagSet) func(*invocation) error {
 			return func(i *invocation) error {
-				if err := i.want(1); err != nil {
+				if err := i.requireArgs(1); err != nil {
 					return err
 				}
 				reply, err := i.setEvacuation(http.MethodDelete, i.args[0])
 				if err != nil || i.json {
 					return errors.Trace(err)
 				}
-				i.say("%s takes requests again, from board revision %d on", i.args[0], reply.Revision)
+				i.printf("%s takes requests again, from board revision %d on", i.args[0], reply.Revision)
 				return nil
 			}
 		},
@@ -61,7 +62,7 @@
 	if len(i.args) == 0 {
 		return i.listEvacuations()
 	}
-	if err := i.want(1); err != nil {
+	if err := i.requireArgs(1); err != nil {
 		return err
 	}
 	name := i.args[0]
@@ -74,9 +75,9 @@
 	switch {
 	case i.json:
 	case wait > 0:
-		i.say("%s gets no new requests from any entry", name)
+		i.printf("%s gets no new requests from any entry", name)
 	default:
-		i.say("the evacuation of %s is accepted", name)
+		i.printf("the evacuation of %s is accepted", name)
 	}
 	return nil
 }
@@ -100,7 +101,7 @@
 	return list, errors.Trace(err)
 }
 
-// awaitEvacuated polls until every entry holds the order or admits nothing.
+// awaitEvacuated polls until every entry either holds the order or admits no requests.
 func (i *invocation) awaitEvacuated(wait time.Duration, dataCentre string) error {
 	if wait <= 0 {
 		return nil
@@ -128,7 +129,7 @@
 		return i.printJSON(list)
 	}
 	if len(list.Evacuations) == 0 {
-		i.say("no data centre is evacuated")
+		i.printf("no data centre is evacuated")
 	}
 	for _, e := range list.Evacuations {
 		state := "in force"
@@ -136,7 +137,7 @@
 			state = "not yet in force on " + strings.Join(e.Pending, ", ")
 		}
 		since := time.UnixMilli(e.SinceMillis).UTC().Format(time.RFC3339)
-		i.say("%s  since %s, %s; %d groups and %d instances stand by", e.DataCentre, since, state, len(e.Groups), len(e.Services))
+		i.printf("%s  since %s, %s; %d groups and %d instances stand by", e.DataCentre, since, state, len(e.Groups), len(e.Services))
 	}
 	return nil
 }
