--- a/internal/loadgen/exchange.go
+++ b/internal/loadgen/exchange.go
@@ -16,34 +16,34 @@
 	"github.com/citronstep/citronstep/internal/failure"
 )
 
-// maxAnswer bounds what is read of one answer.
-const maxAnswer = 64 << 20
+// maxAnswerBytes bounds what is read of one answer.
+const maxAnswerBytes = 64 << 20
 
-// answer is what one request got, before it is judged.
+// answer is the response to one attempt, before it is checked.
 type answer struct {
 	status int
 	id     string
-	// mixed says that parts of one stream carried different ids.
-	mixed  bool
-	text   strings.Builder
-	tokens int
-	// reported is the token count that a whole answer states; -1 is none.
-	reported int
-	finish   string
-	// done says that the stream's end mark came, late that something came
-	// after it.
-	done, late bool
-	// malformed says that a part was not what the API promises.
-	malformed bool
-	refusal   *failure.Error
-	// retryAfter is what the refusal's header asked for; 0 is nothing.
+	// hasMixedIDs is set when parts of one stream carried different request ids.
+	hasMixedIDs bool
+	text        strings.Builder
+	tokens      int
+	// reportedTokens is the token count that the answer states; -1 if it states none.
+	reportedTokens int
+	finish         string
+	// isComplete is set when the complete answer arrived; for a stream, when its end mark
+	// arrived. hasDataAfterEnd is set when data followed the end mark.
+	isComplete, hasDataAfterEnd bool
+	// isMalformed is set when a part does not conform to the API.
+	isMalformed bool
+	refusal     *failure.Error
+	// retryAfter is the delay in the Retry-After header of a refusal; 0 if there is none.
 	retryAfter time.Duration
-	// cut is set when the connection ended before the answer did.
-	cut   error
-	times []time.Time
+	// connectionErr is set when the connection ended before the answer did.
+	connectionErr error
+	times         []time.Time
 }
 
-// completionPart is a whole answer, or one part of a stream.
+// completionPart is a complete answer or one event of a stream.
 type completionPart struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -56,22 +56,22 @@
 	Error *failure.Error `json:"error"`
 }
 
-// send carries out one try of a request.
+// send carries out one attempt of a request.
 func send(ctx context.Context, client *http.Client, f Flow, r request) *answer {
-	a := &answer{reported: -1}
+	a := &answer{reportedTokens: -1}
 	httpRequest, err := newHTTPRequest(ctx, f, r)
 	if err != nil {
-		a.cut = errors.Trace(err)
+		a.connectionErr = errors.Trace(err)
 		return a
 	}
 	response, err := client.Do(httpRequest)
 	if err != nil {
-		a.cut = errors.Trace(err)
+		a.connectionErr = errors.Trace(err)
 		return a
 	}
 	defer func() { _ = response.Body.Close() }()
 	a.status = response.StatusCode
-	body := io.LimitReader(response.Body, maxAnswer)
+	body := io.LimitReader(response.Body, maxAnswerBytes)
 	switch {
 	case f.Service != "":
 		a.readService(response, body)
@@ -80,7 +80,7 @@
 	case strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream"):
 		a.readStream(body)
 	default:
-		a.readWhole(body)
+		a.readCompletion(body)
 	}
 	return a
 }
@@ -118,15 +118,16 @@
 	return httpRequest, nil
 }
 
+// readRefusal reads a typed failure and the Retry-After header.
 func (a *answer) readRefusal(response *http.Response, body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		a.cut = errors.Trace(err)
+		a.connectionErr = errors.Trace(err)
 		return
 	}
 	var refusal failure.Body
 	if err := json.Unmarshal(data, &refusal); err != nil || refusal.Error == nil {
-		a.malformed = true
+		a.isMalformed = true
 		return
 	}
 	a.refusal = refusal.Error
@@ -135,12 +136,12 @@
 	}
 }
 
-// readService reads a plain service's answer; what the service itself
-// refuses counts as its answer.
+// readService reads the answer of a plain service. A refusal by the service itself counts as
+// its answer; a typed failure in the body counts as a refusal by the entry.
 func (a *answer) readService(response *http.Response, body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		a.cut = errors.Trace(err)
+		a.connectionErr = errors.Trace(err)
 		return
 	}
 	var refusal failure.Body
@@ -150,22 +151,22 @@
 	}
 	a.times = append(a.times, time.Now())
 	a.text.Write(data)
-	a.done = true
+	a.isComplete = true
 }
 
-func (a *answer) readWhole(body io.Reader) {
+func (a *answer) readCompletion(body io.Reader) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		a.cut = errors.Trace(err)
+		a.connectionErr = errors.Trace(err)
 		return
 	}
 	a.times = append(a.times, time.Now())
-	a.take(data)
-	a.done = true
+	a.addPart(data)
+	a.isComplete = true
 }
 
-// readStream reads server-sent events up to the end of the connection, past
-// the end mark, so that whatever comes after it is seen.
+// readStream reads server-sent events until the connection ends. It reads past the end mark, to
+// detect data after it.
 func (a *answer) readStream(body io.Reader) {
 	const longestLine = 1 << 20
 	lines := bufio.NewScanner(body)
@@ -174,23 +175,24 @@
 		data, isData := strings.CutPrefix(lines.Text(), "data: ")
 		switch {
 		case !isData:
-		case a.done:
-			a.late = true
+		case a.isComplete:
+			a.hasDataAfterEnd = true
 		case data == "[DONE]":
-			a.done = true
+			a.isComplete = true
 		default:
-			a.take([]byte(data))
+			a.addPart([]byte(data))
 		}
 	}
-	if err := lines.Err(); err != nil && !a.done {
-		a.cut = errors.Trace(err)
+	if err := lines.Err(); err != nil && !a.isComplete {
+		a.connectionErr = errors.Trace(err)
 	}
 }
 
-func (a *answer) take(data []byte) {
+// addPart adds a complete answer or one event of a stream.
+func (a *answer) addPart(data []byte) {
 	var part completionPart
 	if err := json.Unmarshal(data, &part); err != nil {
-		a.malformed = true
+		a.isMalformed = true
 		return
 	}
 	if part.Error != nil {
@@ -198,10 +200,10 @@
 		return
 	}
 	if len(part.Choices) != 1 {
-		a.malformed = true
+		a.isMalformed = true
 		return
 	}
-	a.mixed = a.mixed || (a.id != "" && a.id != part.ID)
+	a.hasMixedIDs = a.hasMixedIDs || (a.id != "" && a.id != part.ID)
 	a.id = part.ID
 	choice := part.Choices[0]
 	if choice.Text != "" {
@@ -213,6 +215,6 @@
 		a.finish = *choice.FinishReason
 	}
 	if part.Usage != nil {
-		a.reported = part.Usage.CompletionTokens
+		a.reportedTokens = part.Usage.CompletionTokens
 	}
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -18,12 +18,12 @@
 	"github.com/citronstep/citronstep/internal/standin"
 )
 
-// fakeEntry answers completions as an entry does; spoil may answer instead.
+// fakeEntry answers completions as an entry does; override, if set, may answer instead.
 type fakeEntry struct {
 	*httptest.Server
-	mu    sync.Mutex
-	keys  map[string]int
-	spoil func(w http.ResponseWriter, try int, prompt string, maxTokens int) bool
+	mu       sync.Mutex
+	keys     map[string]int
+	override func(w http.ResponseWriter, try int, prompt string, maxTokens int) bool
 }
 
 func newFakeEntry(t *testing.T) *fakeEntry {
@@ -44,7 +44,7 @@
 	f.keys[key]++
 	try := f.keys[key]
 	f.mu.Unlock()
-	if f.spoil != nil && f.spoil(w, try, body.Prompt, body.MaxTokens) {
+	if f.override != nil && f.override(w, try, body.Prompt, body.MaxTokens) {
 		return
 	}
 	stream(w, key, body.Prompt, body.MaxTokens, true)
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestWholeAnswersPass(t *testing.T) {
+func TestCompleteAnswersAreOK(t *testing.T) {
 	f := newFakeEntry(t)
 	r, err := Run(context.Background(), f.plan())
 	assert.NilError(t, err)
@@ -84,7 +84,7 @@
 	assert.Equal(t, r.Total.BetweenTokens.Count, int64(r.Total.Tokens-40))
 }
 
-func TestOpenLoopSendsAllThatIsDue(t *testing.T) {
+func TestOpenLoopSendsAllRequests(t *testing.T) {
 	f := newFakeEntry(t)
 	p := f.plan()
 	p.Rate = 2000
@@ -93,14 +93,12 @@
 	assert.Equal(t, r.Total.Verdicts[string(OK)], 40)
 }
 
-// Each way in which a wrong answer could pass for a right one: a caller would
-// see a memo that ends early, that continues into its own copy, or that is the
-// answer to someone else's request. The check must name each, or it proves
-// nothing about the system.
-func TestBrokenAnswersAreNamed(t *testing.T) {
+// Each case is a wrong answer that could pass for a right one: it ends early, repeats itself,
+// or belongs to another request. The check must return the verdict for each of them.
+func TestWrongAnswersGetTheirVerdict(t *testing.T) {
 	cases := map[string]struct {
-		spoil func(w http.ResponseWriter, try int, prompt string, maxTokens int) bool
-		want  Verdict
+		override func(w http.ResponseWriter, try int, prompt string, maxTokens int) bool
+		want     Verdict
 	}{
 		"stops early, yet ends": {func(w http.ResponseWriter, _ int, p string, n int) bool {
 			stream(w, p, p, n-1, true)
@@ -135,25 +133,25 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFakeEntry(t)
-			f.spoil = c.spoil
+			f.override = c.override
 			p := f.plan()
 			p.Flows[0].MaxTokens, p.Retries = 8, 0
 			p.Flows, p.Count = p.Flows[:1], 2
 			r, err := Run(context.Background(), p)
 			assert.NilError(t, err)
-			// The first of two requests with one id is not doubled yet.
+			// The first of two requests with the same id is not doubled yet.
 			assert.Assert(t, r.Total.Verdicts[string(c.want)] >= 1, "%v", r.Total.Verdicts)
 			assert.Equal(t, r.Broken > 0, c.want.Broken())
 		})
 	}
 }
 
-// A connection is cut in mid-answer, as when an entry dies. The caller sends
-// the request again under the same key and gets the whole answer; the report
-// must not count the cut try as an answer.
-func TestCutAnswerIsSentAgainUnderItsKey(t *testing.T) {
+// A connection is closed in the middle of an answer, as when an entry crashes. The caller sends
+// the request again with the same key and gets the complete answer. The report must not count
+// the interrupted attempt as an answer.
+func TestCutRequestIsRetriedWithSameKey(t *testing.T) {
 	f := newFakeEntry(t)
-	f.spoil = func(w http.ResponseWriter, try int, p string, n int) bool {
+	f.override = func(w http.ResponseWriter, try int, p string, n int) bool {
 		if try == 1 {
 			stream(w, p, p, n-1, false)
 		}
@@ -168,8 +166,8 @@
 	assert.Equal(t, len(f.keys), 3)
 }
 
-// A storm of callers that come back at once, or all at the same moment, makes
-// an overload last. Retry-After is a lower bound, with a spread above it.
+// Callers that retry at once, or all at the same moment, prolong an overload. Retry-After must
+// be a lower bound, with jitter added to it.
 func TestRetryAfterIsALowerBound(t *testing.T) {
 	a := &answer{refusal: failure.New(failure.TypeOverloaded, ""), retryAfter: 3 * time.Second}
 	for range 100 {
@@ -181,9 +179,9 @@
 	assert.Assert(t, !again, "a refusal without Retry-After is final")
 }
 
-func TestFinalRefusalIsCountedWithWhatItSays(t *testing.T) {
+func TestFinalRefusalIsCountedByTypeAndRan(t *testing.T) {
 	f := newFakeEntry(t)
-	f.spoil = func(w http.ResponseWriter, _ int, _ string, _ int) bool {
+	f.override = func(w http.ResponseWriter, _ int, _ string, _ int) bool {
 		failure.Write(w, failure.New(failure.TypeUnknownModel, "no such model").WithRan(failure.RanNo))
 		return true
 	}
@@ -196,7 +194,7 @@
 func TestSameSeedDrawsTheSameRequests(t *testing.T) {
 	p := newFakeEntry(t).plan()
 	p.Rate = 10
-	a, b := newDrawer(p), newDrawer(p)
+	a, b := newRequestSource(p), newRequestSource(p)
 	for range p.Count {
 		x, _ := a.draw()
 		y, _ := b.draw()
@@ -207,8 +205,8 @@
 	assert.Assert(t, !more)
 }
 
-func TestPlanIsRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*Plan){
+func TestInvalidPlanIsRefused(t *testing.T) {
+	for name, override := range map[string]func(*Plan){
 		"remote target": func(p *Plan) { p.Targets = []string{"10.0.0.1:8080"} },
 		"host name":     func(p *Plan) { p.Targets = []string{"localhost:8080"} },
 		"no bound":      func(p *Plan) { p.Count = 0 },
@@ -217,7 +215,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newFakeEntry(t).plan()
-			spoil(p)
+			override(p)
 			assert.Assert(t, errors.Is(p.Check(), ErrPlan))
 		})
 	}
--- a/internal/loadgen/draw.go
+++ b/internal/loadgen/request_source.go
@@ -7,38 +7,37 @@
 	"time"
 )
 
-// request is one request as it was drawn. Nothing in it depends on what the
-// system answers.
+// request is one randomly generated request. It does not depend on the answers of the system.
 type request struct {
 	number int
 	flow   int
-	// target is set for each try.
+	// target is set anew for each attempt.
 	target    string
 	marker    string
 	prompt    string
 	maxTokens int
-	// wait is the time since the request before it, in an open loop.
+	// wait is the time after the previous request was due; open loop only.
 	wait time.Duration
 }
 
-// drawer draws the requests of a plan in their order.
-type drawer struct {
+// requestSource generates the requests of a plan in order, from the plan's seed.
+type requestSource struct {
 	plan    *Plan
 	random  *rand.Rand
 	weights int
 	next    int
 }
 
-func newDrawer(p *Plan) *drawer {
-	d := &drawer{plan: p, random: rand.New(rand.NewPCG(p.Seed, 0))}
+func newRequestSource(p *Plan) *requestSource {
+	d := &requestSource{plan: p, random: rand.New(rand.NewPCG(p.Seed, 0))}
 	for _, f := range p.Flows {
 		d.weights += f.Weight
 	}
 	return d
 }
 
-// draw returns the next request, or false past the plan's count.
-func (d *drawer) draw() (request, bool) {
+// draw returns the next request, or false when the plan's count is reached.
+func (d *requestSource) draw() (request, bool) {
 	if d.next >= d.plan.Count {
 		return request{}, false
 	}
@@ -49,7 +48,7 @@
 	}
 	f := d.plan.Flows[r.flow]
 	r.prompt = d.prompt(f, r.marker)
-	r.maxTokens = d.around(f.MaxTokens)
+	r.maxTokens = d.drawAround(f.MaxTokens)
 	if d.plan.Rate > 0 {
 		r.wait = time.Duration(d.random.ExpFloat64() / d.plan.Rate * float64(time.Second))
 	}
@@ -57,7 +56,8 @@
 	return r, true
 }
 
-func (d *drawer) pickFlow() int {
+// pickFlow returns the index of a flow, chosen at random by weight.
+func (d *requestSource) pickFlow() int {
 	n := d.random.IntN(d.weights)
 	for i, f := range d.plan.Flows {
 		if n < f.Weight {
@@ -68,16 +68,16 @@
 	return 0
 }
 
-// around draws evenly from half to one and a half of mean.
-func (d *drawer) around(mean int) int {
+// drawAround returns a uniformly distributed value between 0.5 and 1.5 times mean.
+func (d *requestSource) drawAround(mean int) int {
 	return max(1, mean/2+d.random.IntN(mean+1))
 }
 
-// prompt returns a text that begins with one of the flow's beginnings and
-// ends with the request's own marker.
-func (d *drawer) prompt(f Flow, marker string) string {
+// prompt returns a text that starts with one of the flow's beginnings and ends with the marker
+// of the request.
+func (d *requestSource) prompt(f Flow, marker string) string {
 	beginning := fmt.Sprintf("%s document %d. ", f.Name, d.random.IntN(f.Prefixes))
-	size := d.around(f.PromptBytes)
+	size := d.drawAround(f.PromptBytes)
 	filler := max(0, size-len(beginning)-len(marker)-1)
 	return beginning + strings.Repeat("x", filler) + " " + marker
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -13,46 +13,47 @@
 )
 
 const (
-	// idleConnections keeps one connection a caller, as callers' own
-	// libraries do.
-	idleConnections = MaxConcurrency
-	// pauseWithoutAdvice is the wait before another try where the answer was
-	// cut and so held no Retry-After.
-	pauseWithoutAdvice = 200 * time.Millisecond
-	// spreadPart is the greatest part of a wait that is added at random, so
-	// that callers refused together do not come back together.
-	spreadPart = 0.2
+	// maxIdleConnections keeps one connection open for each caller, as the client libraries of
+	// callers do.
+	maxIdleConnections = MaxConcurrency
+	// defaultRetryDelay is the wait before a retry when the connection was cut, so that no
+	// Retry-After was received.
+	defaultRetryDelay = 200 * time.Millisecond
+	// maxJitterRatio is the largest share of a wait that is added at random, so that callers
+	// that are refused together do not retry together.
+	maxJitterRatio = 0.2
 )
 
-// outcome is what one request came to, tries and waits included.
+// outcome is the result of one request, retries and waits included.
 type outcome struct {
 	flow    int
 	verdict Verdict
-	// refusal is the type of the last refusal, if that was the last word.
+	// refusal is the type of the final refusal; empty if the request ended otherwise.
 	refusal failure.Type
 	ran     failure.Ran
-	tries   int
-	tokens  int
-	// first is the time to the first token, whole that to the end, both from
-	// when the request was due; gaps are the times between tokens.
+	// tries counts the attempts, the first one included.
+	tries  int
+	tokens int
+	// first is the time to the first token and whole the time to the end, both from when the
+	// request was due; gaps are the times between tokens.
 	first, whole time.Duration
 	gaps         []time.Duration
 	marker       string
 	id           string
 }
 
-// Run sends the plan's load until its count or duration is over or ctx ends,
-// waits for the requests in flight, and returns the report.
+// Run sends the plan's load until its count or duration is reached or ctx ends. It then waits
+// for the requests in flight and returns the report.
 func Run(ctx context.Context, p *Plan) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, errors.Trace(err)
 	}
-	transport := &http.Transport{MaxIdleConns: idleConnections, MaxIdleConnsPerHost: idleConnections}
+	transport := &http.Transport{MaxIdleConns: maxIdleConnections, MaxIdleConnsPerHost: maxIdleConnections}
 	defer transport.CloseIdleConnections()
 	g := &generator{
 		plan:     p,
 		client:   &http.Client{Transport: transport},
-		judge:    newJudge(p.Expected),
+		checker:  newChecker(p.Expected),
 		outcomes: make(chan outcome, p.Concurrency),
 		slots:    make(chan struct{}, p.Concurrency),
 	}
@@ -64,7 +65,7 @@
 		}
 	})
 	started := time.Now()
-	g.send(ctx, newDrawer(p))
+	g.send(ctx, newRequestSource(p))
 	g.inFlight.Wait()
 	close(g.outcomes)
 	collected.Wait()
@@ -72,22 +73,23 @@
 	return report, nil
 }
 
+// generator sends the requests of one run and collects their outcomes.
 type generator struct {
 	plan     *Plan
 	client   *http.Client
-	judge    *judge
+	checker  *checker
 	outcomes chan outcome
-	// slots bounds the open requests.
+	// slots limits the number of open requests.
 	slots    chan struct{}
 	inFlight sync.WaitGroup
-	// held counts the open loop's requests that were due while all slots were
-	// taken. Their wait counts into their times.
+	// held counts the requests of an open loop that were due while all slots were in use. The
+	// time until they were sent counts into their measured times.
 	held int
 }
 
-// send starts the requests in their order. A closed loop starts one whenever
-// a slot is free; an open loop starts one when it is due.
-func (g *generator) send(ctx context.Context, d *drawer) {
+// send starts the requests in order. A closed loop starts a request when a slot is free; an
+// open loop starts it when it is due.
+func (g *generator) send(ctx context.Context, d *requestSource) {
 	over, cancel := context.WithTimeout(ctx, g.plan.Duration)
 	defer cancel()
 	due := time.Now()
@@ -100,7 +102,7 @@
 		if g.plan.Rate > 0 && !sleepUntil(over, due) {
 			return
 		}
-		if !g.takeSlot(over) {
+		if !g.acquireSlot(over) {
 			return
 		}
 		at := due
@@ -109,12 +111,13 @@
 		}
 		g.inFlight.Go(func() {
 			defer func() { <-g.slots }()
-			g.outcomes <- g.carryOut(ctx, r, at)
+			g.outcomes <- g.sendWithRetries(ctx, r, at)
 		})
 	}
 }
 
-func (g *generator) takeSlot(ctx context.Context) bool {
+// acquireSlot waits for a free slot. It returns false if ctx ends first.
+func (g *generator) acquireSlot(ctx context.Context) bool {
 	select {
 	case g.slots <- struct{}{}:
 		return true
@@ -131,10 +134,10 @@
 	}
 }
 
-// carryOut sends a request until it has its answer, its tries are used up or
-// the time to give up has come. Each try has the same idempotency key and goes
-// to the next target, as it would through a balancer.
-func (g *generator) carryOut(ctx context.Context, r request, due time.Time) outcome {
+// sendWithRetries sends a request until it has a final answer, its retries are used up, or
+// GiveUp has passed. Each attempt has the same idempotency key and goes to the next target, as
+// it would through a load balancer.
+func (g *generator) sendWithRetries(ctx context.Context, r request, due time.Time) outcome {
 	ctx, cancel := context.WithTimeout(ctx, g.plan.GiveUp)
 	defer cancel()
 	f := g.plan.Flows[r.flow]
@@ -143,7 +146,7 @@
 		r.target = g.plan.Targets[(r.number+o.tries)%len(g.plan.Targets)]
 		a := send(ctx, g.client, f, r)
 		o.tries++
-		o.take(g.judge.judge(f, r, a), a, due)
+		o.record(g.checker.check(f, r, a), a, due)
 		wait, again := retryWait(o.verdict, a)
 		if !again || o.tries > g.plan.Retries || !sleepUntil(ctx, time.Now().Add(wait)) {
 			return o
@@ -151,7 +154,8 @@
 	}
 }
 
-func (o *outcome) take(v Verdict, a *answer, due time.Time) {
+// record sets the outcome to the result of the latest attempt.
+func (o *outcome) record(v Verdict, a *answer, due time.Time) {
 	o.verdict, o.refusal, o.ran, o.id = v, "", "", a.id
 	if a.refusal != nil {
 		o.refusal, o.ran, o.id = a.refusal.Type, a.refusal.Ran, a.refusal.RequestID
@@ -167,23 +171,24 @@
 	}
 }
 
-// retryWait says whether and when a caller tries again. It waits at least
-// what Retry-After says; a refusal without one is final.
+// retryWait returns whether the caller retries and after which wait. The wait is at least
+// Retry-After; a refusal without Retry-After is final.
 func retryWait(v Verdict, a *answer) (time.Duration, bool) {
 	switch {
 	case v == Cut:
-		return spread(pauseWithoutAdvice), true
+		return withJitter(defaultRetryDelay), true
 	case v == Refused && a.retryAfter > 0:
-		return spread(a.retryAfter), true
+		return withJitter(a.retryAfter), true
 	}
 	return 0, false
 }
 
-func spread(d time.Duration) time.Duration {
-	return d + time.Duration(rand.Float64()*spreadPart*float64(d))
+// withJitter returns d increased by a random share of up to maxJitterRatio.
+func withJitter(d time.Duration) time.Duration {
+	return d + time.Duration(rand.Float64()*maxJitterRatio*float64(d))
 }
 
-// sleepUntil tells whether the time came before ctx ended.
+// sleepUntil reports whether the given time was reached before ctx ended.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -11,8 +11,8 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// maxRequestBody bounds what a stand-in reads of a request.
-const maxRequestBody = 8 << 20
+// maxRequestBodyBytes bounds what a stand-in reads of a request body.
+const maxRequestBodyBytes = 8 << 20
 
 // Engine is a stand-in for a model engine on a VM.
 type Engine struct {
@@ -24,20 +24,20 @@
 	state *engineState
 }
 
-// engineState is all that a crash loses.
+// engineState is the state that a crash discards.
 type engineState struct {
-	life      *life
-	scheduler *scheduler
-	cache     *prefixCache
-	load      *loadReport
-	running   *runningSet
+	incarnation *incarnation
+	scheduler   *scheduler
+	cache       *prefixCache
+	load        *loadReport
+	running     *runningSet
 
 	mu sync.Mutex
-	// newest is the newest fencing token seen; an engine that ignores tokens
-	// keeps none.
+	// newest is the newest fencing token received. An engine that ignores fencing tokens does
+	// not set it.
 	newest backend.FencingToken
-	// released is the newest epoch that an engine that checks tokens was told
-	// to leave; a load of it that comes late is refused.
+	// released is the newest epoch that an engine that checks tokens was ordered to release. A
+	// late load order for this epoch or an older one is refused.
 	released uint64
 	group    *membership
 	weights  map[string]bool
@@ -48,8 +48,8 @@
 	o = o.withDefaults()
 	e := &Engine{options: o, client: &http.Client{Transport: &http.Transport{IdleConnTimeout: 10 * time.Second}}}
 	e.host = newHost(ctx, o.Common, e.routes())
-	e.born = e.newState
-	e.message = e.announce
+	e.onStart = e.newState
+	e.newAnnouncement = e.announce
 	if err := e.start(); err != nil {
 		e.cancel()
 		return nil, errors.Trace(err)
@@ -57,7 +57,7 @@
 	return e, nil
 }
 
-// Close ends the engine and all its connections.
+// Close stops the engine and closes all its connections.
 func (e *Engine) Close() {
 	e.host.Close()
 	e.client.CloseIdleConnections()
@@ -74,14 +74,14 @@
 	return mux
 }
 
-func (e *Engine) newState(l *life) {
+func (e *Engine) newState(l *incarnation) {
 	s := &engineState{
-		life:      l,
-		scheduler: newScheduler(e.options.Slots, e.options.QueueLimit),
-		cache:     newPrefixCache(e.options),
-		load:      &loadReport{lag: e.options.LoadLag},
-		running:   newRunningSet(),
-		weights:   map[string]bool{},
+		incarnation: l,
+		scheduler:   newScheduler(e.options.Slots, e.options.QueueLimit),
+		cache:       newPrefixCache(e.options),
+		load:        &loadReport{lag: e.options.LoadLag},
+		running:     newRunningSet(),
+		weights:     map[string]bool{},
 	}
 	for _, model := range e.options.Weights {
 		s.weights[model] = true
@@ -91,22 +91,23 @@
 	e.state = s
 }
 
-func (e *Engine) now() *engineState {
+// currentState returns the state of the current incarnation.
+func (e *Engine) currentState() *engineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state
 }
 
-// announce says what the engine is part of and how it fares.
-func (e *Engine) announce(*life) *backend.Announcement {
-	s := e.now()
+// announce returns the announcement of the engine: its group, phase, cache events and load.
+func (e *Engine) announce(*incarnation) *backend.Announcement {
+	s := e.currentState()
 	now := time.Now()
 	m := &backend.Announcement{
 		Kind:         backend.KindEngine,
 		Accelerators: e.options.Accelerators,
 		Phase:        backend.PhaseIdle,
 		Cache:        s.cache.due(now),
-		Load:         s.load.report(now, e.loadNow(s)),
+		Load:         s.load.report(now, e.currentLoad(s)),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +123,8 @@
 	return m
 }
 
-func (e *Engine) loadNow(s *engineState) backend.Load {
+// currentLoad returns the load at this moment, without the configured lag.
+func (e *Engine) currentLoad(s *engineState) backend.Load {
 	running, tokens := s.running.totals()
 	queued := s.scheduler.queued()
 	load := backend.Load{
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -15,22 +15,23 @@
 		return
 	}
 	var o backend.Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody)).Decode(&o); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBodyBytes)).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	reply := e.obey(e.now(), o)
+	reply := e.executeOrder(e.currentState(), o)
 	_ = level.Info(e.options.Logger).Log("msg", "order", "id", e.common.ID, "kind", o.Kind, "group", o.Group,
 		"term", o.Token.Term, "epoch", o.Token.Epoch, "accepted", reply.Accepted)
 	writeJSON(w, http.StatusOK, reply)
 }
 
-// obey carries an order out, unless it is stale and the engine checks that.
-func (e *Engine) obey(s *engineState, o backend.Order) backend.OrderReply {
+// executeOrder executes an order, or refuses it if the engine checks fencing tokens and the
+// order is stale.
+func (e *Engine) executeOrder(s *engineState, o backend.Order) backend.OrderReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.options.Fencing == FencingCheck {
-		if s.stale(o) {
+		if s.isStale(o) {
 			return backend.OrderReply{Newest: s.newest}
 		}
 		s.newest = o.Token
@@ -49,36 +50,38 @@
 	return backend.OrderReply{Accepted: true, Newest: s.newest}
 }
 
-// stale is called with s.mu held.
-func (s *engineState) stale(o backend.Order) bool {
-	otherIncarnation := o.Incarnation != "" && o.Incarnation != s.life.incarnation
+// isStale reports whether an order is for another incarnation, for a released epoch, or older
+// than the newest token. The caller holds s.mu.
+func (s *engineState) isStale(o backend.Order) bool {
+	otherIncarnation := o.Incarnation != "" && o.Incarnation != s.incarnation.id
 	late := o.Kind == backend.OrderLoad && o.Token.Epoch <= s.released
 	return otherIncarnation || late || o.Token.Less(s.newest)
 }
 
-// join is called with s.mu held. A repeated order changes nothing.
+// join starts the membership in the ordered group. A repeated order changes nothing. The caller
+// holds s.mu.
 func (e *Engine) join(s *engineState, o backend.Order) {
 	if g := s.group; g != nil {
-		if g.same(o) {
+		if g.matches(o) {
 			return
 		}
 		g.end()
 	}
 	g := e.newMembership(s, o)
 	s.group = g
-	s.life.wg.Add(2)
+	s.incarnation.wg.Add(2)
 	go func() {
-		defer s.life.wg.Done()
+		defer s.incarnation.wg.Done()
 		e.loadModel(s, g)
 	}()
 	go func() {
-		defer s.life.wg.Done()
-		e.keepMembership(s, g)
+		defer s.incarnation.wg.Done()
+		e.runMembership(s, g)
 	}()
 }
 
-// leave is called with s.mu held. The engine says "releasing" until its
-// generations have ended.
+// leave ends the membership. The engine announces the phase "releasing" until its generations
+// have ended. The caller holds s.mu.
 func (e *Engine) leave(s *engineState, o backend.Order) {
 	g := s.group
 	if g == nil || (o.Group != "" && g.order.Group != o.Group) {
@@ -86,9 +89,9 @@
 	}
 	g.setPhase(backend.PhaseReleasing)
 	g.end()
-	s.life.wg.Add(1)
+	s.incarnation.wg.Add(1)
 	go func() {
-		defer s.life.wg.Done()
+		defer s.incarnation.wg.Done()
 		g.streams.Wait()
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -98,6 +101,7 @@
 	}()
 }
 
+// loadModel makes the weights available and marks the membership as ready.
 func (e *Engine) loadModel(s *engineState, g *membership) {
 	model := g.order.Model
 	s.mu.Lock()
@@ -112,7 +116,8 @@
 	g.becomeReady()
 }
 
-// fetch loads weights from the store, or takes the set time.
+// fetch loads weights from the store, or waits for the configured load time if there is no
+// store.
 func (e *Engine) fetch(g *membership, model string) bool {
 	if e.options.WeightStore == "" {
 		return sleep(g.ctx, e.faults.scale(e.options.LoadTime))
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -13,34 +13,35 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// life is one incarnation. All that it started ends with ctx.
-type life struct {
-	ctx         context.Context
-	cancel      context.CancelFunc
-	incarnation string
-	wg          sync.WaitGroup
+// incarnation is one run of a stand-in between start and crash. All its goroutines end with
+// ctx.
+type incarnation struct {
+	ctx    context.Context
+	cancel context.CancelFunc
+	id     string
+	wg     sync.WaitGroup
 }
 
-// host is what engines and plain services share: a listener, announcements,
-// faults and the crash and return as a new incarnation.
+// host is the common part of engines and plain services: listener, announcements, faults, and
+// crash and restart as a new incarnation.
 type host struct {
 	common    Common
 	server    *server
 	announcer *announcer
-	faults    faultBox
-	// born makes the state of a new incarnation; message is its announcement.
-	born    func(*life)
-	message func(*life) *backend.Announcement
+	faults    faultState
+	// onStart creates the state of a new incarnation; newAnnouncement returns its announcement.
+	onStart         func(*incarnation)
+	newAnnouncement func(*incarnation) *backend.Announcement
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu       sync.Mutex
-	life     *life
-	crashing bool
-	sequence uint64
-	leaving  bool
+	mu          sync.Mutex
+	incarnation *incarnation
+	crashing    bool
+	sequence    uint64
+	leaving     bool
 }
 
 func newHost(ctx context.Context, o Common, handler http.Handler) *host {
@@ -50,19 +51,20 @@
 	return h
 }
 
-// start begins the first incarnation.
+// start starts the first incarnation.
 func (h *host) start() error {
 	return h.begin(h.common.Listen)
 }
 
+// begin starts a new incarnation that listens on address.
 func (h *host) begin(address string) error {
-	l := &life{incarnation: uuid.NewString()}
+	l := &incarnation{id: uuid.NewString()}
 	l.ctx, l.cancel = context.WithCancel(h.ctx)
 	h.mu.Lock()
-	h.life = l
+	h.incarnation = l
 	h.sequence = 0
 	h.mu.Unlock()
-	h.born(l)
+	h.onStart(l)
 	if err := h.server.listen(l.ctx, address); err != nil {
 		l.cancel()
 		return err
@@ -77,15 +79,16 @@
 	return nil
 }
 
-// announcement fills in what all stand-ins announce.
-func (h *host) announcement(l *life) *backend.Announcement {
+// announcement returns the announcement with the fields common to all stand-ins, or nil if none
+// is to be sent.
+func (h *host) announcement(l *incarnation) *backend.Announcement {
 	h.server.gate.wait(l.ctx.Done())
 	if h.faults.get().Muted || l.ctx.Err() != nil {
 		return nil
 	}
-	m := h.message(l)
+	m := h.newAnnouncement(l)
 	m.ID = h.common.ID
-	m.Incarnation = l.incarnation
+	m.Incarnation = l.id
 	m.Address = h.Address()
 	m.DataCentre = h.common.DataCentre
 	m.FabricDomain = h.common.FabricDomain
@@ -97,7 +100,7 @@
 	return m
 }
 
-// Address returns the announced address.
+// Address returns the address that the stand-in announces.
 func (h *host) Address() string {
 	if h.common.Advertise != "" {
 		return h.common.Advertise
@@ -108,19 +111,20 @@
 // ListenAddress returns the address that the stand-in listens on.
 func (h *host) ListenAddress() string { return h.server.addr() }
 
-// Incarnation returns the incarnation in force.
-func (h *host) Incarnation() string { return h.current().incarnation }
+// Incarnation returns the id of the current incarnation.
+func (h *host) Incarnation() string { return h.current().id }
 
-// Runs returns all runs that its recorder holds.
+// Runs returns all runs in the recorder.
 func (h *host) Runs() []Run { return h.common.Recorder.Runs() }
 
-func (h *host) current() *life {
+func (h *host) current() *incarnation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.life
+	return h.incarnation
 }
 
-// Apply puts faults in force, and does those that happen once.
+// Apply sets the persistent faults and carries out the one-time faults. An order with a rate
+// limit sets only the rate limit.
 func (h *host) Apply(o FaultOrder) {
 	if o.RateLimit != nil {
 		h.faults.limitRate(*o.RateLimit)
@@ -133,7 +137,7 @@
 		h.mu.Unlock()
 	}
 	if o.PauseMillis > 0 {
-		h.server.gate.shutFor(time.Duration(o.PauseMillis) * time.Millisecond)
+		h.server.gate.closeFor(time.Duration(o.PauseMillis) * time.Millisecond)
 	}
 	if o.Silence {
 		h.server.silence()
@@ -143,8 +147,8 @@
 	}
 }
 
-// crash drops the incarnation with all its state and connections, and comes
-// back as a new one on the same address.
+// crash discards the incarnation with its state and connections, and restarts as a new
+// incarnation on the same address.
 func (h *host) crash() {
 	if h.common.OnCrash != nil {
 		h.common.OnCrash()
@@ -157,12 +161,12 @@
 	}
 	h.crashing = true
 	h.wg.Add(1)
-	go h.crashAndReturn(h.life)
+	go h.crashAndRestart(h.incarnation)
 }
 
-func (h *host) crashAndReturn(l *life) {
+func (h *host) crashAndRestart(l *incarnation) {
 	defer h.wg.Done()
-	_ = level.Info(h.common.Logger).Log("msg", "stand-in crashes", "id", h.common.ID)
+	_ = level.Info(h.common.Logger).Log("msg", "stand-in crashed by fault", "id", h.common.ID)
 	l.cancel()
 	h.server.kill()
 	l.wg.Wait()
@@ -173,15 +177,15 @@
 	h.crashing = false
 	h.mu.Unlock()
 	if err := h.begin(h.server.addr()); err != nil {
-		_ = level.Error(h.common.Logger).Log("msg", "stand-in does not return", "id", h.common.ID, "err", err)
+		_ = level.Error(h.common.Logger).Log("msg", "stand-in failed to restart", "id", h.common.ID, "err", err)
 	}
 }
 
-// Close ends the stand-in and all its connections.
+// Close stops the stand-in and closes all its connections.
 func (h *host) Close() {
 	h.mu.Lock()
 	h.cancel()
-	l := h.life
+	l := h.incarnation
 	h.mu.Unlock()
 	h.wg.Wait()
 	h.server.gate.open()
@@ -189,7 +193,7 @@
 	l.wg.Wait()
 }
 
-// authorised tells whether a request carries the secret that is asked for.
+// authorised reports whether a request carries the required secret.
 func (h *host) authorised(r *http.Request) bool {
 	if h.common.Secret == "" {
 		return true
--- a/internal/standin/membership.go
+++ b/internal/standin/membership.go
@@ -9,16 +9,16 @@
 	"github.com/citronstep/citronstep/internal/backend"
 )
 
-// membership is an engine's part in one epoch of a serving group. It decides
-// what the engine knows of the group; engine_group.go carries the heartbeats.
+// membership is an engine's membership in one epoch of a serving group. It decides which
+// members are present; engine_group.go sends and receives the heartbeats.
 type membership struct {
 	order         backend.Order
 	self          string
 	memberTimeout time.Duration
 	groupTimeout  time.Duration
-	lost          func() []string
+	lostMembers   func() []string
 
-	// ctx ends with the membership, and with it the group's streams.
+	// ctx ends with the membership; the group's streams end with it.
 	ctx     context.Context
 	cancel  context.CancelFunc
 	streams sync.WaitGroup
@@ -26,17 +26,20 @@
 	mu    sync.Mutex
 	phase backend.Phase
 	peers map[string]*peer
-	// complete is set once all members have been ready together.
-	complete bool
-	// broken is when a complete group was first found with a member missing.
-	broken time.Time
+	// wasComplete is set once all members have been ready at the same time.
+	wasComplete bool
+	// brokenSince is the time at which a member of a complete group was first found missing;
+	// zero while none is.
+	brokenSince time.Time
 }
 
+// peer is what the engine knows of another member from its heartbeats.
 type peer struct {
-	heard       time.Time
-	incarnation string
-	ready       bool
-	replaced    bool
+	lastReceived time.Time
+	incarnation  string
+	ready        bool
+	// replaced is set once the peer has restarted as another incarnation.
+	replaced bool
 }
 
 func (e *Engine) newMembership(s *engineState, o backend.Order) *membership {
@@ -45,23 +48,24 @@
 		self:          e.common.ID,
 		memberTimeout: e.options.MemberTimeout,
 		groupTimeout:  e.options.GroupTimeout,
-		lost:          func() []string { return e.faults.get().LostMembers },
+		lostMembers:   func() []string { return e.faults.get().LostMembers },
 		phase:         backend.PhaseLoading,
 		peers:         map[string]*peer{},
 	}
-	g.ctx, g.cancel = context.WithCancel(s.life.ctx)
+	g.ctx, g.cancel = context.WithCancel(s.incarnation.ctx)
 	return g
 }
 
-func (g *membership) same(o backend.Order) bool {
+// matches reports whether an order repeats the one that started this membership.
+func (g *membership) matches(o backend.Order) bool {
 	return g.order.Group == o.Group && g.order.Token.Epoch == o.Token.Epoch && g.order.Rank == o.Rank &&
 		g.order.Model == o.Model && slices.Equal(g.order.Members, o.Members) && g.ctx.Err() == nil
 }
 
-func (g *membership) head() bool { return g.order.Rank == 0 }
+func (g *membership) isHead() bool { return g.order.Rank == 0 }
 
-// end ends the membership. It holds the lock so that no stream enters after
-// the wait for the streams has begun.
+// end ends the membership. It holds the lock so that no stream can enter once the wait for the
+// streams has begun.
 func (g *membership) end() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,9 +86,9 @@
 	}
 }
 
-// enter counts a stream of the group, if the group serves.
+// enter counts a new stream of the group. It returns false if the group does not serve.
 func (g *membership) enter(now time.Time) bool {
-	if !g.serving(now) {
+	if !g.isServing(now) {
 		return false
 	}
 	g.mu.Lock()
@@ -96,28 +100,28 @@
 	return true
 }
 
-// serving tells whether this engine is the head of a group whose members are
-// all ready and heard from.
-func (g *membership) serving(now time.Time) bool {
+// isServing reports whether this engine is the head of a group whose members are all ready and
+// have sent recent heartbeats.
+func (g *membership) isServing(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.head() && g.phase == backend.PhaseReady && g.complete && len(g.missing(now)) == 0
+	return g.isHead() && g.phase == backend.PhaseReady && g.wasComplete && len(g.missing(now)) == 0
 }
 
-// status is what the engine announces.
+// status returns the phase and the missing members to announce.
 func (g *membership) status(now time.Time) (backend.Phase, []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.complete {
+	if !g.wasComplete {
 		return g.phase, nil
 	}
 	return g.phase, g.missing(now)
 }
 
-// hear takes a peer's heartbeat. A peer that comes back as a new incarnation
-// has lost its part of the model, so it counts as missing for good.
-func (g *membership) hear(vm, incarnation string, ready bool, now time.Time) {
-	if slices.Contains(g.lost(), vm) {
+// recordHeartbeat records a heartbeat of a peer. A peer that restarted as a new incarnation has
+// lost its part of the model, so it counts as missing for the rest of the epoch.
+func (g *membership) recordHeartbeat(vm, incarnation string, ready bool, now time.Time) {
+	if slices.Contains(g.lostMembers(), vm) {
 		return
 	}
 	g.mu.Lock()
@@ -128,43 +132,43 @@
 		g.peers[vm] = p
 	}
 	p.replaced = p.replaced || p.incarnation != incarnation
-	p.heard = now
+	p.lastReceived = now
 	p.ready = ready
 }
 
-// missing is called with g.mu held. The head watches all members, the others
-// watch the head.
+// missing returns the monitored members that sent no recent heartbeat, are not ready or have
+// restarted. The head monitors all members, the others monitor the head. The caller holds g.mu.
 func (g *membership) missing(now time.Time) []string {
 	var out []string
 	for rank, member := range g.order.Members {
-		watched := member.VM != g.self && (g.head() || rank == 0)
-		if watched && !g.present(member.VM, now) {
+		watched := member.VM != g.self && (g.isHead() || rank == 0)
+		if watched && !g.isPresent(member.VM, now) {
 			out = append(out, member.VM)
 		}
 	}
 	return out
 }
 
-func (g *membership) present(vm string, now time.Time) bool {
+func (g *membership) isPresent(vm string, now time.Time) bool {
 	p, ok := g.peers[vm]
-	return ok && p.ready && !p.replaced && now.Sub(p.heard) <= g.memberTimeout
+	return ok && p.ready && !p.replaced && now.Sub(p.lastReceived) <= g.memberTimeout
 }
 
-// check finds a group become complete, and a complete one that has been
-// without a member for longer than groupTimeout: that one has failed and needs
-// a new epoch, as a collective operation that timed out can't be resumed.
+// check updates wasComplete and brokenSince. A complete group that lacks a member for longer
+// than groupTimeout has failed and needs a new epoch, because a collective operation that timed
+// out can't be resumed.
 func (g *membership) check(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	whole := g.phase == backend.PhaseReady && len(g.missing(now)) == 0
+	allReady := g.phase == backend.PhaseReady && len(g.missing(now)) == 0
 	switch {
-	case whole:
-		g.complete = true
-		g.broken = time.Time{}
-	case !g.complete || g.phase != backend.PhaseReady:
-	case g.broken.IsZero():
-		g.broken = now
-	case now.Sub(g.broken) > g.groupTimeout:
+	case allReady:
+		g.wasComplete = true
+		g.brokenSince = time.Time{}
+	case !g.wasComplete || g.phase != backend.PhaseReady:
+	case g.brokenSince.IsZero():
+		g.brokenSince = now
+	case now.Sub(g.brokenSince) > g.groupTimeout:
 		g.phase = backend.PhaseFailed
 		g.cancel()
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -21,20 +21,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// entryFake takes announcements and keeps the newest of each stand-in.
-type entryFake struct {
+// fakeEntry accepts announcements and keeps the newest one of each stand-in.
+type fakeEntry struct {
 	mu     sync.Mutex
 	newest map[string]backend.Announcement
 }
 
-func newEntry(t *testing.T) (*entryFake, string) {
-	f := &entryFake{newest: map[string]backend.Announcement{}}
+func newEntry(t *testing.T) (*fakeEntry, string) {
+	f := &fakeEntry{newest: map[string]backend.Announcement{}}
 	s := httptest.NewServer(f)
 	t.Cleanup(s.Close)
 	return f, s.Listener.Addr().String()
 }
 
-func (f *entryFake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var a backend.Announcement
 	_ = json.NewDecoder(r.Body).Decode(&a)
 	f.mu.Lock()
@@ -43,7 +43,7 @@
 	writeJSON(w, http.StatusOK, backend.AnnounceReply{IntervalMillis: 10})
 }
 
-func (f *entryFake) get(id string) backend.Announcement {
+func (f *fakeEntry) get(id string) backend.Announcement {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.newest[id]
@@ -74,7 +74,7 @@
 	return c
 }
 
-// form orders the engines into one group and waits until it serves.
+// form orders the engines to form one group and waits until the group serves.
 func form(t *testing.T, c backend.Client, epoch uint64, engines ...*Engine) {
 	t.Helper()
 	var members []backend.GroupMember
@@ -90,8 +90,8 @@
 		assert.Assert(t, reply.Accepted)
 	}
 	await(t, "group serves", func() bool {
-		g := engines[0].now().group
-		return g != nil && g.serving(time.Now())
+		g := engines[0].currentState().group
+		return g != nil && g.isServing(time.Now())
 	})
 }
 
@@ -102,7 +102,7 @@
 	}
 }
 
-// read returns the events of an answer and the error that ended it.
+// read returns the tokens of an answer and the error that ended it.
 func read(t *testing.T, c backend.Client, e *Engine, g backend.Generation) ([]backend.Token, error) {
 	t.Helper()
 	s, err := c.Generate(t.Context(), e.Address(), g)
@@ -153,11 +153,11 @@
 	assert.Equal(t, tokens[0].Offset, 5)
 
 	assert.Equal(t, len(head.Runs()), 2)
-	// The engine records the end of a run after it sent the end mark.
+	// The engine records the end of a run after it has sent the end mark.
 	await(t, "recorded as finished", func() bool { return head.Runs()[1].Outcome == OutcomeFinished })
 }
 
-func TestRefusesWhatItDoesNotServe(t *testing.T) {
+func TestRefusesGenerationsItDoesNotServe(t *testing.T) {
 	c := newClient(t)
 	head := startEngine(t, EngineOptions{Common: Common{ID: "vm-0"}})
 	member := startEngine(t, EngineOptions{Common: Common{ID: "vm-1"}})
@@ -199,10 +199,10 @@
 	await(t, "run ends", func() bool { return e.Runs()[0].Outcome == OutcomeCancelled })
 }
 
-// A replica of two VMs answers until one VM's process dies. Its streams stall
-// and then break, though the head itself is well; the head names the member it
-// lost, and refuses new work as not started.
-func TestLostMemberKillsTheGroup(t *testing.T) {
+// The process on one of two VMs of a replica dies. The streams of the replica must stall and
+// then break although the head is healthy. The head must announce the missing member and refuse
+// new work as not started.
+func TestLostMemberFailsTheGroup(t *testing.T) {
 	entry, address := newEntry(t)
 	c := newClient(t)
 	options := EngineOptions{
@@ -248,20 +248,20 @@
 	checking := startEngine(t, EngineOptions{Common: Common{ID: "vm-0"}})
 	assert.Assert(t, order(checking, 5, backend.OrderLoad))
 	assert.Assert(t, !order(checking, 4, backend.OrderRelease))
-	assert.Assert(t, checking.now().group != nil)
+	assert.Assert(t, checking.currentState().group != nil)
 
 	ignoring := startEngine(t, EngineOptions{Common: Common{ID: "vm-1"}, Fencing: FencingIgnore})
 	assert.Assert(t, order(ignoring, 5, backend.OrderLoad))
 	assert.Assert(t, order(ignoring, 4, backend.OrderRelease))
 	await(t, "released", func() bool {
-		s := ignoring.now()
+		s := ignoring.currentState()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.group == nil
 	})
 }
 
-func TestCrashMarkerEndsTheIncarnation(t *testing.T) {
+func TestCrashMarkerStartsNewIncarnation(t *testing.T) {
 	c := newClient(t)
 	e := startEngine(t, EngineOptions{Common: Common{
 		ID: "vm-0", Faults: Faults{CrashMarker: "boom"}, RestartAfter: time.Millisecond,
@@ -272,7 +272,7 @@
 	assert.Assert(t, err != nil && err != io.EOF)
 	await(t, "returns", func() bool { return e.Incarnation() != first })
 	assert.Equal(t, e.Address(), address)
-	assert.Assert(t, e.now().group == nil)
+	assert.Assert(t, e.currentState().group == nil)
 	assert.Equal(t, e.Runs()[0].Outcome, OutcomeCrashed)
 }
 
@@ -305,9 +305,8 @@
 	}
 }
 
-// Requests on pooled connections hang while new connections work at once: the
-// stand-in's open connections have gone silent.
-func TestSilenceHoldsOpenConnectionsOnly(t *testing.T) {
+// Silence must block requests on pooled connections while requests on new connections succeed.
+func TestSilenceAffectsOpenConnectionsOnly(t *testing.T) {
 	c := newClient(t)
 	e := startEngine(t, EngineOptions{Common: Common{ID: "vm-0"}})
 	form(t, c, 1, e)
@@ -351,7 +350,7 @@
 func TestCacheEventsShowGaps(t *testing.T) {
 	cache := newPrefixCache(EngineOptions{CacheBlocks: 1, CacheGap: 2})
 	for block := range uint64(3) {
-		assert.Equal(t, cache.take([]uint64{block}), 1)
+		assert.Equal(t, cache.insert([]uint64{block}), 1)
 	}
 	assert.DeepEqual(t, cache.due(time.Now()), []backend.CacheEvent{
 		{Sequence: 1, Added: []uint64{0}},
--- a/internal/tool/document.go
+++ b/internal/tool/document.go
@@ -13,18 +13,18 @@
 	"github.com/citronstep/citronstep/internal/tomlfile"
 )
 
-// document is a configuration document: what apply, diff and init read.
+// document is a configuration document, the input of apply, diff and init.
 type document struct {
 	Workspaces []documentWorkspace       `toml:"workspace"`
 	Classes    []blackboard.RequestClass `toml:"class"`
 	Groups     []blackboard.GroupSpec    `toml:"group"`
 	Presets    []blackboard.Preset       `toml:"preset"`
-	// ActivePreset, when given, is put in force together with the rest.
+	// ActivePreset, if not empty, becomes the active preset in the same change.
 	ActivePreset string `toml:"active_preset"`
 }
 
-// documentWorkspace names its key by a file or by the key's hash, so that no
-// document holds a key.
+// documentWorkspace names its key by a file or by the key's hash, so that no document contains
+// a key.
 type documentWorkspace struct {
 	Name           string   `toml:"name"`
 	KeyFile        string   `toml:"key_file"`
@@ -35,21 +35,21 @@
 	MaxOpen        int      `toml:"max_open"`
 }
 
-func (w documentWorkspace) workspace() blackboard.Workspace {
+func (w documentWorkspace) blackboardWorkspace() blackboard.Workspace {
 	return blackboard.Workspace{
 		Name: w.Name, KeySHA256: w.KeySHA256, MoreKeysSHA256: w.MoreKeysSHA256,
 		Priority: w.Priority, Share: w.Share, MaxOpen: w.MaxOpen,
 	}
 }
 
-// loadedDocument is a checked document with the places of its keys.
+// loadedDocument is a checked document with the source position of each key.
 type loadedDocument struct {
 	document
 	source *tomlfile.Document
 }
 
-// loadDocument reads, checks and resolves the document at path. The error
-// holds every fault of the file.
+// loadDocument reads and checks the document at path and resolves its key files. The error
+// lists every fault of the file.
 func loadDocument(path string) (*loadedDocument, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return d, d.source.Faults().OrNil()
 }
 
-// parseDocument checks a document without a look at its key files.
+// parseDocument checks a document without reading its key files.
 func parseDocument(path string, data []byte) *loadedDocument {
 	d := &loadedDocument{}
 	d.source = tomlfile.Decode(path, data, &d.document)
@@ -84,7 +84,7 @@
 
 func (d *loadedDocument) resolveKeys(folder string) { resolveKeys(d.source, d.Workspaces, folder) }
 
-// resolveKeys reads the keys that workspaces name by a file.
+// resolveKeys reads the key files that workspaces name and sets the hashes of the keys.
 func resolveKeys(source *tomlfile.Document, workspaces []documentWorkspace, folder string) {
 	for i := range workspaces {
 		w := &workspaces[i]
@@ -114,33 +114,35 @@
 
 const allowedName = "1 to 64 letters, digits, '.', '_' or '-', the first a letter or digit; each name once"
 
+// elementKey returns the path of a key in an array element, such as group[0].model.
 func elementKey(array string, i int, key string) string {
 	return array + "[" + strconv.Itoa(i) + "]." + key
 }
 
-// names checks one array's names as they come.
-type names struct {
+// nameChecker checks the names of one array of the document, in order.
+type nameChecker struct {
 	d     *loadedDocument
 	array string
 	seen  map[string]bool
 }
 
-func (d *loadedDocument) names(array string) *names {
-	return &names{d: d, array: array, seen: map[string]bool{}}
+func (d *loadedDocument) nameChecker(array string) *nameChecker {
+	return &nameChecker{d: d, array: array, seen: map[string]bool{}}
 }
 
-func (n *names) check(i int, name string) {
+func (n *nameChecker) check(i int, name string) {
 	key := elementKey(n.array, i, "name")
 	switch {
 	case n.d.source.Has(key):
 	case !namePattern.MatchString(name):
 		n.d.source.Fault(key, strconv.Quote(name), allowedName)
 	case n.seen[name]:
-		n.d.source.Fault(key, strconv.Quote(name)+" stands twice", allowedName)
+		n.d.source.Fault(key, strconv.Quote(name)+" occurs more than once", allowedName)
 	}
 	n.seen[name] = true
 }
 
+// atLeast adds a fault when value is less than low and the key has no fault yet.
 func (d *loadedDocument) atLeast(key string, value int64, low int64) {
 	if value < low && !d.source.Has(key) {
 		d.source.Fault(key, strconv.FormatInt(value, 10), strconv.FormatInt(low, 10)+" or more")
@@ -148,7 +150,7 @@
 }
 
 func (d *loadedDocument) checkWorkspaces() {
-	n := d.names("workspace")
+	n := d.nameChecker("workspace")
 	for i, w := range d.Workspaces {
 		n.check(i, w.Name)
 		key := func(name string) string { return elementKey("workspace", i, name) }
@@ -169,7 +171,7 @@
 }
 
 func (d *loadedDocument) checkClasses() {
-	n := d.names("class")
+	n := d.nameChecker("class")
 	for i, c := range d.Classes {
 		n.check(i, c.Name)
 		d.atLeast(elementKey("class", i, "timeout_ms"), c.TimeoutMillis, 0)
@@ -177,7 +179,7 @@
 }
 
 func (d *loadedDocument) checkGroups() {
-	n := d.names("group")
+	n := d.nameChecker("group")
 	for i, g := range d.Groups {
 		n.check(i, g.Name)
 		key := func(name string) string { return elementKey("group", i, name) }
@@ -191,7 +193,7 @@
 }
 
 func (d *loadedDocument) checkPresets() {
-	n := d.names("preset")
+	n := d.nameChecker("preset")
 	for i, p := range d.Presets {
 		n.check(i, p.Name)
 		key := func(name string) string { return elementKey("preset", i, name) }
@@ -207,22 +209,23 @@
 	}
 }
 
-// checkReferences finds names in presets that the configuration would not
-// have. The server would accept them and they would silently do nothing: a
-// preset with a misspelt class leaves that class at its ordinary worth.
+// checkReferences finds names in presets that the changed configuration would not contain. The
+// server would accept such names without any effect: a preset with a misspelt class leaves that
+// class at its default worth.
 func (d *loadedDocument) checkReferences(merged blackboard.Configuration) {
 	for i, p := range d.Presets {
-		refer(d, elementKey("preset", i, "class_worth"), p.ClassWorth, merged.Classes)
-		refer(d, elementKey("preset", i, "workspace_worth"), p.WorkspaceWorth, merged.Workspaces)
-		refer(d, elementKey("preset", i, "group_worth"), p.GroupWorth, merged.Groups)
-		refer(d, elementKey("preset", i, "group_replicas"), p.GroupReplicas, merged.Groups)
+		checkNamesExist(d, elementKey("preset", i, "class_worth"), p.ClassWorth, merged.Classes)
+		checkNamesExist(d, elementKey("preset", i, "workspace_worth"), p.WorkspaceWorth, merged.Workspaces)
+		checkNamesExist(d, elementKey("preset", i, "group_worth"), p.GroupWorth, merged.Groups)
+		checkNamesExist(d, elementKey("preset", i, "group_replicas"), p.GroupReplicas, merged.Groups)
 	}
 	if _, ok := merged.Presets[d.ActivePreset]; d.ActivePreset != "" && !ok {
 		d.source.Fault("active_preset", strconv.Quote(d.ActivePreset)+" is unknown", "the name of a preset")
 	}
 }
 
-func refer[V any](d *loadedDocument, key string, references map[string]int, known map[string]V) {
+// checkNamesExist adds a fault for each name in references that is not in known.
+func checkNamesExist[V any](d *loadedDocument, key string, references map[string]int, known map[string]V) {
 	for _, name := range sortedKeys(references) {
 		if _, ok := known[name]; !ok {
 			d.source.Fault(key+"."+name, "is unknown", "a name in the document or the configuration")
--- a/test/failover/failover_test.go
+++ b/test/failover/failover_test.go
@@ -1,9 +1,9 @@
-// Package failover measures how long failures last that the system repairs by
-// itself: a lost leader, a lost member of a serving group, a dark domain.
+// Package failover measures how long the system takes to repair failures by itself: a lost
+// leader, a lost member of a serving group, an entry that is cut off, a lost quorum.
 //
 //	go test ./test/failover -v -args -measure
 //
-// Without -measure it goes through each failure once.
+// Without -measure each failure happens once.
 package failover
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-var measure = flag.Bool("measure", false, "measure each failure many times and print the figures")
+var measure = flag.Bool("measure", false, "measure each failure many times and print the times")
 
 func TestMain(m *testing.M) { os.Exit(harness.Main(m)) }
 
@@ -34,7 +34,8 @@
 	return 1
 }
 
-func cluster(t *testing.T) *harness.Cluster {
+// startCluster starts a bootstrapped cluster with three voters and all entries ready.
+func startCluster(t *testing.T) *harness.Cluster {
 	t.Helper()
 	c := harness.NewCluster(t, harness.Standard())
 	c.Found(blackboard.GroupSpec{Name: "memos", Model: "demo", Replicas: 1, VMsPerReplica: 2, Worth: 10})
@@ -57,10 +58,11 @@
 	})
 }
 
-func leader(t *testing.T, c *harness.Cluster) *harness.Node {
+// awaitLeader waits until a running control node leads and returns it.
+func awaitLeader(t *testing.T, c *harness.Cluster) *harness.Node {
 	t.Helper()
 	var found *harness.Node
-	harness.Await(t, "a leader", func() bool {
+	harness.Await(t, "a control replica leads", func() bool {
 		s, err := c.Status()
 		for _, r := range s.Replicas {
 			if r.Role == "leader" {
@@ -72,8 +74,9 @@
 	return found
 }
 
-// report prints the least, median and greatest of the times.
-func report(t *testing.T, what string, times []time.Duration) {
+// logTimes logs the minimum, median and maximum of the times. what describes the interval
+// measured.
+func logTimes(t *testing.T, what string, times []time.Duration) {
 	t.Helper()
 	slices.Sort(times)
 	ms := func(d time.Duration) int64 { return d.Milliseconds() }
@@ -81,24 +84,25 @@
 		what, len(times), ms(times[0]), ms(times[len(times)/2]), ms(times[len(times)-1]))
 }
 
-func answers(n *harness.Node) bool {
+// answersReads reports whether a node answers an operator's read of the configuration.
+func answersReads(n *harness.Node) bool {
 	var config blackboard.Configuration
 	return harness.Operate(n, http.MethodGet, adminapi.PathConfiguration, nil, &config) == nil
 }
 
-// From the kill of the leader until another control process answers an
-// operator's read, which it does only as a leader that has committed in its
-// own term, or through one.
+// TestTimeToANewLeader measures from the kill of the leader until another control process answers
+// an operator's read. A control process answers only as a leader that has committed an entry
+// of its own term, or by asking such a leader.
 func TestTimeToANewLeader(t *testing.T) {
-	c := cluster(t)
+	c := startCluster(t)
 	var times []time.Duration
 	for range rounds() {
-		old := leader(t, c)
+		old := awaitLeader(t, c)
 		old.Kill()
 		began := time.Now()
-		harness.Await(t, "an answer", func() bool {
+		harness.Await(t, "another control process answers", func() bool {
 			for _, n := range c.Nodes {
-				if n != old && n.Spec.Control && answers(n) {
+				if n != old && n.Spec.Control && answersReads(n) {
 					return true
 				}
 			}
@@ -107,44 +111,45 @@
 		times = append(times, time.Since(began))
 		old.Start()
 		awaitVoters(t, c)
-		harness.Await(t, "the old leader is back", func() bool { return answers(old) })
+		harness.Await(t, "the old leader answers again", func() bool { return answersReads(old) })
 	}
-	report(t, "leader killed, to a new leader's answer", times)
+	logTimes(t, "leader killed, to a new leader's answer", times)
 }
 
-// From the kill of a member until the last entry has closed its group, and
-// until a group with a spare serves.
+// TestTimeFromMemberLoss measures from the kill of a group member until the last entry has stopped
+// routing to the group, and until a group with a spare VM serves.
 func TestTimeFromMemberLoss(t *testing.T) {
-	c := cluster(t)
+	c := startCluster(t)
 	engines := map[string]*harness.Standin{}
 	for _, e := range c.StartEngines(3, "vm", "d1") {
 		engines[e.ID] = e
 	}
 	var closed, repaired []time.Duration
 	for round := range rounds() {
-		g := serving(t, c, 0)
+		g := awaitServingGroup(t, c, 0)
 		awaitRouted(t, c, g.ID)
-		marks := map[string]int{}
+		offsets := map[string]int{}
 		for _, n := range c.Entries() {
-			marks[n.Spec.Name] = len(n.Log())
+			offsets[n.Spec.Name] = len(n.Log())
 		}
 		lost := engines[g.Members[1].VM]
 		lost.Kill()
 		began := time.Now()
-		later := serving(t, c, g.Epoch)
+		later := awaitServingGroup(t, c, g.Epoch)
 		repaired = append(repaired, time.Since(began))
 		assert.Assert(t, later.Epoch > g.Epoch)
-		closed = append(closed, lastClosed(t, c, g.ID, marks).Sub(began))
-		// A VM that flaps is left out longer each time, so a new one comes.
+		closed = append(closed, lastClosed(t, c, g.ID, offsets).Sub(began))
+		// A VM that keeps failing is quarantined longer each time, so each round starts a new VM.
 		spare := "spare" + strconv.Itoa(round)
 		engines[spare] = c.StartEngine(spare, "d1")
-		harness.Await(t, "the new VM is free", func() bool { return free(c, spare) })
+		harness.Await(t, "the new VM is free", func() bool { return isFree(c, spare) })
 	}
-	report(t, "member killed, to the last entry's end of routing", closed)
-	report(t, "member killed, to a repaired group in service", repaired)
+	logTimes(t, "member killed, to the last entry's end of routing", closed)
+	logTimes(t, "member killed, to a repaired group in service", repaired)
 }
 
-func serving(t *testing.T, c *harness.Cluster, after uint64) blackboard.Group {
+// awaitServingGroup waits until a group with an epoch later than after serves, and returns it.
+func awaitServingGroup(t *testing.T, c *harness.Cluster, after uint64) blackboard.Group {
 	t.Helper()
 	var found blackboard.Group
 	harness.Await(t, "a group serves", func() bool {
@@ -159,8 +164,8 @@
 	return found
 }
 
-// awaitRouted waits until each entry's last word on a group is that it routes
-// to it.
+// awaitRouted waits until the newest log line of each entry on the group says that the entry
+// routes to it.
 func awaitRouted(t *testing.T, c *harness.Cluster, id string) {
 	t.Helper()
 	for _, n := range c.Entries() {
@@ -171,7 +176,8 @@
 	}
 }
 
-func free(c *harness.Cluster, vm string) bool {
+// isFree reports whether a VM is alive and in no group.
+func isFree(c *harness.Cluster, vm string) bool {
 	s, err := c.Status()
 	for _, v := range s.VMs {
 		if v.ID == vm && err == nil {
@@ -181,14 +187,14 @@
 	return false
 }
 
-// lastClosed returns when the last entry closed the group, by the time in the
-// entries' own logs; all run on one machine.
-func lastClosed(t *testing.T, c *harness.Cluster, id string, marks map[string]int) time.Time {
+// lastClosed returns when the last entry stopped routing to the group, by the timestamps in the
+// entries' logs. All entries run on one machine, so the timestamps are comparable.
+func lastClosed(t *testing.T, c *harness.Cluster, id string, offsets map[string]int) time.Time {
 	t.Helper()
 	var last time.Time
 	for _, n := range c.Entries() {
 		at := time.Time{}
-		for _, line := range strings.Split(n.Log()[marks[n.Spec.Name]:], "\n") {
+		for _, line := range strings.Split(n.Log()[offsets[n.Spec.Name]:], "\n") {
 			if at.IsZero() && strings.Contains(line, "event=target_closed target="+id) {
 				stamp, _, _ := strings.Cut(strings.TrimPrefix(line, "ts="), " ")
 				var err error
@@ -204,41 +210,43 @@
 	return last
 }
 
-// From an accepted change until it is reported in force: with all entries
-// reachable, and with one behind a cut, whose lease has to run out first.
+// TestTimeToInForceWithAnEntryCutOff measures from the acceptance of a change until the change is
+// reported in force: first with all entries reachable, then with one entry cut off, whose
+// lease must expire first.
 func TestTimeToInForceWithAnEntryCutOff(t *testing.T) {
-	c := cluster(t)
+	c := startCluster(t)
 	cut := c.Node("n4")
-	var reachable, behind []time.Duration
+	var reachable, withEntryCut []time.Duration
 	for round := range rounds() {
-		reachable = append(reachable, inForce(t, c, "r"+strconv.Itoa(round)))
+		reachable = append(reachable, timeToInForce(t, c, "r"+strconv.Itoa(round)))
 		cut.Peers.Cut()
 		for _, n := range c.Nodes {
 			if n != cut {
 				n.Peers.CutFrom(cut)
 			}
 		}
-		behind = append(behind, inForce(t, c, "c"+strconv.Itoa(round)))
-		assert.Assert(t, !cut.Ready(), "in force everywhere, yet the cut-off entry admits")
+		withEntryCut = append(withEntryCut, timeToInForce(t, c, "c"+strconv.Itoa(round)))
+		assert.Assert(t, !cut.Ready(), "the change is in force everywhere, but the cut-off entry still admits requests")
 		for _, n := range c.Nodes {
 			n.Peers.Heal()
 		}
-		harness.Await(t, "the entry is back", cut.Ready)
+		harness.Await(t, "the entry is ready again", cut.Ready)
 	}
-	report(t, "accepted to in force, all entries reachable", reachable)
-	report(t, "accepted to in force, one entry behind a cut", behind)
+	logTimes(t, "accepted to in force, all entries reachable", reachable)
+	logTimes(t, "accepted to in force, one entry behind a cut", withEntryCut)
 }
 
-func inForce(t *testing.T, c *harness.Cluster, id string) time.Duration {
+// timeToInForce makes a change and returns the time from its acceptance until it is in force.
+func timeToInForce(t *testing.T, c *harness.Cluster, id string) time.Duration {
 	t.Helper()
 	status, err := c.Status()
 	assert.NilError(t, err)
-	on := leader(t, c)
+	on := awaitLeader(t, c)
 	change := blackboard.ConfigChange{ChangeID: id, Expect: status.ConfigRevision, UsePreset: "peak"}
 	var reply adminapi.ChangeReply
 	assert.NilError(t, harness.Operate(on, http.MethodPost, adminapi.PathConfiguration, change, &reply))
 	began := time.Now()
-	harness.Await(t, "in force", func() bool {
+	harness.Await(t, "the change is in force", func() bool {
 		var f adminapi.InForce
 		path := adminapi.PathInForce + "?revision=" + strconv.FormatUint(reply.Revision, 10)
 		return harness.Operate(on, http.MethodGet, path, nil, &f) == nil && f.InForce
@@ -246,10 +254,10 @@
 	return time.Since(began)
 }
 
-// From the loss of the quorum until the last entry refuses: the price of the
-// lease.
+// TestTimeFromLostQuorumToRefusal measures from the loss of the quorum until the last entry
+// refuses requests. This time is the cost of entry leases.
 func TestTimeFromLostQuorumToRefusal(t *testing.T) {
-	c := cluster(t)
+	c := startCluster(t)
 	var times []time.Duration
 	for range min(rounds(), 5) {
 		lost := []*harness.Node{c.Node("n1"), c.Node("n2")}
@@ -267,5 +275,5 @@
 		awaitVoters(t, c)
 		c.AwaitReady()
 	}
-	report(t, "quorum lost, to the last entry's refusal", times)
+	logTimes(t, "quorum lost, to the last entry's refusal", times)
 }
--- a/test/process/harness/operator.go
+++ b/test/process/harness/operator.go
@@ -20,21 +20,21 @@
 // operatorTimeout bounds one call of the admin API.
 const operatorTimeout = 10 * time.Second
 
-// direct makes a connection for each request, so that a request is sent once:
-// a reused connection that breaks would make net/http send it again.
-var direct = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// noKeepAliveClient opens a connection for each request, so that each request is sent only once:
+// net/http resends a request when a reused connection breaks.
+var noKeepAliveClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// WorkspaceKey is the key of the workspace "dev" that Found makes.
+// WorkspaceKey is the key of the workspace "dev", which Found creates.
 const WorkspaceKey = "dev-key"
 
-// KeyHash is a workspace key as the configuration holds it.
+// KeyHash returns the hash of a workspace key in the form that the configuration holds.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Operate makes one call of the admin API on one node. A refusal is returned
-// as *failure.Error.
+// Operate sends one admin API call to a node and decodes the answer into reply. It returns a
+// refusal as *failure.Error.
 func Operate(n *Node, method, path string, body, reply any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+AdminToken)
 	request.Header.Set("Content-Type", "application/json")
-	client := *direct
+	client := *noKeepAliveClient
 	client.Timeout = operatorTimeout
 	response, err := client.Do(request)
 	if err != nil {
@@ -58,12 +58,14 @@
 		return errors.Trace(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusalOf(response.StatusCode, data)
+		return parseRefusal(response.StatusCode, data)
 	}
 	return errors.Trace(json.Unmarshal(data, reply))
 }
 
-func refusalOf(status int, data []byte) error {
+// parseRefusal returns the failure in the body of an error response, or an internal failure if
+// the body holds none.
+func parseRefusal(status int, data []byte) error {
 	var refusal failure.Body
 	if json.Unmarshal(data, &refusal) == nil && refusal.Error != nil {
 		return refusal.Error
@@ -71,8 +73,8 @@
 	return failure.New(failure.TypeInternal, "status "+strconv.Itoa(status)+": "+string(data))
 }
 
-// Found founds the cluster with the workspace "dev", a preset "ordinary" in
-// force and one group spec.
+// Found bootstraps the cluster with the workspace "dev", the active preset "ordinary" and the
+// given group specs.
 func (c *Cluster) Found(groups ...blackboard.GroupSpec) {
 	c.T.Helper()
 	initial := blackboard.ConfigChange{
@@ -87,14 +89,14 @@
 	}
 	var reply adminapi.InitReply
 	var last error
-	node := c.firstControl()
+	node := c.firstRunningControl()
 	Await(c.T, "cluster is founded", func() bool {
 		last = Operate(node, http.MethodPost, adminapi.PathInit, adminapi.InitRequest{Initial: initial}, &reply)
 		return last == nil
 	})
 }
 
-func (c *Cluster) firstControl() *Node {
+func (c *Cluster) firstRunningControl() *Node {
 	for _, n := range c.Nodes {
 		if n.Spec.Control && n.Running() {
 			return n
@@ -104,8 +106,7 @@
 	return nil
 }
 
-// Status returns the state of the system by the first control process that
-// answers.
+// Status returns the system's status from the first control node that answers.
 func (c *Cluster) Status() (adminapi.Status, error) {
 	var last error
 	for _, n := range c.Nodes {
@@ -120,12 +121,13 @@
 	return adminapi.Status{}, last
 }
 
-// Change makes a configuration change against the newest revision.
+// Change makes a configuration change on top of the newest revision. It repeats the change until
+// the change is accepted, and fails the test if the change is malformed.
 func (c *Cluster) Change(change blackboard.ConfigChange) {
 	c.T.Helper()
 	shown := ""
-	// Each new reason is noted, so that a change that is never accepted says why.
-	note := func(err error) {
+	// Each new error is logged, so that the log explains a change that is never accepted.
+	logNewReason := func(err error) {
 		if err != nil && err.Error() != shown {
 			shown = err.Error()
 			c.T.Logf("change %s: %s", change.ChangeID, shown)
@@ -134,21 +136,21 @@
 	Await(c.T, "change "+change.ChangeID+" is accepted", func() bool {
 		status, err := c.Status()
 		if err != nil {
-			note(err)
+			logNewReason(err)
 			return false
 		}
 		change.Expect = status.ConfigRevision
 		var reply adminapi.ChangeReply
-		err = Operate(c.firstControl(), http.MethodPost, adminapi.PathConfiguration, change, &reply)
+		err = Operate(c.firstRunningControl(), http.MethodPost, adminapi.PathConfiguration, change, &reply)
 		if failure.Is(err, failure.TypeBadRequest) {
 			c.T.Fatalf("change %s: %v", change.ChangeID, err)
 		}
-		note(err)
+		logNewReason(err)
 		return err == nil
 	})
 }
 
-// AwaitGroups waits until so many serving groups of a model serve.
+// AwaitGroups waits until at least count serving groups of a model are in state serving.
 func (c *Cluster) AwaitGroups(model string, count int) {
 	c.T.Helper()
 	Await(c.T, strconv.Itoa(count)+" groups of "+model+" serve", func() bool {
@@ -166,7 +168,7 @@
 	})
 }
 
-// AwaitReady waits until every entry that runs is ready.
+// AwaitReady waits until every running entry is ready.
 func (c *Cluster) AwaitReady() {
 	c.T.Helper()
 	for _, n := range c.Entries() {
@@ -176,9 +178,9 @@
 	}
 }
 
-// Ready asks a node's entry whether its balancer may send callers.
+// Ready reports whether the node's entry answers its load balancer's health check as ready.
 func (n *Node) Ready() bool {
-	client := *direct
+	client := *noKeepAliveClient
 	client.Timeout = operatorTimeout
 	response, err := client.Get("http://" + n.Entry + "/ready")
 	if err != nil {
--- a/test/process/harness/ports.go
+++ b/test/process/harness/ports.go
@@ -7,42 +7,43 @@
 	"sync"
 )
 
-// Ports come from below the range from which Linux takes the ports of outgoing
-// connections (32768 and up): a port of a process that a test has killed would
-// else be taken by someone's connection before the process is back.
+// Ports are below 32768, where Linux's range for the local ports of outgoing connections begins.
+// Otherwise an outgoing connection could take the port of a killed process before the process
+// restarts.
 //
-// They are dealt out in blocks. A test process holds its block by listening on
-// the block's first port for as long as it lives, so that two test processes
-// side by side never pick the same port between the look and the use.
+// Each test process allocates ports from a block of its own. It reserves the block by listening
+// on the block's first port until it ends. Otherwise two test processes that run at once could
+// pick the same port between the check that the port is free and its use.
 const (
-	firstPort = 15000
-	blockSize = 1600
-	blocks    = 11
-	loopback  = "127.0.0.1"
+	firstPort  = 15000
+	blockSize  = 1600
+	blockCount = 11
+	loopback   = "127.0.0.1"
 )
 
 var ports struct {
 	sync.Mutex
-	// held keeps the block; first is its first port.
-	held  net.Listener
-	first int
-	next  int
+	// blockListener reserves the block and first is the block's first port. next is the offset in
+	// the block of the port that was returned last.
+	blockListener net.Listener
+	first         int
+	next          int
 }
 
-// FreeAddress returns an address on the loopback interface that nobody listens
-// on and that no other call of this process has returned of late.
+// FreeAddress returns a loopback address that has no listener. It returns the same address again
+// only after all others of this process's block.
 func FreeAddress(t T) string {
 	t.Helper()
 	return FreeAddressOn(t, loopback)
 }
 
-// FreeAddressOn is FreeAddress on an IP number of the loopback range.
+// FreeAddressOn is FreeAddress for a given IP address of the loopback range.
 func FreeAddressOn(t T, host string) string {
 	t.Helper()
 	ports.Lock()
 	defer ports.Unlock()
-	if ports.held == nil && !holdBlock() {
-		t.Fatalf("no free block of ports: %d test processes run already", blocks)
+	if ports.blockListener == nil && !reserveBlock() {
+		t.Fatalf("no free block of ports: %d test processes run already", blockCount)
 	}
 	for range blockSize {
 		ports.next = ports.next%(blockSize-1) + 1
@@ -58,14 +59,14 @@
 	return ""
 }
 
-// holdBlock takes the first block that no other test process holds, beginning
-// at one that depends on the process.
-func holdBlock() bool {
-	for i := range blocks {
-		first := firstPort + (os.Getpid()+i)%blocks*blockSize
+// reserveBlock reserves the first block that no other test process has reserved. The search
+// starts at a block that depends on the process id.
+func reserveBlock() bool {
+	for i := range blockCount {
+		first := firstPort + (os.Getpid()+i)%blockCount*blockSize
 		held, err := net.Listen("tcp", net.JoinHostPort(loopback, strconv.Itoa(first)))
 		if err == nil {
-			ports.held, ports.first = held, first
+			ports.blockListener, ports.first = held, first
 			return true
 		}
 	}
--- a/test/process/silence_test.go
+++ b/test/process/silent_connections_test.go
@@ -11,18 +11,18 @@
 	"github.com/citronstep/citronstep/test/process/harness"
 )
 
-// Lookups hang all afternoon while new connections work at once: a firewall
-// between entry and engines has lost track of the open connections. Requests
-// under way on them, and those that find them idle in the pool, must be
-// answered over new ones.
+// Guards against requests that hang on dead connections. A firewall between entry and engines
+// loses the state of the open connections and drops their packets, while new connections work.
+// Requests in flight on the dead connections, and requests that take an idle one from the pool,
+// must be answered over new connections.
 func TestSilentEngineConnectionsAreReplaced(t *testing.T) {
 	t.Parallel()
-	c, engines := smallSystem(t, small(quick), 2, "-token-interval", "10ms")
+	c, engines := startServingCluster(t, twoNodeSpec(shortTimeouts), 2, "-token-interval", "10ms")
 	entry := c.Entries()[0].Entry
-	ask := func(count int) (wait func()) {
+	startLookups := func(count int) (wait func()) {
 		var wg sync.WaitGroup
 		for range count {
-			request := harness.Completion{Model: "demo", Prompt: newPrompt("lookup"), MaxTokens: 100, Stream: true}
+			request := harness.Completion{Model: "demo", Prompt: uniquePrompt("lookup"), MaxTokens: 100, Stream: true}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
@@ -32,11 +32,11 @@
 		}
 		return wg.Wait
 	}
-	ask(8)()
+	startLookups(8)()
 	before := len(c.Runs())
-	wait := ask(4)
-	// The connections go silent in the middle of streams: before a stream's
-	// header the client's own deadline would find it.
+	wait := startLookups(4)
+	// The test silences the connections in the middle of streams. Before a stream's
+	// header, the client's own header timeout would detect the dead connection.
 	harness.Await(t, "four streams run", func() bool { return len(c.Runs()) >= before+4 })
 	silenced := 0
 	for _, e := range engines {
@@ -44,14 +44,14 @@
 	}
 	assert.Assert(t, silenced > 0)
 	wait()
-	ask(8)()
+	startLookups(8)()
 }
 
-// The same with a plain service, whose answer has no keep-alives: a call on a
-// silent connection waits for its deadline. It must be the last one that does.
+// Guards against repeated time-outs on dead connections to a plain service, whose answers have no
+// keep-alives. A call on a dead connection waits until its deadline. No later call may do so.
 func TestSilentServiceConnectionsAreReplaced(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, small(quick), 1)
+	c, _ := startServingCluster(t, twoNodeSpec(shortTimeouts), 1)
 	service := c.StartService("audit-1", "audit")
 	entry := c.Entries()[0]
 	awaitService(t, entry, "audit")
@@ -73,17 +73,17 @@
 	}
 }
 
-// Entries stop following the configuration though all is well: the connections
-// between the system's own processes have gone silent. A change must come into
-// force on every entry over new ones.
+// Guards against entries that stop following the configuration because the open connections
+// between the system's own processes drop all packets. A change must come into force on every
+// entry over new connections.
 func TestSilentConnectionsBetweenOwnProcessesAreReplaced(t *testing.T) {
 	t.Parallel()
-	c, _ := smallSystem(t, harness.Standard(), 1)
+	c, _ := startServingCluster(t, harness.Standard(), 1)
 	for _, n := range c.Nodes {
 		n.Peers.Silence()
 	}
 	c.Change(blackboard.ConfigChange{ChangeID: "class", Classes: []blackboard.RequestClass{{Name: "night", Worth: 1}}})
 	for _, n := range c.Entries() {
-		awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: newPrompt("night"), MaxTokens: 2, Class: "night"})
+		awaitAnswer(t, n, harness.Completion{Model: "demo", Prompt: uniquePrompt("night"), MaxTokens: 2, Class: "night"})
 	}
 }
