--- a/internal/entry/memory_budget.go
+++ b/internal/entry/memory_budget.go
@@ -81,19 +81,21 @@
 	}
 }
 
-// Body is a request's body whose bytes count towards the entry's memory budget.
-type Body struct {
+// LimitedBody is a request's body whose bytes count towards the entry's memory budget.
+type LimitedBody struct {
 	from     io.Reader
 	memory   *memoryBudget
 	reserved int
 }
 
-// HoldBody returns the body of a request. Its bytes count towards the memory budget from when
+// LimitBody returns the body of a request. Its bytes count towards the memory budget from when
 // they are read until Release.
-func (s *Server) HoldBody(from io.Reader) *Body { return &Body{from: from, memory: s.memory} }
+func (s *Server) LimitBody(from io.Reader) *LimitedBody {
+	return &LimitedBody{from: from, memory: s.memory}
+}
 
 // Read reads the body. It fails if the memory budget has no capacity for more.
-func (b *Body) Read(p []byte) (int, error) {
+func (b *LimitedBody) Read(p []byte) (int, error) {
 	n, err := b.from.Read(p)
 	if !b.memory.tryReserve(n) {
 		return 0, errors.Trace(errMemoryLimit)
@@ -103,10 +105,10 @@
 }
 
 // Release releases the bytes of the body.
-func (b *Body) Release() {
+func (b *LimitedBody) Release() {
 	b.memory.release(b.reserved)
 	b.reserved = 0
 }
 
-// IsMemory reports whether a body could not be read because the memory budget was used up.
-func IsMemory(err error) bool { return errors.Is(err, errMemoryLimit) }
+// IsMemoryLimit reports whether a body could not be read because the memory budget was used up.
+func IsMemoryLimit(err error) bool { return errors.Is(err, errMemoryLimit) }
