--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -267,7 +267,7 @@
 	_, e, _ := send(s, ForwardRequest{Path: "/many/x"})
 	assert.Equal(t, e.Type, failure.TypeConfigurationStale)
 	assert.Equal(t, e.Ran, failure.RanNo)
-	assert.Assert(t, s.Ready() != nil)
+	assert.Assert(t, s.NotReadyReason() != nil)
 }
 
 // Backend servers lose the answers of some requests that may run again. The retries must be
@@ -344,6 +344,6 @@
 		s.o.Settings.ServeWithoutLease = on
 		_, e, _ := send(s, ForwardRequest{Path: "/many/x"})
 		assert.Equal(t, e == nil, on)
-		assert.Equal(t, s.Ready() == nil, on)
+		assert.Equal(t, s.NotReadyReason() == nil, on)
 	}
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -253,17 +253,17 @@
 
 // serveReady answers the load balancer's readiness probe.
 func (s *Server) serveReady(c echo.Context) error {
-	if e := s.Ready(); e != nil {
+	if e := s.NotReadyReason(); e != nil {
 		return e
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// Leaving reports whether the entry has asked its load balancer to stop sending.
-func (s *Server) Leaving() bool { return s.leaving.Load() }
+// IsLeaving reports whether the entry has asked its load balancer to stop sending.
+func (s *Server) IsLeaving() bool { return s.leaving.Load() }
 
-// Ready returns why the load balancer should not send callers here, or nil.
-func (s *Server) Ready() *failure.Error {
+// NotReadyReason returns why the load balancer should not send callers here, or nil.
+func (s *Server) NotReadyReason() *failure.Error {
 	if s.leaving.Load() {
 		return failure.New(failure.TypeDraining, "this entry is stopping")
 	}
