--- a/internal/entry/key_home.go
+++ b/internal/entry/key_home.go
@@ -147,11 +147,11 @@
 	return &noderpc.ReleaseReply{}, nil
 }
 
-// Home returns the service that this entry offers its peers as the home of keys.
-func (s *Server) Home() HomeService { return localHome{s} }
+// KeyHome returns the service that this entry offers its peers as the home of keys.
+func (s *Server) KeyHome() KeyHomeService { return localHome{s} }
 
-// HomeService is the part of the entries' protocol that homes serve.
-type HomeService interface {
+// KeyHomeService is the part of the entries' protocol that homes serve.
+type KeyHomeService interface {
 	Hold(context.Context, *noderpc.HoldRequest) (*noderpc.HoldReply, error)
 	Release(context.Context, *noderpc.ReleaseRequest) (*noderpc.ReleaseReply, error)
 	LendRetry(context.Context, *noderpc.LendRetryRequest) (*noderpc.LendRetryReply, error)
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -102,7 +102,7 @@
 	if n.entry == nil {
 		return noEntryRole{}
 	}
-	return n.entry.Home()
+	return n.entry.KeyHome()
 }
 
 // noEntryRole implements noderpc.Entries on a process without the entry role. It refuses
