--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -126,7 +126,7 @@
 // configuredServer returns an entry that has applied its configuration.
 func configuredServer(t *testing.T, f *scriptedForwarder) *Server {
 	s := unconfiguredServer(t, f)
-	s.BoardChanged(s.o.Follower.Board())
+	s.ApplyBoard(s.o.Follower.Board())
 	s.updateRoutes()
 	return s
 }
@@ -319,7 +319,7 @@
 		answered <- w.Body.String()
 	}()
 	s.updateRoutes()
-	s.BoardChanged(s.o.Follower.Board())
+	s.ApplyBoard(s.o.Follower.Board())
 	s.updateRoutes()
 	assert.Equal(t, <-answered, "own")
 }
--- a/internal/entry/homes_test.go
+++ b/internal/entry/homes_test.go
@@ -36,7 +36,7 @@
 	}
 	board.Config.Routes = routes
 	s.o.Follower = fixedBoard{board: board, lease: time.Minute}
-	s.BoardChanged(board)
+	s.ApplyBoard(board)
 	s.updateRoutes()
 	return s
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -161,8 +161,8 @@
 // Run keeps the routes up to date until the context ends.
 func (s *Server) Run(ctx context.Context) { s.keepRoutes(ctx) }
 
-// BoardChanged applies a new board to the policy and the routes.
-func (s *Server) BoardChanged(b *blackboard.Board) {
+// ApplyBoard applies a new board to the policy and the routes.
+func (s *Server) ApplyBoard(b *blackboard.Board) {
 	s.updateEntries(b)
 	s.waitEstimates.loadBoard(b)
 	if b.Config.Revision != s.policyRevision {
@@ -196,8 +196,8 @@
 	s.holders.assumeBegun(time.Now())
 }
 
-// Announced processes the parts of an announcement other than liveness.
-func (s *Server) Announced(a backend.Announcement) { s.cacheEvents(a) }
+// HandleAnnouncement processes the parts of an announcement other than liveness.
+func (s *Server) HandleAnnouncement(a backend.Announcement) { s.cacheEvents(a) }
 
 // Handler returns the callers' API.
 func (s *Server) Handler() http.Handler {
@@ -340,8 +340,8 @@
 	}
 }
 
-// Sample sets the gauges of the entry role.
-func (s *Server) Sample() {
+// SetGauges sets the gauges of the entry role.
+func (s *Server) SetGauges() {
 	open, _ := s.jobs.counts()
 	routes, waiting := s.dispatcher.counts()
 	s.o.Metrics.Sample(metrics.EntrySample{
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -132,7 +132,7 @@
 		case <-ticker.C:
 			n.metrics.SampleInvariants()
 			if n.entry != nil {
-				n.entry.Sample()
+				n.entry.SetGauges()
 			}
 		case <-ctx.Done():
 			return
@@ -282,7 +282,7 @@
 
 func (n *Node) onBoardChange(b *blackboard.Board) {
 	if n.entry != nil {
-		n.entry.BoardChanged(b)
+		n.entry.ApplyBoard(b)
 	}
 }
 
@@ -296,7 +296,7 @@
 
 func (n *Node) onAnnouncement(a backend.Announcement) {
 	if n.entry != nil {
-		n.entry.Announced(a)
+		n.entry.HandleAnnouncement(a)
 	}
 }
 
