--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -228,7 +228,7 @@
 		// A pool that has not failed over within this time is not about to.
 		return nil, noBackendServer()
 	}
-	slots, limited := d.picker.Places(now, j.placeBy(now), j.model, j.homes)
+	slots, limited := d.picker.SendCapacity(now, j.placeBy(now), j.model, j.homes)
 	if limited && slots == 0 {
 		return nil, rateLimitRefusal()
 	}
--- a/internal/placement/cold_test.go
+++ b/internal/placement/cold_test.go
@@ -152,7 +152,7 @@
 	cold := ColdLimit(1, 2)
 	p.LimitRate(start, "s", Cold, &cold)
 	p.Started(start, "a", "g000", 1)
-	_, limited := p.Places(start, at(time.Second), "m", nil)
+	_, limited := p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Assert(t, !limited)
 	_, isTemporary, throttled := p.Throttled(start, Request{Model: "m"})
 	assert.Assert(t, throttled && isTemporary)
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -265,10 +265,10 @@
 	return nextSend, isTemporary, !nextSend.IsZero()
 }
 
-// Places returns how many requests this entry may send to the backend servers of a model, in
+// SendCapacity returns how many requests this entry may send to the backend servers of a model, in
 // the given regions, from now until a time. limited is false if one of them has no rate limit,
 // or one that ends by itself.
-func (p *Picker) Places(now, until time.Time, model string, homes []string) (capacity int, limited bool) {
+func (p *Picker) SendCapacity(now, until time.Time, model string, homes []string) (capacity int, limited bool) {
 	pool := p.pools[model]
 	if pool == nil {
 		return 0, false
