--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -341,7 +341,7 @@
 		d.mu.Lock()
 		now := time.Now()
 		g, ok := d.pickTarget(now, j)
-		opensAt, isTemporary, throttled := d.picker.Throttled(now, j.placementRequest(j.reserve))
+		opensAt, isTemporary, throttled := d.picker.RateLimitedUntil(now, j.placementRequest(j.reserve))
 		changed := d.changed
 		d.mu.Unlock()
 		if ok {
@@ -383,7 +383,7 @@
 	now := time.Now()
 	best, found := route{}, false
 	for _, r := range d.routes {
-		if r.pool != pool || !allowsRegion(homes, r.region) || d.picker.Shut(now, r.target) {
+		if r.pool != pool || !allowsRegion(homes, r.region) || d.picker.IsRateLimited(now, r.target) {
 			continue
 		}
 		if !found || r.requestCount < best.requestCount || (r.requestCount == best.requestCount && r.target < best.target) {
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -242,10 +242,10 @@
 	return limit.PerSecond / float64(sharing), float64(rank) / float64(sharing)
 }
 
-// Throttled reports whether the rate limits of their backend servers block all targets that a
+// RateLimitedUntil reports whether the rate limits of their backend servers block all targets that a
 // request may use, and when the first of them may receive a request again. isTemporary is true
 // if one of these limits ends by itself, perhaps sooner.
-func (p *Picker) Throttled(now time.Time, r Request) (nextSend time.Time, isTemporary, throttled bool) {
+func (p *Picker) RateLimitedUntil(now time.Time, r Request) (nextSend time.Time, isTemporary, throttled bool) {
 	pool := p.pools[r.Model]
 	if pool == nil {
 		return time.Time{}, false, false
@@ -286,9 +286,9 @@
 	return capacity, limited
 }
 
-// Shut reports whether the rate limit of a target's backend server blocks requests of this
+// IsRateLimited reports whether the rate limit of a target's backend server blocks requests of this
 // entry now.
-func (p *Picker) Shut(now time.Time, id string) bool {
+func (p *Picker) IsRateLimited(now time.Time, id string) bool {
 	t := p.targets[id]
 	return t != nil && t.throttle.isBlocked(now)
 }
--- a/internal/placement/throttle_test.go
+++ b/internal/placement/throttle_test.go
@@ -146,9 +146,9 @@
 	}
 	busy.LimitRate(at(time.Second), "s", Named, &limit)
 	idle.LimitRate(at(time.Second), "s", Named, &limit)
-	assert.Assert(t, !idle.Shut(at(time.Second), "g000"))
-	assert.Assert(t, busy.Shut(at(4900*time.Millisecond), "g000"))
-	assert.Assert(t, !busy.Shut(at(time.Second+namedWindow), "g000"))
+	assert.Assert(t, !idle.IsRateLimited(at(time.Second), "g000"))
+	assert.Assert(t, busy.IsRateLimited(at(4900*time.Millisecond), "g000"))
+	assert.Assert(t, !busy.IsRateLimited(at(time.Second+namedWindow), "g000"))
 }
 
 // Guards against a limit that is lost when another group forms behind the same head.
@@ -161,14 +161,14 @@
 	p.LimitRate(start, "s", Named, &limit)
 	p.Started(start, "a", "g000", 1)
 	p.SetTargets(start, list[1:])
-	assert.Assert(t, p.Shut(at(900*time.Millisecond), "g001"))
-	assert.Assert(t, !p.Shut(at(time.Second), "g001"))
+	assert.Assert(t, p.IsRateLimited(at(900*time.Millisecond), "g001"))
+	assert.Assert(t, !p.IsRateLimited(at(time.Second), "g001"))
 
-	nextSend, _, throttled := p.Throttled(at(900*time.Millisecond), Request{Model: "m"})
+	nextSend, _, throttled := p.RateLimitedUntil(at(900*time.Millisecond), Request{Model: "m"})
 	assert.Assert(t, throttled)
 	assert.Equal(t, nextSend, at(time.Second))
 	p.LimitRate(start, "s", Named, nil)
-	assert.Assert(t, !p.Shut(start, "g001"))
+	assert.Assert(t, !p.IsRateLimited(start, "g001"))
 }
 
 // Guards against a burst of all entries that have each saved up one request.
