--- a/internal/loadtest/entry_test.go
+++ b/internal/loadtest/entry_test.go
@@ -120,7 +120,7 @@
 	now := e.w.c.time()
 	for {
 		r, expired, ok := e.queue.Next(now, func(r admission.Request) bool {
-			return e.picker.HasRoom(now, placement.Request{Model: r.Model, Tokens: r.Tokens, Reserve: r.Reserve})
+			return e.picker.HasCapacity(now, placement.Request{Model: r.Model, Tokens: r.Tokens, Reserve: r.Reserve})
 		})
 		e.refuse(expired)
 		if !ok {
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -46,7 +46,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(capacityCacheTTL)
-		if p.HasRoom(now, Request{Model: "m", Tokens: 50000}) {
+		if p.HasCapacity(now, Request{Model: "m", Tokens: 50000}) {
 			b.Fatal("room")
 		}
 	}
--- a/internal/placement/health_test.go
+++ b/internal/placement/health_test.go
@@ -88,15 +88,15 @@
 		assert.Assert(t, c.ID >= "g004", c.ID)
 	}
 	p.SetTargets(start, groups(4))
-	assert.Assert(t, !p.HasRoom(start, Request{Model: "m", Tokens: 100}))
-	assert.Assert(t, p.HasRoom(at(domainBackoff), Request{Model: "m", Tokens: 100}))
+	assert.Assert(t, !p.HasCapacity(start, Request{Model: "m", Tokens: 100}))
+	assert.Assert(t, p.HasCapacity(at(domainBackoff), Request{Model: "m", Tokens: 100}))
 }
 
 func TestCancelledAttemptIsNotAFailure(t *testing.T) {
 	p := newPicker(1)
 	p.Started(start, "a", "g000", 100)
 	p.Finished(start, "a", Result{Cancelled: true})
-	assert.Assert(t, p.HasRoom(start, Request{Model: "m", Tokens: 100}))
+	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 100}))
 	assert.Equal(t, p.targets["g000"].own, 0)
 }
 
@@ -180,10 +180,10 @@
 	p := newPicker(1)
 	p.Started(start, "a", "g000", 100)
 	p.Finished(start, "a", Result{RetryAfter: 5 * time.Second})
-	assert.Assert(t, !p.HasRoom(at(4900*time.Millisecond), Request{Model: "m", Tokens: 100}))
-	assert.Assert(t, p.HasRoom(at(5*time.Second), Request{Model: "m", Tokens: 100}))
+	assert.Assert(t, !p.HasCapacity(at(4900*time.Millisecond), Request{Model: "m", Tokens: 100}))
+	assert.Assert(t, p.HasCapacity(at(5*time.Second), Request{Model: "m", Tokens: 100}))
 
 	p.Started(start, "b", "g000", 100)
 	p.Finished(start, "b", Result{RetryAfter: time.Hour})
-	assert.Assert(t, p.HasRoom(at(maxRetryAfter), Request{Model: "m", Tokens: 100}))
+	assert.Assert(t, p.HasCapacity(at(maxRetryAfter), Request{Model: "m", Tokens: 100}))
 }
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -122,9 +122,9 @@
 	ReasonLeastLoaded Reason = "least_loaded"
 	// ReasonProbe means that the target is slow and is tried again.
 	ReasonProbe Reason = "probe_slow"
-	// ReasonNoRoom means that the target is the least loaded, although no target has free
+	// ReasonNoCapacity means that the target is the least loaded, although no target has free
 	// capacity.
-	ReasonNoRoom Reason = "no_room"
+	ReasonNoCapacity Reason = "no_room"
 )
 
 // Choice is the result of Pick.
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -35,8 +35,8 @@
 	sort.Slice(p.targets, func(i, j int) bool { return p.targets[i].ID < p.targets[j].ID })
 }
 
-// HasRoom reports whether some target has free capacity for a request now.
-func (p *Picker) HasRoom(now time.Time, r Request) bool {
+// HasCapacity reports whether some target has free capacity for a request now.
+func (p *Picker) HasCapacity(now time.Time, r Request) bool {
 	pool := p.pools[r.Model]
 	if pool == nil {
 		return false
@@ -117,7 +117,7 @@
 func (c *choice) result(cached int) Choice {
 	out := Choice{ID: c.best.ID, Score: c.bestScore, Reason: c.bestReason}
 	if c.bestScore >= noCapacityCost {
-		out.Reason = ReasonNoRoom
+		out.Reason = ReasonNoCapacity
 	}
 	if out.Reason == ReasonCached {
 		out.Cached = cached
--- a/internal/placement/picker_test.go
+++ b/internal/placement/picker_test.go
@@ -76,7 +76,7 @@
 	p := newPicker(10)
 	for i := range 60 {
 		c := mustPick(t, p, start, Request{Tokens: 900, Prefix: []uint64{42}})
-		assert.Assert(t, c.Reason != ReasonNoRoom)
+		assert.Assert(t, c.Reason != ReasonNoCapacity)
 		p.Started(start, fmt.Sprint(i), c.ID, 900)
 	}
 	mean := p.pools["m"].meanLoad()
@@ -126,9 +126,9 @@
 	// The other entries hold an eighth of this entry's work and are assumed to have sent an
 	// eighth of it since.
 	assert.Equal(t, p.targets["g000"].load, 4500+5000*1.125)
-	assert.Assert(t, !p.HasRoom(at(time.Second), Request{Model: "m", Tokens: 2000}))
+	assert.Assert(t, !p.HasCapacity(at(time.Second), Request{Model: "m", Tokens: 2000}))
 	p.Finished(at(time.Second), "unseen", Result{OK: true})
-	assert.Assert(t, p.HasRoom(at(time.Second), Request{Model: "m", Tokens: 2000}))
+	assert.Assert(t, p.HasCapacity(at(time.Second), Request{Model: "m", Tokens: 2000}))
 }
 
 // Guards against a group that stays full for ever. Its last report says that it is full with
@@ -136,8 +136,8 @@
 func TestTargetThatStoppedReportingIsUsedAgain(t *testing.T) {
 	p := newPicker(1)
 	p.Report(start, "g000", Load{Running: 9, TokensInFlight: 10000, At: start})
-	assert.Assert(t, !p.HasRoom(at(time.Second), Request{Model: "m", Tokens: 500}))
-	assert.Assert(t, p.HasRoom(at(2*staleAfter), Request{Model: "m", Tokens: 500}))
+	assert.Assert(t, !p.HasCapacity(at(time.Second), Request{Model: "m", Tokens: 500}))
+	assert.Assert(t, p.HasCapacity(at(2*staleAfter), Request{Model: "m", Tokens: 500}))
 }
 
 // Guards against ignored reports from an engine whose clock is an hour ahead.
@@ -168,7 +168,7 @@
 	low := limit()
 	for i := range 20 {
 		now := at(time.Duration(10+i) * time.Second)
-		assert.Assert(t, !p.HasRoom(now, Request{Model: "m", Tokens: 4000}))
+		assert.Assert(t, !p.HasCapacity(now, Request{Model: "m", Tokens: 4000}))
 		p.Report(now, "g000", Load{Running: 10, TokensInFlight: 10000, At: now})
 	}
 	assert.Assert(t, limit() > low*1.5)
@@ -191,7 +191,7 @@
 	p := New(Options{DataCentre: "dc"})
 	p.SetTargets(start, []Target{{ID: "s", DataCentre: "dc", Model: "files", Plain: true}})
 	calls := 0
-	for p.HasRoom(start, Request{Model: "files", Tokens: 1}) {
+	for p.HasCapacity(start, Request{Model: "files", Tokens: 1}) {
 		p.Started(start, fmt.Sprint(calls), "s", 1)
 		calls++
 	}
@@ -247,8 +247,8 @@
 	p := newPicker(1)
 	p.Started(start, "long", "g000", 5000)
 	p.Progress(start, "long", 1)
-	assert.Assert(t, !p.HasRoom(start, Request{Model: "m", Tokens: 4200}))
-	assert.Assert(t, p.HasRoom(start, Request{Model: "m", Tokens: 3000}))
+	assert.Assert(t, !p.HasCapacity(start, Request{Model: "m", Tokens: 4200}))
+	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 3000}))
 }
 
 // Guards against short requests that wait behind several long prompts. Long requests arrive
@@ -257,18 +257,18 @@
 	p := New(Options{DataCentre: "dc"})
 	p.SetTargets(start, []Target{{ID: "g", DataCentre: "dc", Model: "m", Capacity: 100000}})
 	p.Started(start, "first", "g", 5000)
-	assert.Assert(t, !p.HasRoom(start, Request{Model: "m", Tokens: 5000}))
-	assert.Assert(t, p.HasRoom(start, Request{Model: "m", Tokens: 500}))
+	assert.Assert(t, !p.HasCapacity(start, Request{Model: "m", Tokens: 5000}))
+	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 500}))
 	p.Progress(start, "first", 1)
-	assert.Assert(t, p.HasRoom(start, Request{Model: "m", Tokens: 5000}))
+	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 5000}))
 }
 
 func TestReserveKeepsCapacityForGreaterWorth(t *testing.T) {
 	p := newPicker(1)
 	p.Started(start, "a", "g000", 4000)
 	p.Started(start, "b", "g000", 4000)
-	assert.Assert(t, !p.HasRoom(start, Request{Model: "m", Tokens: 1500, Reserve: 0.1}))
-	assert.Assert(t, p.HasRoom(start, Request{Model: "m", Tokens: 1500}))
+	assert.Assert(t, !p.HasCapacity(start, Request{Model: "m", Tokens: 1500, Reserve: 0.1}))
+	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 1500}))
 }
 
 // Guards against requests lost with a data centre. One of three data centres fails and its
@@ -334,7 +334,7 @@
 		p := New(Options{Seed: seed, DataCentre: "dc"})
 		p.SetEntries([]string{"a", "b", "c", "d", "e", "f"})
 		p.SetTargets(start, groups(targets))
-		for n := 0; p.HasRoom(start, Request{Model: "m", Tokens: tokens}); n++ {
+		for n := 0; p.HasCapacity(start, Request{Model: "m", Tokens: tokens}); n++ {
 			c, ok := p.Pick(start, Request{ID: fmt.Sprint(n), Model: "m", Tokens: tokens})
 			assert.Assert(t, ok)
 			p.Started(start, fmt.Sprint(n), c.ID, tokens)
--- a/internal/placement/throttle_test.go
+++ b/internal/placement/throttle_test.go
@@ -70,7 +70,7 @@
 		limit := NamedLimit(w.limit)
 		p.LimitRate(now, "s0", Named, &limit)
 	}
-	if !p.HasRoom(now, Request{Model: "m", Tokens: 100}) {
+	if !p.HasCapacity(now, Request{Model: "m", Tokens: 100}) {
 		w.refused++
 		return
 	}
