--- a/internal/placement/picker_test.go
+++ b/internal/placement/picker_test.go
@@ -315,12 +315,12 @@
 		now := at(time.Duration(i) * 200 * time.Millisecond)
 		p.Report(now, "g000", Load{Running: 1, TokensInFlight: 3000, At: now})
 	}
-	assert.Assert(t, p.Stats(at(time.Minute))[0].Others < 1.1)
+	assert.Assert(t, p.Stats(at(time.Minute))[0].WorkRatio < 1.1)
 	for i := range 500 {
 		now := at(time.Duration(1000+i) * 200 * time.Millisecond)
 		p.Report(now, "g000", Load{Running: 3, TokensInFlight: 9000, At: now})
 	}
-	assert.Assert(t, p.Stats(at(time.Minute))[0].Others > 2.5)
+	assert.Assert(t, p.Stats(at(time.Minute))[0].WorkRatio > 2.5)
 }
 
 // Guards against overload after an outage of all processes. Each of six entries gets its share
--- a/internal/placement/stats.go
+++ b/internal/placement/stats.go
@@ -7,11 +7,11 @@
 	Target
 	// Load is the estimated work in flight and Limit the most work allowed, both in tokens.
 	Load, Limit float64
-	// Mine is the part of Load that this entry sent, in tokens.
-	Mine int
-	// Part is the fraction of Limit that the target may use now: less than 1 while the target
+	// Own is the part of Load that this entry sent, in tokens.
+	Own int
+	// LimitFraction is the fraction of Limit that the target may use now: less than 1 while the target
 	// is slow or ramps up.
-	Part float64
+	LimitFraction float64
 	// Slow is true if the target is slower than its peers at similar load.
 	Slow bool
 	// Stalled is true while the target holds attempts and none makes progress.
@@ -27,9 +27,9 @@
 // ModelStats describes the targets of one model or plain service.
 type ModelStats struct {
 	Model string
-	// Others is the work in flight of all entries for each token of this entry's.
-	Others  float64
-	Targets []TargetStats
+	// WorkRatio is the work in flight of all entries for each token of this entry's.
+	WorkRatio float64
+	Targets   []TargetStats
 }
 
 // Stats returns the Picker's state, for metrics and status pages. It copies all targets, so
@@ -37,7 +37,7 @@
 func (p *Picker) Stats(now time.Time) []ModelStats {
 	all := make([]ModelStats, 0, len(p.pools))
 	for model, pool := range p.pools {
-		m := ModelStats{Model: model, Others: pool.workRatio}
+		m := ModelStats{Model: model, WorkRatio: pool.workRatio}
 		for _, t := range pool.targets {
 			m.Targets = append(m.Targets, t.stats(now))
 		}
@@ -48,7 +48,7 @@
 
 func (t *target) stats(now time.Time) TargetStats {
 	return TargetStats{
-		Target: t.Target, Load: t.load, Limit: t.limit, Mine: t.own, Part: t.limitFraction(now),
+		Target: t.Target, Load: t.load, Limit: t.limit, Own: t.own, LimitFraction: t.limitFraction(now),
 		Slow: t.pace.isSlow, Stalled: t.isStalled(now), Avoided: t.isAvoided(now), Hints: len(t.hints.blocks), ReportedAt: t.reported.At,
 	}
 }
