--- a/internal/entry/cold_limits.go
+++ b/internal/entry/cold_limits.go
@@ -46,11 +46,11 @@
 
 // setColdLimit applies the limit of a cold backend server on this entry; nil ends it.
 func (s *Server) setColdLimit(incarnation string, limit *placement.RateLimit) {
-	share := s.dispatcher.setRateLimit(time.Now(), incarnation, placement.Cold, limit)
+	share := s.dispatcher.setRateLimit(time.Now(), incarnation, placement.CauseCold, limit)
 	if limit == nil {
 		_ = level.Info(s.o.Logger).Log("event", "cold_ended", "incarnation", incarnation)
 		return
 	}
 	_ = level.Info(s.o.Logger).Log("event", "cold", "incarnation", incarnation, "per_second", limit.PerSecond,
-		"sharing", limit.Sharing, "share", share)
+		"sharing", limit.SharingEntries, "share", share)
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -121,7 +121,7 @@
 func (d *dispatcher) setRateLimit(now time.Time, incarnation string, cause placement.Cause, limit *placement.RateLimit) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	share := d.picker.LimitRate(now, incarnation, cause, limit)
+	share := d.picker.SetRateLimit(now, incarnation, cause, limit)
 	d.dispatchWaiting(now)
 	return share
 }
--- a/internal/entry/rate_limits.go
+++ b/internal/entry/rate_limits.go
@@ -211,7 +211,7 @@
 
 // applyRateLimit puts a changed limit into effect on this entry.
 func (s *Server) applyRateLimit(c limitChange, source string) {
-	share := s.dispatcher.setRateLimit(time.Now(), c.incarnation, placement.Named, c.limit())
+	share := s.dispatcher.setRateLimit(time.Now(), c.incarnation, placement.CauseNamed, c.limit())
 	event := "rate_limit_ended"
 	if c.perSecond != nil {
 		event = "rate_limit_named"
--- a/internal/entry/rate_limits_test.go
+++ b/internal/entry/rate_limits_test.go
@@ -128,7 +128,7 @@
 	s, limit := configuredServer(t, &scriptedForwarder{}), placement.NamedLimit(0.5)
 	now := time.Now()
 	for _, incarnation := range []string{"i-a", "i-b", "i-c"} {
-		s.dispatcher.setRateLimit(now, incarnation, placement.Named, &limit)
+		s.dispatcher.setRateLimit(now, incarnation, placement.CauseNamed, &limit)
 	}
 	for _, target := range []string{"a", "b", "c"} {
 		s.dispatcher.noteIsolated(now, target)
--- a/internal/placement/cold_test.go
+++ b/internal/placement/cold_test.go
@@ -45,7 +45,7 @@
 		p.SetTargets(start, list)
 		for _, target := range list[:5] {
 			if i >= unaware {
-				p.LimitRate(start, target.Server, Cold, &limit)
+				p.SetRateLimit(start, target.Server, CauseCold, &limit)
 			}
 		}
 		w.pickers = append(w.pickers, p)
@@ -134,11 +134,11 @@
 	list[0].Server = "s"
 	p.SetTargets(start, list)
 	named, cold := NamedLimit(1), ColdLimit(10, 20)
-	p.LimitRate(start, "s", Named, &named)
-	both := p.LimitRate(start, "s", Cold, &cold)
+	p.SetRateLimit(start, "s", CauseNamed, &named)
+	both := p.SetRateLimit(start, "s", CauseCold, &cold)
 	assert.Equal(t, both, 1.0)
-	assert.Equal(t, p.LimitRate(start, "s", Named, nil), 10.0)
-	assert.Equal(t, p.LimitRate(start, "s", Cold, nil), 0.0)
+	assert.Equal(t, p.SetRateLimit(start, "s", CauseNamed, nil), 10.0)
+	assert.Equal(t, p.SetRateLimit(start, "s", CauseCold, nil), 0.0)
 	assert.Assert(t, !p.IsRateLimited(start, "g000"))
 }
 
@@ -150,7 +150,7 @@
 	list[0].Server = "s"
 	p.SetTargets(start, list)
 	cold := ColdLimit(1, 2)
-	p.LimitRate(start, "s", Cold, &cold)
+	p.SetRateLimit(start, "s", CauseCold, &cold)
 	p.Started(start, "a", "g000", 1)
 	_, limited := p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Assert(t, !limited)
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -35,19 +35,19 @@
 
 // The causes.
 const (
-	// Named is the cause of a limit that the backend server itself names.
-	Named Cause = iota
-	// Cold is the cause of a limit on a backend server that has just started and is within its
+	// CauseNamed is the cause of a limit that the backend server itself names.
+	CauseNamed Cause = iota
+	// CauseCold is the cause of a limit on a backend server that has just started and is within its
 	// slow-start period. This limit ends by itself.
-	Cold
+	CauseCold
 	causeCount
 )
 
 // RateLimit is how many requests a backend server accepts from all entries together.
 type RateLimit struct {
-	// PerSecond is the total rate, in requests a second. Sharing is how many entries share it.
-	PerSecond float64
-	Sharing   int
+	// PerSecond is the total rate, in requests a second. SharingEntries is how many entries share it.
+	PerSecond      float64
+	SharingEntries int
 	// Window is how far back requests count against the limit when it is put in force.
 	Window time.Duration
 }
@@ -56,7 +56,7 @@
 func NamedLimit(perSecond float64) RateLimit {
 	perSecond = max(perSecond, minRate)
 	const maxExtraSharing = 1 << 20
-	return RateLimit{PerSecond: perSecond, Sharing: baseSharingEntries + int(min(perSecond, maxExtraSharing)), Window: namedWindow}
+	return RateLimit{PerSecond: perSecond, SharingEntries: baseSharingEntries + int(min(perSecond, maxExtraSharing)), Window: namedWindow}
 }
 
 // ColdLimit returns the limit of a cold backend server. perSecond is the rate that its service
@@ -67,7 +67,7 @@
 func ColdLimit(perSecond, allowed float64) RateLimit {
 	sharing := max(1, int(coldSharingFraction*allowed))
 	rate := min(perSecond, (1-coldMarginFraction)*allowed-float64(sharing))
-	return RateLimit{PerSecond: max(rate, minRate), Sharing: sharing, Window: coldWindow}
+	return RateLimit{PerSecond: max(rate, minRate), SharingEntries: sharing, Window: coldWindow}
 }
 
 // throttle paces the requests of this entry to a backend server that limits its rate.
@@ -101,7 +101,7 @@
 func (t *throttle) isBlocked(now time.Time) bool { return t != nil && now.Before(t.nextSend()) }
 
 // isTemporary reports whether the limit ends by itself within seconds.
-func (t *throttle) isTemporary() bool { return t.limits[Named] == nil }
+func (t *throttle) isTemporary() bool { return t.limits[CauseNamed] == nil }
 
 // capacity returns how many requests may be sent between now and until.
 func (t *throttle) capacity(now, until time.Time) int {
@@ -132,9 +132,9 @@
 	}
 }
 
-// LimitRate sets the limit of a backend server for a cause; nil removes it. It returns this
+// SetRateLimit sets the limit of a backend server for a cause; nil removes it. It returns this
 // entry's share of the tightest limit, in requests a second; 0 means no limit or no share.
-func (p *Picker) LimitRate(now time.Time, server string, cause Cause, limit *RateLimit) float64 {
+func (p *Picker) SetRateLimit(now time.Time, server string, cause Cause, limit *RateLimit) float64 {
 	t, known := p.throttles[server]
 	if !known {
 		if limit == nil {
@@ -235,7 +235,7 @@
 			rank++
 		}
 	}
-	sharing := min(max(len(p.entryHashes), rank+1), limit.Sharing)
+	sharing := min(max(len(p.entryHashes), rank+1), limit.SharingEntries)
 	if rank >= sharing {
 		return 0, 0
 	}
--- a/internal/placement/throttle_test.go
+++ b/internal/placement/throttle_test.go
@@ -68,7 +68,7 @@
 	if after >= limitedAt+100*time.Millisecond && len(w.arrivals) > 0 && !w.known[entry] {
 		w.known[entry] = true
 		limit := NamedLimit(w.limit)
-		p.LimitRate(now, "s0", Named, &limit)
+		p.SetRateLimit(now, "s0", CauseNamed, &limit)
 	}
 	if !p.HasCapacity(now, Request{Model: "m", Tokens: 100}) {
 		w.refused++
@@ -144,8 +144,8 @@
 	for i := range 10 {
 		busy.Started(start, fmt.Sprint(i), "g000", 1)
 	}
-	busy.LimitRate(at(time.Second), "s", Named, &limit)
-	idle.LimitRate(at(time.Second), "s", Named, &limit)
+	busy.SetRateLimit(at(time.Second), "s", CauseNamed, &limit)
+	idle.SetRateLimit(at(time.Second), "s", CauseNamed, &limit)
 	assert.Assert(t, !idle.IsRateLimited(at(time.Second), "g000"))
 	assert.Assert(t, busy.IsRateLimited(at(4900*time.Millisecond), "g000"))
 	assert.Assert(t, !busy.IsRateLimited(at(time.Second+namedWindow), "g000"))
@@ -158,7 +158,7 @@
 	list[0].Server, list[1].Server = "s", "s"
 	p := newPicker(0)
 	p.SetTargets(start, list[:1])
-	p.LimitRate(start, "s", Named, &limit)
+	p.SetRateLimit(start, "s", CauseNamed, &limit)
 	p.Started(start, "a", "g000", 1)
 	p.SetTargets(start, list[1:])
 	assert.Assert(t, p.IsRateLimited(at(900*time.Millisecond), "g001"))
@@ -167,7 +167,7 @@
 	nextSend, _, throttled := p.RateLimitedUntil(at(900*time.Millisecond), Request{Model: "m"})
 	assert.Assert(t, throttled)
 	assert.Equal(t, nextSend, at(time.Second))
-	p.LimitRate(start, "s", Named, nil)
+	p.SetRateLimit(start, "s", CauseNamed, nil)
 	assert.Assert(t, !p.IsRateLimited(start, "g001"))
 }
 
@@ -195,10 +195,10 @@
 	list := groups(2)
 	list[0].Server, list[1].Server = "a", "b"
 	p.SetTargets(start, list)
-	p.LimitRate(start, "a", Named, &limit)
+	p.SetRateLimit(start, "a", CauseNamed, &limit)
 	_, limited := p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Assert(t, !limited, "b has no limit")
-	p.LimitRate(start, "b", Named, &limit)
+	p.SetRateLimit(start, "b", CauseNamed, &limit)
 	capacity, limited := p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Assert(t, limited)
 	assert.Equal(t, capacity, 6)
