--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -309,7 +309,7 @@
 		return grant{}, false
 	}
 	g := grant{attempt: j.nextAttempt(), route: d.routes[c.ID]}
-	d.picker.Started(now, g.attempt, c.ID, j.tokens())
+	d.picker.RecordStart(now, g.attempt, c.ID, j.tokens())
 	if j.isGated() {
 		d.gateOf(j.model).Sent()
 		d.awaitingFirstEvent[g.attempt] = j.model
@@ -372,7 +372,7 @@
 func (d *dispatcher) noteIsolated(now time.Time, target string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picker.Sent(now, target)
+	d.picker.RecordSend(now, target)
 }
 
 // leastBusy returns the target of a pool that reports the fewest requests, among those that lie
@@ -409,7 +409,7 @@
 func (d *dispatcher) progress(attempt string, tokens int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picker.Progress(time.Now(), attempt, tokens)
+	d.picker.RecordProgress(time.Now(), attempt, tokens)
 }
 
 func (d *dispatcher) attemptEnded(attempt string, r placement.Result) {
--- a/internal/loadtest/entry_test.go
+++ b/internal/loadtest/entry_test.go
@@ -152,17 +152,17 @@
 	x := &attempt{id: fmt.Sprint(r.ID, "#", e.attempts), request: req, tokens: r.Tokens, worth: req.job.class.worth}
 	started := e.w.c.now
 	first := time.Duration(0)
-	e.picker.Started(now, x.id, choice.ID, r.Tokens)
+	e.picker.RecordStart(now, x.id, choice.ID, r.Tokens)
 	x.onToken = func() {
 		if first == 0 {
 			first = e.w.c.now - started
 		}
-		e.picker.Progress(e.w.c.time(), x.id, 1)
+		e.picker.RecordProgress(e.w.c.time(), x.id, 1)
 		e.w.callers.token(req)
 	}
 	x.onEnd = func(ok bool) {
 		elapsed := e.w.c.now - started
-		e.picker.Finished(e.w.c.time(), x.id, placement.Result{OK: ok, FirstToken: first, Took: elapsed, Tokens: x.produced})
+		e.picker.RecordFinish(e.w.c.time(), x.id, placement.Result{OK: ok, FirstToken: first, Took: elapsed, Tokens: x.produced})
 		e.queue.Done(e.w.c.time(), admission.Outcome{ID: r.ID, Answered: ok, Tokens: r.Tokens, Took: elapsed})
 		e.ended(req, x, ok)
 	}
@@ -197,7 +197,7 @@
 	if x.isEnded {
 		return
 	}
-	e.picker.Finished(now, x.id, placement.Result{Cancelled: true})
+	e.picker.RecordFinish(now, x.id, placement.Result{Cancelled: true})
 	e.w.engine(req.engine).cancel(x)
 	e.sendQueued()
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -13,7 +13,7 @@
 func loadedPicker() *Picker {
 	p := newPicker(benchTargets)
 	for i, t := range groups(benchTargets) {
-		p.Started(start, fmt.Sprint(i), t.ID, 2000+i%5*1000)
+		p.RecordStart(start, fmt.Sprint(i), t.ID, 2000+i%5*1000)
 	}
 	return p
 }
@@ -62,9 +62,9 @@
 	for i := 0; b.Loop(); i++ {
 		id := ids[i%len(ids)]
 		now := start.Add(time.Duration(i) * time.Millisecond)
-		p.Started(now, id, "g123", 500)
-		p.Progress(now, id, 1)
-		p.Finished(now, id, Result{OK: true, Took: time.Second})
+		p.RecordStart(now, id, "g123", 500)
+		p.RecordProgress(now, id, 1)
+		p.RecordFinish(now, id, Result{OK: true, Took: time.Second})
 	}
 }
 
--- a/internal/placement/cold_test.go
+++ b/internal/placement/cold_test.go
@@ -59,8 +59,8 @@
 	for n := 0; next < end; n++ {
 		p, now := w.pickers[w.random.IntN(len(w.pickers))], at(next)
 		if c, ok := p.Pick(now, Request{Model: "m", Tokens: 100}); ok {
-			p.Started(now, fmt.Sprint(n), c.ID, 100)
-			p.Finished(now, fmt.Sprint(n), Result{OK: true, Took: time.Millisecond})
+			p.RecordStart(now, fmt.Sprint(n), c.ID, 100)
+			p.RecordFinish(now, fmt.Sprint(n), Result{OK: true, Took: time.Millisecond})
 			w.arrivals[c.ID] = append(w.arrivals[c.ID], next)
 			w.sent++
 		}
@@ -115,7 +115,7 @@
 		w := newColdPool(entries, 0)
 		for _, p := range w.pickers {
 			for i := 5; i < 10; i++ {
-				p.Started(start, fmt.Sprint("standing-", i), fmt.Sprintf("g%03d", i), 1<<20)
+				p.RecordStart(start, fmt.Sprint("standing-", i), fmt.Sprintf("g%03d", i), 1<<20)
 			}
 		}
 		w.run(520, 8*time.Second)
@@ -151,7 +151,7 @@
 	p.SetTargets(start, list)
 	cold := ColdLimit(1, 2)
 	p.SetRateLimit(start, "s", CauseCold, &cold)
-	p.Started(start, "a", "g000", 1)
+	p.RecordStart(start, "a", "g000", 1)
 	_, limited := p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Assert(t, !limited)
 	_, isTemporary, throttled := p.RateLimitedUntil(start, Request{Model: "m"})
--- a/internal/placement/health_test.go
+++ b/internal/placement/health_test.go
@@ -13,7 +13,7 @@
 func TestSlowTargetIsDistinguishedFromALoadedOne(t *testing.T) {
 	p := newPicker(10)
 	for i := range 10 {
-		p.Started(start, fmt.Sprint(i), fmt.Sprintf("g%03d", i), 1000+500*(i%2))
+		p.RecordStart(start, fmt.Sprint(i), fmt.Sprintf("g%03d", i), 1000+500*(i%2))
 	}
 	for step := range 40 {
 		for i := range 10 {
@@ -21,7 +21,7 @@
 			if i == 3 {
 				tokens = 5
 			}
-			p.Progress(at(time.Duration(step)*500*time.Millisecond), fmt.Sprint(i), tokens)
+			p.RecordProgress(at(time.Duration(step)*500*time.Millisecond), fmt.Sprint(i), tokens)
 		}
 	}
 	now := at(20 * time.Second)
@@ -36,7 +36,7 @@
 	p.targets["g003"].pace.nextProbe = now
 	assert.Equal(t, mustPick(t, p, now, Request{Tokens: 100, Reserve: 0.1}).Reason, ReasonProbe)
 	for step := range 40 {
-		p.Progress(now.Add(time.Duration(step)*500*time.Millisecond), "3", 20)
+		p.RecordProgress(now.Add(time.Duration(step)*500*time.Millisecond), "3", 20)
 	}
 	assert.Assert(t, !p.targets["g003"].pace.isSlow)
 }
@@ -46,15 +46,15 @@
 // progress again.
 func TestStalledTargetIsAvoided(t *testing.T) {
 	p := newPicker(2)
-	p.Started(start, "stuck", "g000", 100)
-	p.Progress(at(time.Second), "stuck", 1)
-	p.Started(start, "busy", "g001", 6000)
+	p.RecordStart(start, "stuck", "g000", 100)
+	p.RecordProgress(at(time.Second), "stuck", 1)
+	p.RecordStart(start, "busy", "g001", 6000)
 	later := at(time.Second + 2*stalledAfter)
-	p.Progress(later, "busy", 1)
+	p.RecordProgress(later, "busy", 1)
 	for range 50 {
 		assert.Equal(t, mustPick(t, p, later, Request{Tokens: 100}).ID, "g001")
 	}
-	p.Progress(later, "stuck", 1)
+	p.RecordProgress(later, "stuck", 1)
 	assert.Equal(t, mustPick(t, p, later, Request{Tokens: 100}).ID, "g000")
 }
 
@@ -66,7 +66,7 @@
 	sent := 0
 	for i := range 100 {
 		c := mustPick(t, p, start, Request{Tokens: 500})
-		p.Started(start, fmt.Sprint(i), c.ID, 500)
+		p.RecordStart(start, fmt.Sprint(i), c.ID, 500)
 		if c.ID == "g009" {
 			sent++
 		}
@@ -80,8 +80,8 @@
 func TestFailedDomainIsAvoidedAfterHalfOfItsTargetsFailed(t *testing.T) {
 	p := newPicker(8)
 	for _, id := range []string{"g000", "g001"} {
-		p.Started(start, id, id, 100)
-		p.Finished(start, id, Result{})
+		p.RecordStart(start, id, id, 100)
+		p.RecordFinish(start, id, Result{})
 	}
 	for range 100 {
 		c := mustPick(t, p, start, Request{Tokens: 100})
@@ -94,20 +94,20 @@
 
 func TestCancelledAttemptIsNotAFailure(t *testing.T) {
 	p := newPicker(1)
-	p.Started(start, "a", "g000", 100)
-	p.Finished(start, "a", Result{Cancelled: true})
+	p.RecordStart(start, "a", "g000", 100)
+	p.RecordFinish(start, "a", Result{Cancelled: true})
 	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 100}))
 	assert.Equal(t, p.targets["g000"].own, 0)
 }
 
 func TestUnlistedTargetGetsNothingNewAndItsAttemptsEnd(t *testing.T) {
 	p := newPicker(2)
-	p.Started(start, "a", "g001", 100)
+	p.RecordStart(start, "a", "g001", 100)
 	p.SetTargets(start, groups(1))
 	for range 50 {
 		assert.Equal(t, mustPick(t, p, start, Request{Tokens: 10}).ID, "g000")
 	}
-	p.Finished(start, "a", Result{OK: true})
+	p.RecordFinish(start, "a", Result{OK: true})
 	assert.Equal(t, len(p.attempts), 0)
 }
 
@@ -119,13 +119,13 @@
 	fail := func(p *Picker, n int) {
 		for i := range 3 * n {
 			id := fmt.Sprintf("g%03d", i%n)
-			p.Started(start, fmt.Sprint(i), id, 100)
-			p.Finished(start, fmt.Sprint(i), Result{})
+			p.RecordStart(start, fmt.Sprint(i), id, 100)
+			p.RecordFinish(start, fmt.Sprint(i), Result{})
 		}
 		for i := range n {
 			id := fmt.Sprintf("g%03d", i)
-			p.Started(at(maxBackoff), id, id, 100)
-			p.Finished(at(maxBackoff), id, Result{OK: true})
+			p.RecordStart(at(maxBackoff), id, id, 100)
+			p.RecordFinish(at(maxBackoff), id, Result{OK: true})
 		}
 	}
 	all, one := newPicker(10), newPicker(10)
@@ -141,12 +141,12 @@
 func TestReturningTargetKeepsItsAttemptsAndLimit(t *testing.T) {
 	p := newPicker(2)
 	p.targets["g001"].limit = 20000
-	p.Started(start, "a", "g001", 9500)
+	p.RecordStart(start, "a", "g001", 9500)
 	p.SetTargets(start, groups(1))
 	p.SetTargets(start, groups(2))
 	assert.Equal(t, p.targets["g001"].limit, 20000.0)
 	assert.Equal(t, p.targets["g001"].load, 9500.0)
-	p.Finished(start, "a", Result{OK: true})
+	p.RecordFinish(start, "a", Result{OK: true})
 	assert.Equal(t, p.targets["g001"].load, 0.0)
 }
 
@@ -166,8 +166,8 @@
 		if id == "s2" {
 			took = 200 * time.Millisecond
 		}
-		p.Started(start, fmt.Sprint(i), id, 1)
-		p.Finished(start, fmt.Sprint(i), Result{OK: true, Took: took})
+		p.RecordStart(start, fmt.Sprint(i), id, 1)
+		p.RecordFinish(start, fmt.Sprint(i), Result{OK: true, Took: took})
 	}
 	for id, x := range p.targets {
 		assert.Equal(t, x.pace.isSlow, id == "s2", id)
@@ -178,12 +178,12 @@
 // has passed.
 func TestBusyTargetIsAvoidedForItsRetryAfter(t *testing.T) {
 	p := newPicker(1)
-	p.Started(start, "a", "g000", 100)
-	p.Finished(start, "a", Result{RetryAfter: 5 * time.Second})
+	p.RecordStart(start, "a", "g000", 100)
+	p.RecordFinish(start, "a", Result{RetryAfter: 5 * time.Second})
 	assert.Assert(t, !p.HasCapacity(at(4900*time.Millisecond), Request{Model: "m", Tokens: 100}))
 	assert.Assert(t, p.HasCapacity(at(5*time.Second), Request{Model: "m", Tokens: 100}))
 
-	p.Started(start, "b", "g000", 100)
-	p.Finished(start, "b", Result{RetryAfter: time.Hour})
+	p.RecordStart(start, "b", "g000", 100)
+	p.RecordFinish(start, "b", Result{RetryAfter: time.Hour})
 	assert.Assert(t, p.HasCapacity(at(maxRetryAfter), Request{Model: "m", Tokens: 100}))
 }
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -151,7 +151,7 @@
 	// RetryAfter is how long the backend server asked not to receive requests; 0 if it did not
 	// ask.
 	RetryAfter time.Duration
-	// FirstToken and Took are measured from the call of Started.
+	// FirstToken and Took are measured from the call of RecordStart.
 	FirstToken time.Duration
 	Took       time.Duration
 	// Tokens is the number of generated tokens.
--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// Started records that an attempt was sent to a target.
-func (p *Picker) Started(now time.Time, attemptID, targetID string, tokens int) {
+// RecordStart records that an attempt was sent to a target.
+func (p *Picker) RecordStart(now time.Time, attemptID, targetID string, tokens int) {
 	t := p.targets[targetID]
 	_, known := p.attempts[attemptID]
 	if !invariant.Check(!known, "placement_attempt_unique", "attempt %q started twice", attemptID) || t == nil {
@@ -223,8 +223,8 @@
 	t.estimate(now)
 }
 
-// Progress records that an attempt received tokens.
-func (p *Picker) Progress(now time.Time, attemptID string, tokens int) {
+// RecordProgress records that an attempt received tokens.
+func (p *Picker) RecordProgress(now time.Time, attemptID string, tokens int) {
 	a := p.attempts[attemptID]
 	if a == nil {
 		return
@@ -248,8 +248,8 @@
 	}
 }
 
-// Finished records the end of an attempt. Call it once for each attempt.
-func (p *Picker) Finished(now time.Time, attemptID string, r Result) {
+// RecordFinish records the end of an attempt. Call it once for each attempt.
+func (p *Picker) RecordFinish(now time.Time, attemptID string, r Result) {
 	a := p.attempts[attemptID]
 	if a == nil {
 		return
--- a/internal/placement/picker_test.go
+++ b/internal/placement/picker_test.go
@@ -77,7 +77,7 @@
 	for i := range 60 {
 		c := mustPick(t, p, start, Request{Tokens: 900, Prefix: []uint64{42}})
 		assert.Assert(t, c.Reason != ReasonNoCapacity)
-		p.Started(start, fmt.Sprint(i), c.ID, 900)
+		p.RecordStart(start, fmt.Sprint(i), c.ID, 900)
 	}
 	mean := p.pools["m"].meanLoad()
 	for _, x := range p.targets {
@@ -120,14 +120,14 @@
 // would go to one target.
 func TestLateReportIsCorrectedByWorkSentSince(t *testing.T) {
 	p := newPicker(1)
-	p.Started(at(100*time.Millisecond), "counted", "g000", 4000)
-	p.Started(at(600*time.Millisecond), "unseen", "g000", 5000)
+	p.RecordStart(at(100*time.Millisecond), "counted", "g000", 4000)
+	p.RecordStart(at(600*time.Millisecond), "unseen", "g000", 5000)
 	p.Report(at(time.Second), "g000", Load{Running: 1, TokensInFlight: 4500, At: at(500 * time.Millisecond)})
 	// The other entries hold an eighth of this entry's work and are assumed to have sent an
 	// eighth of it since.
 	assert.Equal(t, p.targets["g000"].load, 4500+5000*1.125)
 	assert.Assert(t, !p.HasCapacity(at(time.Second), Request{Model: "m", Tokens: 2000}))
-	p.Finished(at(time.Second), "unseen", Result{OK: true})
+	p.RecordFinish(at(time.Second), "unseen", Result{OK: true})
 	assert.Assert(t, p.HasCapacity(at(time.Second), Request{Model: "m", Tokens: 2000}))
 }
 
@@ -192,7 +192,7 @@
 	p.SetTargets(start, []Target{{ID: "s", DataCentre: "dc", Model: "files", Plain: true}})
 	calls := 0
 	for p.HasCapacity(start, Request{Model: "files", Tokens: 1}) {
-		p.Started(start, fmt.Sprint(calls), "s", 1)
+		p.RecordStart(start, fmt.Sprint(calls), "s", 1)
 		calls++
 	}
 	assert.Equal(t, calls, defaultCallLimit)
@@ -245,8 +245,8 @@
 
 func TestLongRequestsLeaveCapacityForShortOnes(t *testing.T) {
 	p := newPicker(1)
-	p.Started(start, "long", "g000", 5000)
-	p.Progress(start, "long", 1)
+	p.RecordStart(start, "long", "g000", 5000)
+	p.RecordProgress(start, "long", 1)
 	assert.Assert(t, !p.HasCapacity(start, Request{Model: "m", Tokens: 4200}))
 	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 3000}))
 }
@@ -256,17 +256,17 @@
 func TestOneLongPromptAtATime(t *testing.T) {
 	p := New(Options{DataCentre: "dc"})
 	p.SetTargets(start, []Target{{ID: "g", DataCentre: "dc", Model: "m", Capacity: 100000}})
-	p.Started(start, "first", "g", 5000)
+	p.RecordStart(start, "first", "g", 5000)
 	assert.Assert(t, !p.HasCapacity(start, Request{Model: "m", Tokens: 5000}))
 	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 500}))
-	p.Progress(start, "first", 1)
+	p.RecordProgress(start, "first", 1)
 	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 5000}))
 }
 
 func TestReserveKeepsCapacityForGreaterWorth(t *testing.T) {
 	p := newPicker(1)
-	p.Started(start, "a", "g000", 4000)
-	p.Started(start, "b", "g000", 4000)
+	p.RecordStart(start, "a", "g000", 4000)
+	p.RecordStart(start, "b", "g000", 4000)
 	assert.Assert(t, !p.HasCapacity(start, Request{Model: "m", Tokens: 1500, Reserve: 0.1}))
 	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 1500}))
 }
@@ -285,7 +285,7 @@
 		by := make(map[string]int)
 		for i := range n {
 			c := mustPick(t, p, start, Request{Tokens: 100})
-			p.Started(start, fmt.Sprint(len(p.attempts), "-", i), c.ID, 100)
+			p.RecordStart(start, fmt.Sprint(len(p.attempts), "-", i), c.ID, 100)
 			by[p.targets[c.ID].DataCentre]++
 		}
 		return by
@@ -310,7 +310,7 @@
 func TestEntryLearnsHowMuchOfTheLoadIsItsOwn(t *testing.T) {
 	p := newPicker(1)
 	p.pools["m"].meanAll, p.pools["m"].meanOwn = 9000, 3000
-	p.Started(start, "a", "g000", 3000)
+	p.RecordStart(start, "a", "g000", 3000)
 	for i := range 500 {
 		now := at(time.Duration(i) * 200 * time.Millisecond)
 		p.Report(now, "g000", Load{Running: 1, TokensInFlight: 3000, At: now})
@@ -337,7 +337,7 @@
 		for n := 0; p.HasCapacity(start, Request{Model: "m", Tokens: tokens}); n++ {
 			c, ok := p.Pick(start, Request{ID: fmt.Sprint(n), Model: "m", Tokens: tokens})
 			assert.Assert(t, ok)
-			p.Started(start, fmt.Sprint(n), c.ID, tokens)
+			p.RecordStart(start, fmt.Sprint(n), c.ID, tokens)
 			sent++
 		}
 	}
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -293,8 +293,8 @@
 	return t != nil && t.throttle.isBlocked(now)
 }
 
-// Sent records a request to a target that Pick did not choose.
-func (p *Picker) Sent(now time.Time, id string) {
+// RecordSend records a request to a target that Pick did not choose.
+func (p *Picker) RecordSend(now time.Time, id string) {
 	if t := p.targets[id]; t != nil {
 		t.throttle.recordSend(now)
 	}
--- a/internal/placement/throttle_test.go
+++ b/internal/placement/throttle_test.go
@@ -79,8 +79,8 @@
 		w.refused++
 		return
 	}
-	p.Started(now, id, c.ID, 100)
-	p.Finished(now, id, Result{OK: true, Took: time.Millisecond})
+	p.RecordStart(now, id, c.ID, 100)
+	p.RecordFinish(now, id, Result{OK: true, Took: time.Millisecond})
 	if p.targets[c.ID].Server == "s0" {
 		w.arrivals = append(w.arrivals, after)
 	}
@@ -142,7 +142,7 @@
 		p.SetTargets(start, list)
 	}
 	for i := range 10 {
-		busy.Started(start, fmt.Sprint(i), "g000", 1)
+		busy.RecordStart(start, fmt.Sprint(i), "g000", 1)
 	}
 	busy.SetRateLimit(at(time.Second), "s", CauseNamed, &limit)
 	idle.SetRateLimit(at(time.Second), "s", CauseNamed, &limit)
@@ -159,7 +159,7 @@
 	p := newPicker(0)
 	p.SetTargets(start, list[:1])
 	p.SetRateLimit(start, "s", CauseNamed, &limit)
-	p.Started(start, "a", "g000", 1)
+	p.RecordStart(start, "a", "g000", 1)
 	p.SetTargets(start, list[1:])
 	assert.Assert(t, p.IsRateLimited(at(900*time.Millisecond), "g001"))
 	assert.Assert(t, !p.IsRateLimited(at(time.Second), "g001"))
@@ -202,8 +202,8 @@
 	capacity, limited := p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Assert(t, limited)
 	assert.Equal(t, capacity, 6)
-	p.Started(start, "x", "g000", 1)
-	p.Started(start, "y", "g001", 1)
+	p.RecordStart(start, "x", "g000", 1)
+	p.RecordStart(start, "y", "g001", 1)
 	capacity, _ = p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Equal(t, capacity, 4)
 	capacity, _ = p.SendCapacity(start, at(100*time.Millisecond), "m", nil)
