--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -257,7 +257,7 @@
 	out, e := s.relayAttempt(j, g, &result, began)
 	result.OK = out == outcomeComplete
 	result.Cancelled = out == outcomeJobEnded
-	result.Took = time.Since(began)
+	result.Duration = time.Since(began)
 	s.dispatcher.attemptEnded(g.attempt, result)
 	if out != outcomeComplete {
 		text := ""
--- a/internal/entry/homes.go
+++ b/internal/entry/homes.go
@@ -55,6 +55,6 @@
 // target that stays free for requests of greater worth.
 func (j *job) placementRequest(reserve float64) placement.Request {
 	return placement.Request{
-		ID: j.id, Model: j.model, Prefix: j.prefix, Tokens: j.tokens(), Reserve: reserve, Homes: j.homes, Exclude: j.tried,
+		ID: j.id, Model: j.model, Prefix: j.prefix, Tokens: j.tokens(), ReservedFraction: reserve, Homes: j.homes, Exclude: j.tried,
 	}
 }
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -250,7 +250,7 @@
 	out, e := s.streamTokens(w, j, g, &result, began)
 	result.OK = out == outcomeComplete
 	result.Cancelled = out == outcomeJobEnded
-	result.Took = time.Since(began)
+	result.Duration = time.Since(began)
 	s.dispatcher.attemptEnded(g.attempt, result)
 	if out != outcomeComplete {
 		s.abandonAttempt(j, g, out, w.stalled(), e)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -143,7 +143,7 @@
 	began := time.Now()
 	out, e := s.call(j, g)
 	s.dispatcher.attemptEnded(g.attempt, placement.Result{
-		OK: out == outcomeComplete, Cancelled: out == outcomeJobEnded, Took: time.Since(began), FirstToken: time.Since(began), Tokens: 1,
+		OK: out == outcomeComplete, Cancelled: out == outcomeJobEnded, Duration: time.Since(began), FirstToken: time.Since(began), Tokens: 1,
 	})
 	return out, e
 }
--- a/internal/loadtest/entry_test.go
+++ b/internal/loadtest/entry_test.go
@@ -120,7 +120,7 @@
 	now := e.w.c.time()
 	for {
 		r, expired, ok := e.queue.Next(now, func(r admission.Request) bool {
-			return e.picker.HasCapacity(now, placement.Request{Model: r.Model, Tokens: r.Tokens, Reserve: r.Reserve})
+			return e.picker.HasCapacity(now, placement.Request{Model: r.Model, Tokens: r.Tokens, ReservedFraction: r.Reserve})
 		})
 		e.refuse(expired)
 		if !ok {
@@ -137,7 +137,7 @@
 	e.countInversion(req)
 	placementRequest := placement.Request{
 		ID: r.ID, Model: r.Model, Prefix: prefix(req.job.doc), Tokens: r.Tokens,
-		Reserve: r.Reserve, Exclude: req.exclude,
+		ReservedFraction: r.Reserve, Exclude: req.exclude,
 	}
 	if e.ablation.noPrefix {
 		placementRequest.Prefix = nil
@@ -162,7 +162,7 @@
 	}
 	x.onEnd = func(ok bool) {
 		elapsed := e.w.c.now - started
-		e.picker.RecordFinish(e.w.c.time(), x.id, placement.Result{OK: ok, FirstToken: first, Took: elapsed, Tokens: x.produced})
+		e.picker.RecordFinish(e.w.c.time(), x.id, placement.Result{OK: ok, FirstToken: first, Duration: elapsed, Tokens: x.produced})
 		e.queue.Done(e.w.c.time(), admission.Outcome{ID: r.ID, Answered: ok, Tokens: r.Tokens, Took: elapsed})
 		e.ended(req, x, ok)
 	}
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -64,7 +64,7 @@
 		now := start.Add(time.Duration(i) * time.Millisecond)
 		p.RecordStart(now, id, "g123", 500)
 		p.RecordProgress(now, id, 1)
-		p.RecordFinish(now, id, Result{OK: true, Took: time.Second})
+		p.RecordFinish(now, id, Result{OK: true, Duration: time.Second})
 	}
 }
 
--- a/internal/placement/cold_test.go
+++ b/internal/placement/cold_test.go
@@ -60,7 +60,7 @@
 		p, now := w.pickers[w.random.IntN(len(w.pickers))], at(next)
 		if c, ok := p.Pick(now, Request{Model: "m", Tokens: 100}); ok {
 			p.RecordStart(now, fmt.Sprint(n), c.ID, 100)
-			p.RecordFinish(now, fmt.Sprint(n), Result{OK: true, Took: time.Millisecond})
+			p.RecordFinish(now, fmt.Sprint(n), Result{OK: true, Duration: time.Millisecond})
 			w.arrivals[c.ID] = append(w.arrivals[c.ID], next)
 			w.sent++
 		}
--- a/internal/placement/health_test.go
+++ b/internal/placement/health_test.go
@@ -34,7 +34,7 @@
 		assert.Assert(t, c.ID != "g003")
 	}
 	p.targets["g003"].pace.nextProbe = now
-	assert.Equal(t, mustPick(t, p, now, Request{Tokens: 100, Reserve: 0.1}).Reason, ReasonProbe)
+	assert.Equal(t, mustPick(t, p, now, Request{Tokens: 100, ReservedFraction: 0.1}).Reason, ReasonProbe)
 	for step := range 40 {
 		p.RecordProgress(now.Add(time.Duration(step)*500*time.Millisecond), "3", 20)
 	}
@@ -167,7 +167,7 @@
 			took = 200 * time.Millisecond
 		}
 		p.RecordStart(start, fmt.Sprint(i), id, 1)
-		p.RecordFinish(start, fmt.Sprint(i), Result{OK: true, Took: took})
+		p.RecordFinish(start, fmt.Sprint(i), Result{OK: true, Duration: took})
 	}
 	for id, x := range p.targets {
 		assert.Equal(t, x.pace.isSlow, id == "s2", id)
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -18,9 +18,9 @@
 	DataCentre string
 	// LongTokens is the expected work, in tokens, from which a request counts as long.
 	LongTokens int
-	// LongShare is the fraction of a backend server's limit, from 0 to 1, that long requests
+	// LongFraction is the fraction of a backend server's limit, from 0 to 1, that long requests
 	// may fill.
-	LongShare float64
+	LongFraction float64
 	// TokenInterval is the longest time between two tokens of one request at which a backend
 	// server may still receive more work.
 	TokenInterval time.Duration
@@ -32,9 +32,9 @@
 const (
 	// DefaultLongTokens equals the default of admission.
 	DefaultLongTokens = 4096
-	// DefaultLongShare keeps a fraction of each backend server free for short requests, so that
+	// DefaultLongFraction keeps a fraction of each backend server free for short requests, so that
 	// they never wait for a long one to end.
-	DefaultLongShare = 0.85
+	DefaultLongFraction = 0.85
 	// DefaultTokenInterval is the users' objective for the 95th percentile.
 	DefaultTokenInterval = 62 * time.Millisecond
 )
@@ -43,8 +43,8 @@
 	if o.LongTokens <= 0 {
 		o.LongTokens = DefaultLongTokens
 	}
-	if o.LongShare <= 0 {
-		o.LongShare = DefaultLongShare
+	if o.LongFraction <= 0 {
+		o.LongFraction = DefaultLongFraction
 	}
 	if o.TokenInterval <= 0 {
 		o.TokenInterval = DefaultTokenInterval
@@ -98,9 +98,9 @@
 	Session string
 	// Tokens is the expected work, in tokens: prompt and output.
 	Tokens int
-	// Reserve is the fraction of each backend server's limit, from 0 to 1, that this request
+	// ReservedFraction is the fraction of each backend server's limit, from 0 to 1, that this request
 	// must leave free for requests of greater worth.
-	Reserve float64
+	ReservedFraction float64
 	// Homes are the regions that may serve the request; nil allows any region.
 	Homes []string
 	// Exclude lists the ids of targets that already failed this request.
@@ -151,9 +151,9 @@
 	// RetryAfter is how long the backend server asked not to receive requests; 0 if it did not
 	// ask.
 	RetryAfter time.Duration
-	// FirstToken and Took are measured from the call of RecordStart.
+	// FirstToken and Duration are measured from the call of RecordStart.
 	FirstToken time.Duration
-	Took       time.Duration
+	Duration   time.Duration
 	// Tokens is the number of generated tokens.
 	Tokens int
 }
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -43,7 +43,7 @@
 	}
 	r.Tokens = max(1, r.Tokens)
 	miss := pool.misses.forLength(r.Tokens >= p.options.LongTokens)
-	if miss.covers(now, r.Tokens, r.Reserve) {
+	if miss.covers(now, r.Tokens, r.ReservedFraction) {
 		return false
 	}
 	if pool.hasCapacity(now, r, &p.options) {
@@ -53,7 +53,7 @@
 		return true
 	}
 	if r.Homes == nil {
-		miss.record(now, r.Tokens, r.Reserve)
+		miss.record(now, r.Tokens, r.ReservedFraction)
 	}
 	return false
 }
@@ -144,7 +144,7 @@
 	if t.isAvoided(now) {
 		return s + avoidedCost
 	}
-	if !t.hasCapacity(now, r.Tokens, r.Reserve, &p.options) {
+	if !t.hasCapacity(now, r.Tokens, r.ReservedFraction, &p.options) {
 		s += noCapacityCost
 	}
 	return s
@@ -167,7 +167,7 @@
 // minScore returns a lower bound of score that is quick to compute.
 func (t *target) minScore(r *Request) float64 {
 	s := (t.load + float64(r.Tokens)) / t.limit
-	if t.exceedsLimit(r.Tokens, r.Reserve) {
+	if t.exceedsLimit(r.Tokens, r.ReservedFraction) {
 		s += noCapacityCost
 	}
 	return s
@@ -270,14 +270,14 @@
 		return nil
 	}
 	due := now
-	if r.Reserve == 0 {
+	if r.ReservedFraction == 0 {
 		due = now.Add(-probeInterval)
 	}
 	for _, t := range pool.targets {
 		if !t.pace.isSlow || due.Before(t.pace.nextProbe) || t.isIneligible(now, r) {
 			continue
 		}
-		if t.hasCapacity(now, r.Tokens, r.Reserve, &p.options) {
+		if t.hasCapacity(now, r.Tokens, r.ReservedFraction, &p.options) {
 			t.pace.nextProbe = now.Add(probeInterval)
 			return t
 		}
--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -271,7 +271,7 @@
 // judgeUnstreamed judges the pace of an attempt whose answer arrived at once, as those of plain
 // services do.
 func (t *target) judgeUnstreamed(now time.Time, a *attempt, r Result) {
-	if a.lastProgress.IsZero() && r.Took > 0 {
-		t.judgePace(now, float64(a.tokens)/r.Took.Seconds())
+	if a.lastProgress.IsZero() && r.Duration > 0 {
+		t.judgePace(now, float64(a.tokens)/r.Duration.Seconds())
 	}
 }
--- a/internal/placement/picker_test.go
+++ b/internal/placement/picker_test.go
@@ -267,7 +267,7 @@
 	p := newPicker(1)
 	p.RecordStart(start, "a", "g000", 4000)
 	p.RecordStart(start, "b", "g000", 4000)
-	assert.Assert(t, !p.HasCapacity(start, Request{Model: "m", Tokens: 1500, Reserve: 0.1}))
+	assert.Assert(t, !p.HasCapacity(start, Request{Model: "m", Tokens: 1500, ReservedFraction: 0.1}))
 	assert.Assert(t, p.HasCapacity(start, Request{Model: "m", Tokens: 1500}))
 }
 
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -53,7 +53,7 @@
 // hasCapacity reports whether the request fits on some target.
 func (p *pool) hasCapacity(now time.Time, r Request, o *Options) bool {
 	for _, t := range p.targets {
-		if t.isInRegions(r.Homes) && t.hasCapacity(now, r.Tokens, r.Reserve, o) {
+		if t.isInRegions(r.Homes) && t.hasCapacity(now, r.Tokens, r.ReservedFraction, o) {
 			return true
 		}
 	}
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -174,7 +174,7 @@
 		if t.pendingLongPrefills >= maxLongPrefills {
 			return false
 		}
-		limit *= o.LongShare
+		limit *= o.LongFraction
 	}
 	if t.load+float64(tokens) <= limit {
 		return true
--- a/internal/placement/throttle_test.go
+++ b/internal/placement/throttle_test.go
@@ -80,7 +80,7 @@
 		return
 	}
 	p.RecordStart(now, id, c.ID, 100)
-	p.RecordFinish(now, id, Result{OK: true, Took: time.Millisecond})
+	p.RecordFinish(now, id, Result{OK: true, Duration: time.Millisecond})
 	if p.targets[c.ID].Server == "s0" {
 		w.arrivals = append(w.arrivals, after)
 	}
