--- a/internal/controller/forecast.go
+++ b/internal/controller/forecast.go
@@ -47,7 +47,7 @@
 
 func newHistory(now time.Time) *history {
 	return &history{
-		awayFraction: packing.Usual().Away, observedAt: now, deadSince: make(map[string]time.Time),
+		awayFraction: packing.DefaultForecast().Away, observedAt: now, deadSince: make(map[string]time.Time),
 		returned: priorReturnProbability * priorWeight, lost: (1 - priorReturnProbability) * priorWeight,
 		returnSeconds: priorReturnProbability * priorWeight * priorReturnTime.Seconds(),
 	}
@@ -147,8 +147,8 @@
 
 // forecast returns the expected losses and returns by the history and the rows of the pool. The
 // rows show when each VM was lost, returned or became known, whichever leader recorded that.
-func (h *history) forecast(now time.Time, vms []blackboard.VM, domains int) packing.Outlook {
-	o := packing.Usual()
+func (h *history) forecast(now time.Time, vms []blackboard.VM, domains int) packing.Forecast {
+	o := packing.DefaultForecast()
 	o.Away = h.awayFraction
 	first := time.Duration(0)
 	for _, vm := range vms {
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -175,7 +175,7 @@
 
 // planPool plans the layouts of the domains of one pool.
 func planPool(
-	v View, now time.Time, pool string, byName map[string]*packing.Domain, forecast packing.Outlook, previous map[string]packing.Layout,
+	v View, now time.Time, pool string, byName map[string]*packing.Domain, forecast packing.Forecast, previous map[string]packing.Layout,
 ) {
 	models := poolModels(v, pool)
 	if len(models) == 0 {
@@ -262,7 +262,7 @@
 }
 
 // logLayouts logs each layout of a pool's domains that has changed.
-func logLayouts(v View, a *Actions, domains map[string]*packing.Domain, o packing.Outlook, previous map[string]packing.Layout) {
+func logLayouts(v View, a *Actions, domains map[string]*packing.Domain, o packing.Forecast, previous map[string]packing.Layout) {
 	for _, domain := range sortedKeys(domains) {
 		now, before := layoutText(v.Memory.layouts[domain]), layoutText(previous[domain])
 		if now == before {
--- a/internal/placement/packing/datacentre_test.go
+++ b/internal/placement/packing/datacentre_test.go
@@ -16,8 +16,8 @@
 		{Name: "narrow", Size: 6, Share: 0.5, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
 	}
 	for _, away := range []float64{0.08, 0.085, 0.09, 0.1} {
-		outlook := Usual()
-		outlook.Away = away
+		forecast := DefaultForecast()
+		forecast.Away = away
 		const perCentre = 2
 		var domains []Domain
 		for c := range 3 {
@@ -29,7 +29,7 @@
 				domains = append(domains, d)
 			}
 		}
-		layouts := Plan(models, domains, outlook, true)
+		layouts := Plan(models, domains, forecast, true)
 		total, in := make(map[string]int), make(map[string]map[string]int)
 		for _, d := range domains {
 			for model, n := range layouts[d.Name].Groups {
--- a/internal/placement/packing/forecast.go
+++ b/internal/placement/packing/forecast.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Outlook is a forecast of VM failures and returns, from the pool's own history. Fields without
-// observations hold the priors of Usual.
-type Outlook struct {
+// Forecast describes the expected failures and returns of VMs, from the pool's own history. Fields
+// without observations hold the priors of DefaultForecast.
+type Forecast struct {
 	// Away is the average fraction of VMs that are unavailable: dead and expected to return, or
 	// held by a group that is being dissolved.
 	Away float64
@@ -14,7 +14,7 @@
 	Newcomers float64
 }
 
-// Usual returns the forecast for a pool without history.
+// DefaultForecast returns the forecast for a pool without history.
 //
 // The prior of Away favours one model in a domain. VMs that hold the same model can replace
 // each other. With two models a loss strands the rest of a group, although there are enough
@@ -22,11 +22,11 @@
 // learns its lower rate within a minute. The prior of Life, a VM lost every four minutes,
 // describes a pool in trouble: until more is known, the layout does not change when one VM
 // leaves and returns.
-func Usual() Outlook { return Outlook{Away: 0.1, Life: 4 * time.Minute} }
+func DefaultForecast() Forecast { return Forecast{Away: 0.1, Life: 4 * time.Minute} }
 
 // servedFraction returns the fraction of time that a group of size VMs serves. The group first
 // waits initialWait for VMs and weights, serves until it loses a VM, and then starts again.
-func (o Outlook) servedFraction(size int, initialWait time.Duration) float64 {
+func (o Forecast) servedFraction(size int, initialWait time.Duration) float64 {
 	life := o.Life.Seconds() / float64(max(1, size))
 	return life / (life + initialWait.Seconds())
 }
@@ -35,7 +35,7 @@
 const maxWait = time.Hour
 
 // vmWait returns the expected time until a domain has a number of VMs more.
-func (o Outlook) vmWait(d Domain, n int) time.Duration {
+func (o Forecast) vmWait(d Domain, n int) time.Duration {
 	if n <= 0 {
 		return 0
 	}
--- a/internal/placement/packing/packing.go
+++ b/internal/placement/packing/packing.go
@@ -97,8 +97,8 @@
 
 // Plan returns the layout of each domain, by name. starting is true while the pool serves
 // nobody yet, when loads cost next to nothing.
-func Plan(models []Model, domains []Domain, outlook Outlook, starting bool) map[string]Layout {
-	p := newPlan(models, outlook, starting)
+func Plan(models []Model, domains []Domain, forecast Forecast, starting bool) map[string]Layout {
+	p := newPlan(models, forecast, starting)
 	for _, d := range domains {
 		p.addDomain(d)
 	}
@@ -114,7 +114,7 @@
 // plan is the state of one run. Slices of group counts have one element for each model.
 type plan struct {
 	models   []Model
-	outlook  Outlook
+	forecast Forecast
 	starting bool
 	domains  []domainState
 	// sums are the effective groups of each model over all domains; dataCentres has the same
@@ -127,9 +127,9 @@
 	kindIDs map[string]int
 }
 
-func newPlan(models []Model, outlook Outlook, starting bool) *plan {
+func newPlan(models []Model, forecast Forecast, starting bool) *plan {
 	return &plan{
-		models: models, outlook: outlook, starting: starting,
+		models: models, forecast: forecast, starting: starting,
 		sums: make([]float64, len(models)), expectations: make(map[expectationKey]float64), kindIDs: make(map[string]int),
 	}
 }
@@ -367,8 +367,8 @@
 	lost := 0.0
 	for k := 1; k <= n; k++ {
 		missing := min(m.Size, short-(n-k)*m.Size)
-		initialWait := p.outlook.vmWait(d, missing) + ready.timeToLoad(m, k*m.Size)
-		lost += 1 - p.outlook.servedFraction(m.Size, initialWait)
+		initialWait := p.forecast.vmWait(d, missing) + ready.timeToLoad(m, k*m.Size)
+		lost += 1 - p.forecast.servedFraction(m.Size, initialWait)
 	}
 	return lost
 }
--- a/internal/placement/packing/packing_test.go
+++ b/internal/placement/packing/packing_test.go
@@ -57,7 +57,7 @@
 		{37, 16, 4, 0.5, false, map[string]int{"wide": 6, "narrow": 27}},
 		{73, 32, 8, 0.5, false, map[string]int{"wide": 6, "narrow": 27}},
 	} {
-		layouts := Plan(models(c.wide, c.narrow, c.share), pool(6, c.each), Usual(), true)
+		layouts := Plan(models(c.wide, c.narrow, c.share), pool(6, c.each), DefaultForecast(), true)
 		assert.DeepEqual(t, total(layouts), c.want)
 		for domain, l := range layouts {
 			assert.Equal(t, len(l.Groups) == 2, c.mixed, "%d VMs: %s %v", c.each, domain, l.Groups)
@@ -78,12 +78,12 @@
 		for i := range domains {
 			domains[i].DataCentre = fmt.Sprint("dc-", i%centres)
 		}
-		got := newPlan(ms, Usual(), starting)
+		got := newPlan(ms, DefaultForecast(), starting)
 		for _, d := range domains {
 			got.addDomain(d)
 		}
 		got.improve()
-		exhaustive := newPlan(ms, Usual(), starting)
+		exhaustive := newPlan(ms, DefaultForecast(), starting)
 		best := search(exhaustive, domains)
 		worth := got.worth(emptyDomain(len(ms)), 0)
 		assert.Assert(t, worth > best-0.02, "worth %.4f, best %.4f, %d domains of %d, sizes %d and %d",
@@ -137,7 +137,7 @@
 		d.VMs[i].Grouped = false
 	}
 	d.VMs[5].Away, d.VMs[5].Loaded = true, ""
-	l := Plan(models(6, 3, 0.67), []Domain{d}, Usual(), false)["d"]
+	l := Plan(models(6, 3, 0.67), []Domain{d}, DefaultForecast(), false)["d"]
 	assert.DeepEqual(t, l.Groups, map[string]int{"wide": 1, "narrow": 1})
 	for _, vm := range d.VMs {
 		if !vm.Grouped {
@@ -166,7 +166,7 @@
 	}
 	assert.Equal(t, len(d.VMs), 9)
 	d.VMs = d.VMs[:8]
-	l := Plan(models(6, 3, 0.67), append(others, d), Usual(), false)["d"]
+	l := Plan(models(6, 3, 0.67), append(others, d), DefaultForecast(), false)["d"]
 	assert.DeepEqual(t, l.Groups, map[string]int{"narrow": 2})
 	assert.Equal(t, len(l.Hold), 5)
 }
@@ -179,7 +179,7 @@
 	for i := range domains {
 		domains[i].VMs = pool(1, 27)[0].VMs
 	}
-	first := Plan(ms, domains, Usual(), true)
+	first := Plan(ms, domains, DefaultForecast(), true)
 	r := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
 		for i := range domains {
@@ -190,7 +190,7 @@
 				domains[i].VMs[k].Loaded = first[domains[i].Name].Hold["00-00"]
 			}
 		}
-		for name, l := range Plan(ms, domains, Usual(), false) {
+		for name, l := range Plan(ms, domains, DefaultForecast(), false) {
 			assert.DeepEqual(t, l.Groups, first[name].Groups)
 		}
 	}
@@ -203,7 +203,7 @@
 		b.Run(fmt.Sprintf("%d-VMs", c.domains*c.each), func(b *testing.B) {
 			ms, domains := models(c.wide, c.narrow, 0.5), pool(c.domains, c.each)
 			for b.Loop() {
-				Plan(ms, domains, Usual(), true)
+				Plan(ms, domains, DefaultForecast(), true)
 			}
 		})
 	}
