--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -128,8 +128,8 @@
 			domains[vm.FabricDomain] = d
 		}
 		row := packingVM(v, vm)
-		if row.Away {
-			row.Returns = h.returnRate(livenessAge(now, vm))
+		if row.Absent {
+			row.ReturnsPerSecond = h.returnRate(livenessAge(now, vm))
 		}
 		d.VMs = append(d.VMs, row)
 	}
@@ -156,7 +156,7 @@
 		loading = loadingModel(v, vm)
 	}
 	return packing.VM{
-		ID: vm.ID, Grouped: grouped, Away: vm.Liveness != blackboard.Alive,
+		ID: vm.ID, InGroup: grouped, Absent: vm.Liveness != blackboard.Alive,
 		Loaded: v.Memory.modelOf(vm), Staged: vm.Weights, Loading: loading,
 	}
 }
--- a/internal/placement/packing/assign.go
+++ b/internal/placement/packing/assign.go
@@ -12,7 +12,7 @@
 func assignModels(models []Model, d Domain, groups []int) map[string]string {
 	a := &assigner{models: models, out: make(map[string]string)}
 	for _, vm := range d.VMs {
-		if !vm.Grouped {
+		if !vm.InGroup {
 			a.free = append(a.free, vm)
 		}
 	}
@@ -28,7 +28,7 @@
 }
 
 func absentRank(vm VM) int {
-	if vm.Away {
+	if vm.Absent {
 		return 1
 	}
 	return 0
--- a/internal/placement/packing/forecast.go
+++ b/internal/placement/packing/forecast.go
@@ -41,7 +41,7 @@
 	}
 	perSecond := o.Newcomers
 	for _, vm := range d.VMs {
-		perSecond += vm.Returns
+		perSecond += vm.ReturnsPerSecond
 	}
 	if seconds := float64(n) / max(perSecond, epsilon); seconds < maxWait.Seconds() {
 		return time.Duration(seconds * float64(time.Second))
@@ -56,7 +56,7 @@
 		need += (groups[i] - d.Groups[m.Name]) * m.Size
 	}
 	for _, vm := range d.VMs {
-		if !vm.Grouped && !vm.Away {
+		if !vm.InGroup && !vm.Absent {
 			need--
 		}
 	}
--- a/internal/placement/packing/packing.go
+++ b/internal/placement/packing/packing.go
@@ -60,12 +60,12 @@
 // VM is a VM that is available, or that may return.
 type VM struct {
 	ID string
-	// Grouped is true if the VM belongs to an existing group.
-	Grouped bool
-	// Away is true if the VM can't receive orders now. Returns is the rate, in returns a
+	// InGroup is true if the VM belongs to an existing group.
+	InGroup bool
+	// Absent is true if the VM can't receive orders now. ReturnsPerSecond is the rate, in returns a
 	// second, of VMs that have been absent for the same time.
-	Away    bool
-	Returns float64
+	Absent           bool
+	ReturnsPerSecond float64
 	// Loaded is the model in the VM's accelerators, Staged lists the models on its host, and
 	// Loading is the model that it is loading.
 	Loaded  string
@@ -380,7 +380,7 @@
 	var r readiness
 	for _, vm := range d.VMs {
 		switch {
-		case vm.Grouped:
+		case vm.InGroup:
 		case vm.Loaded == m.Name:
 			r.loaded++
 		case slices.Contains(vm.Staged, m.Name):
--- a/internal/placement/packing/packing_test.go
+++ b/internal/placement/packing/packing_test.go
@@ -117,7 +117,7 @@
 	d := Domain{Name: "d", Groups: map[string]int{"wide": 1, "narrow": 1}, Before: map[string]int{"wide": 1, "narrow": 1}}
 	add := func(n int, model string, grouped bool) {
 		for range n {
-			d.VMs = append(d.VMs, VM{ID: fmt.Sprintf("vm-%02d", len(d.VMs)), Grouped: grouped, Loaded: model, Staged: []string{model}})
+			d.VMs = append(d.VMs, VM{ID: fmt.Sprintf("vm-%02d", len(d.VMs)), InGroup: grouped, Loaded: model, Staged: []string{model}})
 		}
 	}
 	add(6, "wide", true)
@@ -134,13 +134,13 @@
 	d := domainWithSpares()
 	d.Groups["wide"] = 0
 	for i := range 6 {
-		d.VMs[i].Grouped = false
+		d.VMs[i].InGroup = false
 	}
-	d.VMs[5].Away, d.VMs[5].Loaded = true, ""
+	d.VMs[5].Absent, d.VMs[5].Loaded = true, ""
 	l := Plan(models(6, 3, 0.67), []Domain{d}, DefaultForecast(), false)["d"]
 	assert.DeepEqual(t, l.Groups, map[string]int{"wide": 1, "narrow": 1})
 	for _, vm := range d.VMs {
-		if !vm.Grouped {
+		if !vm.InGroup {
 			assert.Equal(t, l.Hold[vm.ID], vm.Staged[0], "%s", vm.ID)
 		}
 	}
@@ -154,14 +154,14 @@
 	d.Groups["wide"] = 0
 	d.VMs = d.VMs[2:]
 	for i := range 4 {
-		d.VMs[i].Grouped = false
+		d.VMs[i].InGroup = false
 	}
 	others := pool(5, 11)
 	for i := range others {
 		others[i].Groups = map[string]int{"wide": 1, "narrow": 1}
 		others[i].Before = map[string]int{"wide": 1, "narrow": 1}
 		for k := range 9 {
-			others[i].VMs[k].Grouped = true
+			others[i].VMs[k].InGroup = true
 		}
 	}
 	assert.Equal(t, len(d.VMs), 9)
