--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -188,10 +188,10 @@
 		d := byName[name]
 		all += len(d.VMs)
 		if before, ok := previous[name]; ok {
-			d.Before = before.Groups
+			d.PreviousGroups = before.Groups
 			known = true
 		}
-		if !starting || d.Before != nil || !v.isGathering(name, len(d.VMs), now) {
+		if !starting || d.PreviousGroups != nil || !v.isGathering(name, len(d.VMs), now) {
 			domains = append(domains, *d)
 		}
 	}
@@ -214,7 +214,7 @@
 		}
 		m := packing.Model{Name: name, Size: spec.VMsPerReplica, Share: spec.Share}
 		if e != nil {
-			m.Load, m.Warm = loadTimes(e, spec.Model)
+			m.StoreLoad, m.StagedLoad = loadTimes(e, spec.Model)
 		}
 		models = append(models, m)
 	}
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -70,7 +70,7 @@
 		if vm.Pool == "" || !vm.Free() || vm.Leaving || vm.Liveness != blackboard.Alive {
 			continue
 		}
-		model := v.Memory.layouts[vm.FabricDomain].Hold[id]
+		model := v.Memory.layouts[vm.FabricDomain].ModelByVM[id]
 		r, hasReport := v.Evidence.Get(id)
 		fresh := hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.ReceivedAt) <= v.Evidence.RoutableAge()
 		switch {
--- a/internal/placement/packing/datacentre_test.go
+++ b/internal/placement/packing/datacentre_test.go
@@ -12,8 +12,8 @@
 // evacuation of that data centre leaves the model with few groups.
 func TestEachModelIsSpreadOverDataCentres(t *testing.T) {
 	models := []Model{
-		{Name: "wide", Size: 12, Share: 0.5, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-		{Name: "narrow", Size: 6, Share: 0.5, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+		{Name: "wide", Size: 12, Share: 0.5, StoreLoad: 16 * time.Second, StagedLoad: 1600 * time.Millisecond},
+		{Name: "narrow", Size: 6, Share: 0.5, StoreLoad: 12 * time.Second, StagedLoad: 1100 * time.Millisecond},
 	}
 	for _, away := range []float64{0.08, 0.085, 0.09, 0.1} {
 		forecast := DefaultForecast()
--- a/internal/placement/packing/packing.go
+++ b/internal/placement/packing/packing.go
@@ -52,9 +52,9 @@
 	Size int
 	// Share is the model's share of the pool's work; shares need not add up to 1.
 	Share float64
-	// Load is the time to load weights from the store; Warm is the time to load them from the
+	// StoreLoad is the time to load weights from the store; StagedLoad is the time to load them from the
 	// VM's own host.
-	Load, Warm time.Duration
+	StoreLoad, StagedLoad time.Duration
 }
 
 // VM is a VM that is available, or that may return.
@@ -82,17 +82,17 @@
 	VMs        []VM
 	// Groups is the number of existing groups by model.
 	Groups map[string]int
-	// Before is the previously chosen number of groups by model; nil if there is no previous
+	// PreviousGroups is the previously chosen number of groups by model; nil if there is no previous
 	// choice.
-	Before map[string]int
+	PreviousGroups map[string]int
 }
 
 // Layout is the desired state of a domain.
 type Layout struct {
 	// Groups is the desired number of groups by model, existing groups included.
 	Groups map[string]int
-	// Hold is the model that each ungrouped VM should hold, by VM id.
-	Hold map[string]string
+	// ModelByVM is the model that each ungrouped VM should hold, by VM id.
+	ModelByVM map[string]string
 }
 
 // Plan returns the layout of each domain, by name. starting is true while the pool serves
@@ -106,7 +106,7 @@
 	out := make(map[string]Layout, len(domains))
 	for i, d := range domains {
 		groups := p.domains[i].groups()
-		out[d.Name] = Layout{Groups: p.groupsByModel(groups), Hold: assignModels(models, d, groups)}
+		out[d.Name] = Layout{Groups: p.groupsByModel(groups), ModelByVM: assignModels(models, d, groups)}
 	}
 	return out
 }
@@ -169,11 +169,11 @@
 // still allow it. Without a previous choice it takes the option of greatest worth beside the
 // domains added before.
 func (p *plan) addDomain(d Domain) {
-	ds := domainState{options: p.options(d), hasPrevious: d.Before != nil, dataCentre: p.dataCentreIndex(d.DataCentre)}
+	ds := domainState{options: p.options(d), hasPrevious: d.PreviousGroups != nil, dataCentre: p.dataCentreIndex(d.DataCentre)}
 	ds.kind = p.kindOf(ds)
 	ds.chosen = p.bestOption(ds, -1)
 	if ds.hasPrevious {
-		ds.chosen = p.nearestOption(ds.options, d.Before)
+		ds.chosen = p.nearestOption(ds.options, d.PreviousGroups)
 	}
 	p.apply(ds, ds.chosen, 1)
 	p.domains = append(p.domains, ds)
@@ -400,9 +400,9 @@
 	case n <= r.loaded:
 		return 0
 	case n <= r.loaded+r.staged:
-		return m.Warm
+		return m.StagedLoad
 	case n <= r.loaded+r.staged+r.loading:
-		return m.Load / 2
+		return m.StoreLoad / 2
 	}
-	return m.Load
+	return m.StoreLoad
 }
--- a/internal/placement/packing/packing_test.go
+++ b/internal/placement/packing/packing_test.go
@@ -12,8 +12,8 @@
 
 func models(wide, narrow int, share float64) []Model {
 	return []Model{
-		{Name: "narrow", Size: narrow, Share: 1 - share, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
-		{Name: "wide", Size: wide, Share: share, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
+		{Name: "narrow", Size: narrow, Share: 1 - share, StoreLoad: 12 * time.Second, StagedLoad: 1100 * time.Millisecond},
+		{Name: "wide", Size: wide, Share: share, StoreLoad: 16 * time.Second, StagedLoad: 1600 * time.Millisecond},
 	}
 }
 
@@ -61,7 +61,7 @@
 		assert.DeepEqual(t, total(layouts), c.want)
 		for domain, l := range layouts {
 			assert.Equal(t, len(l.Groups) == 2, c.mixed, "%d VMs: %s %v", c.each, domain, l.Groups)
-			assert.Equal(t, len(l.Hold), c.each)
+			assert.Equal(t, len(l.ModelByVM), c.each)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 // domainWithSpares returns a domain of eleven VMs with one group of each model and one spare VM that
 // holds each model.
 func domainWithSpares() Domain {
-	d := Domain{Name: "d", Groups: map[string]int{"wide": 1, "narrow": 1}, Before: map[string]int{"wide": 1, "narrow": 1}}
+	d := Domain{Name: "d", Groups: map[string]int{"wide": 1, "narrow": 1}, PreviousGroups: map[string]int{"wide": 1, "narrow": 1}}
 	add := func(n int, model string, grouped bool) {
 		for range n {
 			d.VMs = append(d.VMs, VM{ID: fmt.Sprintf("vm-%02d", len(d.VMs)), InGroup: grouped, Loaded: model, Staged: []string{model}})
@@ -141,7 +141,7 @@
 	assert.DeepEqual(t, l.Groups, map[string]int{"wide": 1, "narrow": 1})
 	for _, vm := range d.VMs {
 		if !vm.InGroup {
-			assert.Equal(t, l.Hold[vm.ID], vm.Staged[0], "%s", vm.ID)
+			assert.Equal(t, l.ModelByVM[vm.ID], vm.Staged[0], "%s", vm.ID)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	others := pool(5, 11)
 	for i := range others {
 		others[i].Groups = map[string]int{"wide": 1, "narrow": 1}
-		others[i].Before = map[string]int{"wide": 1, "narrow": 1}
+		others[i].PreviousGroups = map[string]int{"wide": 1, "narrow": 1}
 		for k := range 9 {
 			others[i].VMs[k].InGroup = true
 		}
@@ -168,7 +168,7 @@
 	d.VMs = d.VMs[:8]
 	l := Plan(models(6, 3, 0.67), append(others, d), DefaultForecast(), false)["d"]
 	assert.DeepEqual(t, l.Groups, map[string]int{"narrow": 2})
-	assert.Equal(t, len(l.Hold), 5)
+	assert.Equal(t, len(l.ModelByVM), 5)
 }
 
 // Guards against layouts that change without need: the same VMs give the same layouts, and a
@@ -184,10 +184,10 @@
 	for range 200 {
 		for i := range domains {
 			assert.Equal(t, len(first[domains[i].Name].Groups), 1)
-			domains[i].Before = first[domains[i].Name].Groups
+			domains[i].PreviousGroups = first[domains[i].Name].Groups
 			domains[i].VMs = pool(1, 24+r.IntN(4))[0].VMs
 			for k := range domains[i].VMs {
-				domains[i].VMs[k].Loaded = first[domains[i].Name].Hold["00-00"]
+				domains[i].VMs[k].Loaded = first[domains[i].Name].ModelByVM["00-00"]
 			}
 		}
 		for name, l := range Plan(ms, domains, DefaultForecast(), false) {
