--- a/internal/admission/caller_timeouts.go
+++ b/internal/admission/caller_timeouts.go
@@ -18,7 +18,7 @@
 	waitMinSamples = 30
 )
 
-// Waits learns, for each route, the timeout that callers set when they first send a request. From
+// CallerTimeouts learns, for each route, the timeout that callers set when they first send a request. From
 // the timeout that a request has left, it estimates how long ago the request was first sent.
 //
 // After all processes have lost power, the requests of the outage return as retries together with
@@ -26,8 +26,8 @@
 // late in any case would take the slots, and new requests would wait behind them. A caller that
 // sets a shorter timeout must not be taken for late, so the timeout is learned from the route's
 // callers. A request counts as first sent earlier by the time that its timeout is below the
-// timeout of nine in ten requests. Estimates are also stored outside the process, see Share.
-type Waits struct {
+// timeout of nine in ten requests. Estimates are also stored outside the process, see EstimateToShare.
+type CallerTimeouts struct {
 	routes map[string]*waitEstimate
 }
 
@@ -41,16 +41,18 @@
 	updatedAt time.Time
 }
 
-// NewWaits returns a Waits without estimates.
-func NewWaits() *Waits { return &Waits{routes: make(map[string]*waitEstimate)} }
+// NewCallerTimeouts returns a CallerTimeouts without estimates.
+func NewCallerTimeouts() *CallerTimeouts {
+	return &CallerTimeouts{routes: make(map[string]*waitEstimate)}
+}
 
-// Asked records a request of a route whose caller waits for the time remaining. It returns how
+// Observe records a request of a route whose caller waits for the time remaining. It returns how
 // long ago, at least, the caller first sent the request; 0 if the request may be new.
-func (w *Waits) Asked(now time.Time, route string, remaining time.Duration) time.Duration {
-	e := w.routes[route]
+func (c *CallerTimeouts) Observe(now time.Time, route string, remaining time.Duration) time.Duration {
+	e := c.routes[route]
 	if e == nil {
 		e = &waitEstimate{quantile: remaining}
-		w.routes[route] = e
+		c.routes[route] = e
 	}
 	e.samples++
 	elapsed := time.Duration(0)
@@ -76,13 +78,13 @@
 	e.quantile += time.Duration(step * waitQuantile)
 }
 
-// Learn adopts the estimate of a route that other entries have learned, unless this process has
+// Adopt adopts the estimate of a route that other entries have learned, unless this process has
 // its own.
-func (w *Waits) Learn(route string, quantile time.Duration) {
-	e := w.routes[route]
+func (c *CallerTimeouts) Adopt(route string, quantile time.Duration) {
+	e := c.routes[route]
 	if e == nil {
 		e = &waitEstimate{}
-		w.routes[route] = e
+		c.routes[route] = e
 	}
 	if e.samples <= waitMinSamples {
 		e.quantile, e.samples = quantile, waitMinSamples+1
@@ -97,10 +99,10 @@
 	shareMinChange = 0.1
 )
 
-// Share returns the estimate of a route that other entries should learn. known is the estimate
-// that they have, 0 for none. Share returns false if there is nothing new to share.
-func (w *Waits) Share(route string, known time.Duration) (time.Duration, bool) {
-	e := w.routes[route]
+// EstimateToShare returns the estimate of a route that other entries should learn. known is the estimate
+// that they have, 0 for none. EstimateToShare returns false if there is nothing new to share.
+func (c *CallerTimeouts) EstimateToShare(route string, known time.Duration) (time.Duration, bool) {
+	e := c.routes[route]
 	if e == nil || e.samples < shareMinSamples {
 		return 0, false
 	}
--- a/internal/admission/caller_timeouts_test.go
+++ b/internal/admission/caller_timeouts_test.go
@@ -22,24 +22,24 @@
 	const objective = 250 * time.Millisecond
 	r := rand.New(rand.NewPCG(7, 11))
 	now := time.Unix(1_700_000_000, 0)
-	before := NewWaits()
+	before := NewCallerTimeouts()
 	for range 200 {
-		before.Asked(now, "route", callerTimeout(r))
+		before.Observe(now, "route", callerTimeout(r))
 		now = now.Add(100 * time.Millisecond)
 	}
-	least, ok := before.Share("route", 0)
+	least, ok := before.EstimateToShare("route", 0)
 	assert.Assert(t, ok)
 
-	p := NewWaits()
-	p.Learn("route", least)
+	p := NewCallerTimeouts()
+	p.Adopt("route", least)
 	late, early := 0, 0
 	for range 300 {
 		first := time.Duration(r.Int64N(int64(1500 * time.Millisecond)))
 		now = now.Add(5 * time.Millisecond)
-		if p.Asked(now, "route", callerTimeout(r)-time.Second-first) > objective {
+		if p.Observe(now, "route", callerTimeout(r)-time.Second-first) > objective {
 			late++
 		}
-		if p.Asked(now, "route", callerTimeout(r)) > objective {
+		if p.Observe(now, "route", callerTimeout(r)) > objective {
 			early++
 		}
 	}
@@ -51,12 +51,12 @@
 // program must not take its requests for retries.
 func TestShortTimeoutsAreNotTakenForRetries(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 5))
-	p := NewWaits()
+	p := NewCallerTimeouts()
 	late := 0
 	now := time.Unix(1_700_000_000, 0)
 	for range 400 {
 		now = now.Add(100 * time.Millisecond)
-		if p.Asked(now, "route", callerTimeout(r)/2) > 100*time.Millisecond {
+		if p.Observe(now, "route", callerTimeout(r)/2) > 100*time.Millisecond {
 			late++
 		}
 	}
@@ -67,7 +67,7 @@
 // than the fraction that may be below the estimate, so no request may be taken for a retry.
 func TestMixedTimeoutsAreNotTakenForRetries(t *testing.T) {
 	r := rand.New(rand.NewPCG(13, 5))
-	p := NewWaits()
+	p := NewCallerTimeouts()
 	late := 0
 	now := time.Unix(1_700_000_000, 0)
 	for n := range 4000 {
@@ -76,7 +76,7 @@
 		if n%4 == 0 {
 			left /= 2
 		}
-		if before := p.Asked(now, "route", left); n >= 3600 && before > 250*time.Millisecond {
+		if before := p.Observe(now, "route", left); n >= 3600 && before > 250*time.Millisecond {
 			late++
 		}
 	}
@@ -86,17 +86,17 @@
 // An estimate must not be shared while it is based on few requests, or while it is close to the
 // estimate that other entries already have.
 func TestEstimateIsSharedOnceKnownAndDifferent(t *testing.T) {
-	p := NewWaits()
+	p := NewCallerTimeouts()
 	for range shareMinSamples - 1 {
-		p.Asked(time.Time{}, "route", 5*time.Second)
+		p.Observe(time.Time{}, "route", 5*time.Second)
 	}
-	_, ok := p.Share("route", 0)
+	_, ok := p.EstimateToShare("route", 0)
 	assert.Assert(t, !ok, "too few samples")
-	p.Asked(time.Time{}, "route", 5*time.Second)
-	least, ok := p.Share("route", 0)
+	p.Observe(time.Time{}, "route", 5*time.Second)
+	least, ok := p.EstimateToShare("route", 0)
 	assert.Assert(t, ok)
-	_, ok = p.Share("route", least)
+	_, ok = p.EstimateToShare("route", least)
 	assert.Assert(t, !ok)
-	_, ok = p.Share("route", least*8/10)
+	_, ok = p.EstimateToShare("route", least*8/10)
 	assert.Assert(t, ok)
 }
--- a/internal/entry/wait_estimates.go
+++ b/internal/entry/wait_estimates.go
@@ -15,7 +15,7 @@
 // on the board for processes that restart. It is safe for concurrent use.
 type waitEstimates struct {
 	mu        sync.Mutex
-	estimates *admission.Waits
+	estimates *admission.CallerTimeouts
 	// checkedAt is when this entry last compared its estimates with the board.
 	checkedAt time.Time
 }
@@ -23,7 +23,7 @@
 // newWaitEstimates returns estimates that are first compared with the board an interval after
 // from. That time differs between entries, so that the first entry to report spares the others.
 func newWaitEstimates(from time.Time) *waitEstimates {
-	return &waitEstimates{estimates: admission.NewWaits(), checkedAt: from}
+	return &waitEstimates{estimates: admission.NewCallerTimeouts(), checkedAt: from}
 }
 
 // sentBefore returns the least time that must have passed since the caller first sent its
@@ -35,7 +35,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.estimates.Asked(now, route, f.Timeout)
+	return c.estimates.Observe(now, route, f.Timeout)
 }
 
 // loadBoard takes over the estimates that the board holds.
@@ -43,7 +43,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for route, ms := range b.Waits {
-		c.estimates.Learn(route, time.Duration(ms)*time.Millisecond)
+		c.estimates.Adopt(route, time.Duration(ms)*time.Millisecond)
 	}
 }
 
@@ -79,7 +79,7 @@
 	c.checkedAt = now
 	for name := range b.Config.Routes {
 		known := time.Duration(b.Waits[name]) * time.Millisecond
-		if least, ok := c.estimates.Share(name, known); ok {
+		if least, ok := c.estimates.EstimateToShare(name, known); ok {
 			return name, least
 		}
 	}
