--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -150,7 +150,7 @@
 // that no server could answer in time, and their next tries got the same refusal.
 func (q *Queue) refuseOnArrival(now time.Time, m *modelQueue, it *item) *Refusal {
 	wait := m.estimateWait(it, q.policy)
-	if places := it.request.Places; places > 0 && m.countAhead(it.worth) >= places {
+	if places := it.request.MaxPlaceable; places > 0 && m.countAhead(it.worth) >= places {
 		return q.refuse(now, m, it, ReasonDeadlineUnreachable, wait)
 	}
 	if !it.latestStart.IsZero() && now.After(it.latestStart) {
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -24,9 +24,9 @@
 	// OnTimeUntil is the latest time at which the request can reach a backend server and its
 	// answer begin within its objective; zero means that it has no objective.
 	OnTimeUntil time.Time
-	// Places is the greatest number of requests of the model, including this one, that can be
+	// MaxPlaceable is the greatest number of requests of the model, including this one, that can be
 	// placed before the deadline; 0 means no bound.
-	Places int
+	MaxPlaceable int
 	// RetryBudget names the budget that retries of the request are taken from; empty means the
 	// budget of the workspace.
 	RetryBudget string
--- a/internal/admission/slots_test.go
+++ b/internal/admission/slots_test.go
@@ -11,7 +11,7 @@
 	q := New(twoClasses())
 	place := func(id, class string) Request {
 		r := request(id, "audit", class, 10)
-		r.Places = 2
+		r.MaxPlaceable = 2
 		return r
 	}
 	mustQueue(t, q, start, place("a", "draft"))
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -235,7 +235,7 @@
 	decision := d.queue.Offer(now, admission.Request{
 		ID: j.id, Workspace: j.workspace, Class: j.class, Model: j.model, Homes: j.homesName(), IdempotencyKey: j.key,
 		Tokens: j.tokens(), Arrived: j.arrived, Deadline: j.deadline, RetryBudget: j.retryBudget(),
-		OnTimeUntil: d.onTimeUntil(j), Places: slots,
+		OnTimeUntil: d.onTimeUntil(j), MaxPlaceable: slots,
 	})
 	d.refuseEvicted(decision.Evicted)
 	if decision.Refusal != nil {
