--- a/internal/admission/retry_loans.go
+++ b/internal/admission/retry_loans.go
@@ -28,15 +28,15 @@
 	minRetriesPerSecond = 1e-9
 )
 
-// OwnRetries returns the retries a second that one of several entries may send without a loan.
+// RetriesPerSecondWithoutLoan returns the retries a second that one of several entries may send without a loan.
 // slack is the number of retries that all entries together may send in a retry window.
-func OwnRetries(slack float64, entries int) float64 {
+func RetriesPerSecondWithoutLoan(slack float64, entries int) float64 {
 	return max(minRetriesPerSecond, ownPart*slack/retryWindowSeconds/float64(max(1, entries)))
 }
 
-// Pool returns the name of the pool from which an entry borrows retries for a budget. The entries
+// LoanPool returns the name of the pool from which an entry borrows retries for a budget. The entries
 // are divided among enough pools to keep the number of borrowers of one lender small.
-func Pool(budget, entry string, entries int) string {
+func LoanPool(budget, entry string, entries int) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(entry))
 	return budget + "/" + strconv.Itoa(int(h.Sum32()%uint32(poolCount(entries))))
@@ -46,16 +46,16 @@
 	return max(1, int(math.Ceil(float64(entries)/borrowersPerLender)))
 }
 
-// Loans counts the retries that one entry has lent to others.
-type Loans struct {
+// RetryLoans counts the retries that one entry has lent to others.
+type RetryLoans struct {
 	// started is when the entry started.
 	started time.Time
 	lent    retryBudgets
 }
 
-// NewLoans returns the Loans of an entry that starts at now.
-func NewLoans(now time.Time) *Loans {
-	return &Loans{started: now, lent: make(retryBudgets)}
+// NewRetryLoans returns the RetryLoans of an entry that starts at now.
+func NewRetryLoans(now time.Time) *RetryLoans {
+	return &RetryLoans{started: now, lent: make(retryBudgets)}
 }
 
 // Lend reports whether another entry may send one retry from a pool, and counts the loan if so.
@@ -63,7 +63,7 @@
 //
 // An entry that has just started lends nothing for one window: it may have lent retries before
 // the restart and lost the counts.
-func (l *Loans) Lend(now time.Time, pool string, slack float64, entries int) bool {
+func (l *RetryLoans) Lend(now time.Time, pool string, slack float64, entries int) bool {
 	if now.Sub(l.started) < retryWindowSeconds*time.Second {
 		return false
 	}
--- a/internal/admission/retry_loans_test.go
+++ b/internal/admission/retry_loans_test.go
@@ -33,7 +33,7 @@
 type retryEntry struct {
 	name  string
 	queue *Queue
-	loans *Loans
+	loans *RetryLoans
 }
 
 func newRetryFleet(n int, slack float64) *retryFleet {
@@ -47,8 +47,8 @@
 
 // restart makes an entry lose all its counts.
 func (f *retryFleet) restart(i int, after time.Duration) {
-	policy := Policy{RetryRatio: policyRatio, RetryPerSecond: OwnRetries(f.slack, len(f.entries))}
-	f.entries[i].queue, f.entries[i].loans = New(policy), NewLoans(at(after))
+	policy := Policy{RetryRatio: policyRatio, RetryPerSecond: RetriesPerSecondWithoutLoan(f.slack, len(f.entries))}
+	f.entries[i].queue, f.entries[i].loans = New(policy), NewRetryLoans(at(after))
 }
 
 // run sends perSecond requests a second from all entries together. fails returns the fraction of
@@ -71,7 +71,7 @@
 }
 
 func (f *retryFleet) retry(now time.Time, after time.Duration, e *retryEntry) {
-	pool := Pool("s", e.name, len(f.entries))
+	pool := LoanPool("s", e.name, len(f.entries))
 	lender := f.lender(pool)
 	if e.queue.AllowRetry(now, "s") || lender.loans.Lend(now, pool, f.slack, len(f.entries)) {
 		f.retries = append(f.retries, after)
@@ -149,7 +149,7 @@
 
 // Guards against a lender that restarts and lends again the retries that it had already lent.
 func TestRestartedLenderLendsNothingAtFirst(t *testing.T) {
-	l := NewLoans(start)
+	l := NewRetryLoans(start)
 	assert.Assert(t, !l.Lend(at(time.Second), "s/0", 1000, 1))
 	assert.Assert(t, l.Lend(at((retryWindowSeconds+1)*time.Second), "s/0", 1000, 1))
 }
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -28,11 +28,11 @@
 	mu sync.Mutex
 	// refusedUntil holds until when each pool is not asked again.
 	refusedUntil map[string]time.Time
-	lent         *admission.Loans
+	lent         *admission.RetryLoans
 }
 
 func newRetryLoans() *retryLoans {
-	return &retryLoans{refusedUntil: make(map[string]time.Time), lent: admission.NewLoans(time.Now())}
+	return &retryLoans{refusedUntil: make(map[string]time.Time), lent: admission.NewRetryLoans(time.Now())}
 }
 
 // takeRetry takes one retry for the job from this entry's own share of the retry budget, or
@@ -48,7 +48,7 @@
 func (s *Server) borrow(j *job) bool {
 	board := s.o.Follower.Board()
 	entries := callerFacingEntries(board)
-	pool := admission.Pool(j.retryBudget(), s.o.ID, len(entries))
+	pool := admission.LoanPool(j.retryBudget(), s.o.ID, len(entries))
 	if !s.retryLoans.mayBorrow(time.Now(), pool) {
 		return false
 	}
--- a/internal/entry/routing_table.go
+++ b/internal/entry/routing_table.go
@@ -19,7 +19,7 @@
 	p := policyOf(b.Config)
 	if b.Config.Version > 0 {
 		p.RetryRatio = s.o.Settings.RetryRatio
-		p.RetryPerSecond = admission.OwnRetries(s.o.Settings.RetrySlack, len(callerFacingEntries(b)))
+		p.RetryPerSecond = admission.RetriesPerSecondWithoutLoan(s.o.Settings.RetrySlack, len(callerFacingEntries(b)))
 		s.routing.Store(&routingTable{config: &b.Config, index: blackboard.NewRouteIndex(b.Config.Routes)})
 	}
 	s.dispatcher.setPolicy(p)
