--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -64,9 +64,9 @@
 // NewGate returns a gate that limits nothing.
 func NewGate() *Gate { return &Gate{window: gateUnlimited} }
 
-// Room reports whether another request may be sent. It opens a limiting gate whose last sample is
+// HasCapacity reports whether another request may be sent. It opens a limiting gate whose last sample is
 // older than gateStaleAfter.
-func (g *Gate) Room(now time.Time) bool {
+func (g *Gate) HasCapacity(now time.Time) bool {
 	if g.Limiting() && now.Sub(g.lastFirstEvent) > gateStaleAfter {
 		*g = Gate{window: gateUnlimited, pending: g.pending}
 	}
@@ -80,27 +80,29 @@
 func (g *Gate) Limiting() bool { return g.window < gateUnlimited }
 
 const (
-	// minExpected and maxExpected bound Expected. With a lower value, requests that have no
+	// minExpected and maxExpected bound ExpectedFirstEventRatio. With a lower value, requests that have no
 	// chance would count as on time; with a higher value, no request would.
 	minExpected = 0.3
 	maxExpected = 0.9
 )
 
-// Expected returns the fraction of the objective that a request spends at a group until its first
+// ExpectedFirstEventRatio returns the fraction of the objective that a request spends at a group until its first
 // event, estimated from recent requests.
-func (g *Gate) Expected() float64 { return min(max(g.firstEventRatio, minExpected), maxExpected) }
+func (g *Gate) ExpectedFirstEventRatio() float64 {
+	return min(max(g.firstEventRatio, minExpected), maxExpected)
+}
 
-// Idle reports whether no request is between its sending and its first event.
-func (g *Gate) Idle() bool { return g.pending == 0 }
+// HasNonePending reports whether no request is between its sending and its first event.
+func (g *Gate) HasNonePending() bool { return g.pending == 0 }
 
 // Sent records that a request was sent.
 func (g *Gate) Sent() { g.pending++ }
 
-// Ended records that a request ended before its first event.
-func (g *Gate) Ended() { g.pending-- }
+// EndedBeforeFirstEvent records that a request ended before its first event.
+func (g *Gate) EndedBeforeFirstEvent() { g.pending-- }
 
-// Began records the first event of a request. elapsed is the time since the request was sent.
-func (g *Gate) Began(now time.Time, elapsed, objective time.Duration) {
+// FirstEvent records the first event of a request. elapsed is the time since the request was sent.
+func (g *Gate) FirstEvent(now time.Time, elapsed, objective time.Duration) {
 	inUse := float64(g.pending) >= g.window-1
 	g.lastFirstEvent = now
 	g.pending--
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -75,7 +75,7 @@
 func (w *gateSimulation) sendQueued(e *gateEntry, gated bool) {
 	e.queue.NewestFirst("m", gated && e.gate.Limiting())
 	for {
-		r, _, ok := e.queue.Next(w.now, func(Request) bool { return !gated || e.gate.Room(w.now) })
+		r, _, ok := e.queue.Next(w.now, func(Request) bool { return !gated || e.gate.HasCapacity(w.now) })
 		if !ok {
 			return
 		}
@@ -90,7 +90,7 @@
 	}
 	s := w.engineQueue[0]
 	w.engineQueue = w.engineQueue[1:]
-	s.entry.gate.Began(w.now, w.now.Sub(s.sentAt), gateObjective)
+	s.entry.gate.FirstEvent(w.now, w.now.Sub(s.sentAt), gateObjective)
 	s.entry.queue.Done(w.now, Outcome{ID: s.id, Answered: true, Tokens: 900, Took: w.now.Sub(s.sentAt)})
 	elapsed := w.now.Sub(s.entry.arrivedAt[s.id])
 	if elapsed <= gateDeadline {
@@ -137,7 +137,7 @@
 	for i := range 500 {
 		g.Sent()
 		took := time.Duration(60+i%7*20) * time.Millisecond
-		g.Began(now.Add(took), took, gateObjective)
+		g.FirstEvent(now.Add(took), took, gateObjective)
 		now = now.Add(20 * time.Millisecond)
 	}
 	assert.Assert(t, !g.Limiting())
@@ -150,15 +150,15 @@
 	now := start
 	for range 50 {
 		g.Sent()
-		g.Began(now, time.Second, gateObjective)
+		g.FirstEvent(now, time.Second, gateObjective)
 		now = now.Add(100 * time.Millisecond)
 	}
 	assert.Assert(t, g.Limiting())
 	g.Sent()
-	assert.Assert(t, !g.Room(now))
+	assert.Assert(t, !g.HasCapacity(now))
 	for range 200 {
 		g.Sent()
-		g.Began(now, 70*time.Millisecond, gateObjective)
+		g.FirstEvent(now, 70*time.Millisecond, gateObjective)
 		now = now.Add(100 * time.Millisecond)
 	}
 	assert.Assert(t, !g.Limiting())
@@ -172,11 +172,11 @@
 	now := start
 	for range 100 {
 		for range 2 {
-			assert.Assert(t, g.Room(now))
+			assert.Assert(t, g.HasCapacity(now))
 			g.Sent()
 		}
-		g.Began(now.Add(200*time.Millisecond), 200*time.Millisecond, gateObjective)
-		g.Began(now.Add(400*time.Millisecond), 400*time.Millisecond, gateObjective)
+		g.FirstEvent(now.Add(200*time.Millisecond), 200*time.Millisecond, gateObjective)
+		g.FirstEvent(now.Add(400*time.Millisecond), 400*time.Millisecond, gateObjective)
 		now = now.Add(2 * time.Second)
 	}
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -280,7 +280,7 @@
 	}
 	for {
 		r, expired, ok := d.queue.Next(now, func(r admission.Request) bool {
-			return d.gateOf(r.Model).Room(now) && d.picker.HasCapacity(now, d.waiting[r.ID].job.placementRequest(r.Reserve))
+			return d.gateOf(r.Model).HasCapacity(now) && d.picker.HasCapacity(now, d.waiting[r.ID].job.placementRequest(r.Reserve))
 		})
 		d.refuseEvicted(expired)
 		if !ok {
--- a/internal/entry/gates.go
+++ b/internal/entry/gates.go
@@ -22,7 +22,7 @@
 // that it counts have not begun or ended. The caller holds the lock.
 func (d *dispatcher) removeIdleGates() {
 	maps.DeleteFunc(d.gates, func(model string, gate *admission.Gate) bool {
-		return !d.servedPools[model] && gate.Idle()
+		return !d.servedPools[model] && gate.HasNonePending()
 	})
 }
 
@@ -37,7 +37,7 @@
 	delete(d.awaitingFirstEvent, attempt)
 	now := time.Now()
 	objective := time.Duration(j.forward.route.ObjectiveMillis) * time.Millisecond
-	d.gateOf(model).Began(now, took, objective)
+	d.gateOf(model).FirstEvent(now, took, objective)
 	d.dispatchWaiting(now)
 }
 
@@ -48,7 +48,7 @@
 		return time.Time{}
 	}
 	objective := time.Duration(j.forward.route.ObjectiveMillis) * time.Millisecond
-	left := 1 - d.gateOf(j.model).Expected()
+	left := 1 - d.gateOf(j.model).ExpectedFirstEventRatio()
 	return j.firstSent.Add(time.Duration(left * float64(objective)))
 }
 
@@ -58,6 +58,6 @@
 	d.picker.RecordFinish(now, attempt, r)
 	if model, counted := d.awaitingFirstEvent[attempt]; counted {
 		delete(d.awaitingFirstEvent, attempt)
-		d.gateOf(model).Ended()
+		d.gateOf(model).EndedBeforeFirstEvent()
 	}
 }
