--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -268,7 +268,7 @@
 // measure adds the time since the last step to group downtime and stranded accelerator time.
 func (s *Server) measure(view controller.View, now time.Time) {
 	var at adminapi.Measures
-	s.o.Evidence.WithTable(func(t *evidence.Table) { at = controller.Measures(view.Board, t, now) })
+	s.o.Evidence.WithTable(func(t *evidence.Table) { at = controller.CurrentMeasures(view.Board, t, now) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.meter.last.IsZero() {
--- a/internal/controller/measures.go
+++ b/internal/controller/measures.go
@@ -8,7 +8,7 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// Measures returns the present values of the two measures, groups down and stranded accelerators;
+// CurrentMeasures returns the present values of the two measures, groups down and stranded accelerators;
 // the caller adds them up over time.
 //
 // A wanted replica is down unless a group of its spec is routable by the evidence of this
@@ -17,7 +17,7 @@
 // accelerators are those of VMs that are neither paused nor dead and whose group does not work.
 // While this process does not receive evidence from a majority of the entries, its evidence
 // is insufficient and it uses the blackboard instead.
-func Measures(board *blackboard.Board, table *evidence.Table, now time.Time) adminapi.Measures {
+func CurrentMeasures(board *blackboard.Board, table *evidence.Table, now time.Time) adminapi.Measures {
 	var m adminapi.Measures
 	hasMajority := table.HasMajority(now, board)
 	working := make(map[string]bool)
--- a/internal/controller/measures_test.go
+++ b/internal/controller/measures_test.go
@@ -11,7 +11,7 @@
 )
 
 func (w *world) measures() adminapi.Measures {
-	return Measures(w.board, w.entries[0].table, w.now)
+	return CurrentMeasures(w.board, w.entries[0].table, w.now)
 }
 
 // Guards against measures that hide a dead group: they used only the blackboard, where a group
