--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -255,7 +255,7 @@
 		"term", p.Order.Token.Term, "epoch", p.Order.Token.Epoch, "accepted", reply.Accepted, "err", errText(err))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.memory.Answered(time.Now(), p, reply, err)
+	o.memory.RecordAnswer(time.Now(), p, reply, err)
 }
 
 func errText(err error) string {
--- a/internal/controller/memory.go
+++ b/internal/controller/memory.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// Answered records the outcome of a planned order. An error does not show whether the engine
+// RecordAnswer records the outcome of a planned order. An error does not show whether the engine
 // carried out the order.
-func (m *Memory) Answered(now time.Time, o PlannedOrder, reply backend.OrderReply, err error) {
+func (m *Memory) RecordAnswer(now time.Time, o PlannedOrder, reply backend.OrderReply, err error) {
 	m.window.recordAnswer(o.VM)
 	r, ok := m.orders[o.VM]
 	if !ok || err != nil || !reply.Accepted {
--- a/internal/controller/opening_sim_test.go
+++ b/internal/controller/opening_sim_test.go
@@ -458,7 +458,7 @@
 			}
 			accepted := w.take(e, o.plan.Order)
 			if o.answered {
-				o.from.Answered(w.now, o.plan, backend.OrderReply{Accepted: accepted}, nil)
+				o.from.RecordAnswer(w.now, o.plan, backend.OrderReply{Accepted: accepted}, nil)
 			}
 		}
 	}
--- a/internal/controller/sim_world_test.go
+++ b/internal/controller/sim_world_test.go
@@ -288,7 +288,7 @@
 		w.byID[o.VM].take(o, func(reply backend.OrderReply) {
 			w.after(time.Millisecond, func() {
 				if w.now.Before(o.Deadline) {
-					l.memory.Answered(w.now, o, reply, nil)
+					l.memory.RecordAnswer(w.now, o, reply, nil)
 				}
 			})
 		})
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -50,7 +50,7 @@
 }
 
 // PlannedOrder is an order for one engine. The caller sends it immediately, cancels it at
-// Deadline, and passes the outcome to Memory.Answered.
+// Deadline, and passes the outcome to Memory.RecordAnswer.
 type PlannedOrder struct {
 	VM       string
 	Address  string
