--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -162,7 +162,7 @@
 	now := time.Now()
 	view := controller.View{Timing: s.o.Timing, LeaseUntil: now.Add(s.o.Consensus.LeaseRemaining())}
 	view.Board = s.o.Machine.Board()
-	view.Stalled = s.stalledGroups(now, view.Board)
+	view.ConfirmedStalls = s.stalledGroups(now, view.Board)
 	view.Term = view.Board.TermBase + o.term
 	if view.Board.ClusterID == "" {
 		return false
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -85,7 +85,7 @@
 	events     *eventLog
 	meter      meter
 	// stalls holds the entries' reports of groups without progress.
-	stalls *controller.Stalls
+	stalls *controller.StallReports
 	// woken triggers a step before the next tick.
 	woken chan struct{}
 	// sampled is the time of the last metrics sample; only Run uses it.
@@ -95,7 +95,7 @@
 // NewServer returns a server. Run starts its work.
 func NewServer(o Options) *Server {
 	return &Server{
-		o: o, woken: make(chan struct{}, 1), stalls: controller.NewStalls(), events: newEventLog(), relay: newRelay(),
+		o: o, woken: make(chan struct{}, 1), stalls: controller.NewStallReports(), events: newEventLog(), relay: newRelay(),
 		leases: newLeases(o.Lease, clock.Now()), rateLimits: make(rateLimitAges),
 	}
 }
--- a/internal/control/stalled.go
+++ b/internal/control/stalled.go
@@ -27,8 +27,8 @@
 	dataCentre := board.Entries[r.EntryId].DataCentre
 	s.mu.Lock()
 	for _, g := range r.Groups {
-		group := controller.StalledGroup{Group: g.Group, Epoch: g.Epoch}
-		s.stalls.Note(now, r.EntryId, dataCentre, group, time.Duration(g.SilentMs)*time.Millisecond)
+		group := controller.GroupEpoch{Group: g.Group, Epoch: g.Epoch}
+		s.stalls.Record(now, r.EntryId, dataCentre, group, time.Duration(g.SilentMs)*time.Millisecond)
 	}
 	s.mu.Unlock()
 	for _, g := range r.Groups {
@@ -48,7 +48,7 @@
 }
 
 // stalledGroups returns the groups that count as stalled by the entries' reports.
-func (s *Server) stalledGroups(now time.Time, board *blackboard.Board) map[controller.StalledGroup]time.Time {
+func (s *Server) stalledGroups(now time.Time, board *blackboard.Board) map[controller.GroupEpoch]time.Time {
 	entries := make(map[string]int)
 	for _, e := range board.Entries {
 		if e.Address != "" {
@@ -57,5 +57,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stalls.Stalled(now, entries)
+	return s.stalls.Confirmed(now, entries)
 }
--- a/internal/controller/breaking.go
+++ b/internal/controller/breaking.go
@@ -90,7 +90,7 @@
 
 func groupFaults(v View, now time.Time, g blackboard.Group) []fault {
 	var faults []fault
-	if at, stalled := v.Stalled[StalledGroup{g.ID, g.Epoch}]; stalled && g.Opens && now.Sub(at) < stallValidity {
+	if at, stalled := v.ConfirmedStalls[GroupEpoch{g.ID, g.Epoch}]; stalled && g.Opens && now.Sub(at) < stallValidity {
 		faults = append(faults, fault{"no entry gets answers", 0})
 	}
 	if g.State == blackboard.Loading && v.Memory.timeInState(g, now) > loadTimeout {
--- a/internal/controller/opening_sim_test.go
+++ b/internal/controller/opening_sim_test.go
@@ -380,7 +380,7 @@
 	w.letCallersCome()
 	w.table.Digest(w.now, evidence.Cursor{})
 	actions := Run(View{
-		Board: w.board, Evidence: w.table, Memory: w.memory, Term: w.term, LeaseUntil: w.now.Add(2 * time.Second), Stalled: w.stalled(),
+		Board: w.board, Evidence: w.table, Memory: w.memory, Term: w.term, LeaseUntil: w.now.Add(2 * time.Second), ConfirmedStalls: w.stalled(),
 		Timing: Timing{Paused: 3 * time.Second, Dead: 3 * time.Second, Fault: 300 * time.Millisecond, Start: 6 * time.Second,
 			Resend: 700 * time.Millisecond, Settle: 250 * time.Millisecond, SettleMost: 8 * time.Second, Stall: simStall},
 	}, w.now)
@@ -402,8 +402,8 @@
 
 // stalled returns the stalls that entries would report: heads that have stalled for some time,
 // and now and then a head that has not.
-func (w *poolWorld) stalled() map[StalledGroup]time.Time {
-	out := make(map[StalledGroup]time.Time)
+func (w *poolWorld) stalled() map[GroupEpoch]time.Time {
+	out := make(map[GroupEpoch]time.Time)
 	if w.unused {
 		return out
 	}
@@ -413,7 +413,7 @@
 		}
 		truly := !e.lostAt.IsZero() && w.now.Sub(e.lostAt) > 350*time.Millisecond
 		if truly || (w.faulty && w.r.IntN(4000) == 0) {
-			out[StalledGroup{e.group, e.epoch}] = w.now
+			out[GroupEpoch{e.group, e.epoch}] = w.now
 		}
 	}
 	return out
--- a/internal/controller/stalls.go
+++ b/internal/controller/stalls.go
@@ -28,10 +28,10 @@
 	stallReportTTL = 5 * time.Second
 )
 
-// Stalls collects the reports of entries about groups that make no progress, and decides when the
+// StallReports collects the reports of entries about groups that make no progress, and decides when the
 // reports confirm each other. It is not safe for concurrent use.
-type Stalls struct {
-	reports map[StalledGroup]map[string]stallReport
+type StallReports struct {
+	reports map[GroupEpoch]map[string]stallReport
 }
 
 // stallReport is the last report of one entry about a group.
@@ -41,22 +41,24 @@
 	dataCentre string
 }
 
-// NewStalls returns an empty Stalls.
-func NewStalls() *Stalls { return &Stalls{reports: make(map[StalledGroup]map[string]stallReport)} }
+// NewStallReports returns an empty StallReports.
+func NewStallReports() *StallReports {
+	return &StallReports{reports: make(map[GroupEpoch]map[string]stallReport)}
+}
 
-// Note records the report of an entry in a data centre that all its streams on a group have been
+// Record records the report of an entry in a data centre that all its streams on a group have been
 // silent for the given time.
-func (s *Stalls) Note(now time.Time, entry, dataCentre string, g StalledGroup, silent time.Duration) {
+func (s *StallReports) Record(now time.Time, entry, dataCentre string, g GroupEpoch, silent time.Duration) {
 	if s.reports[g] == nil {
 		s.reports[g] = make(map[string]stallReport)
 	}
 	s.reports[g][entry] = stallReport{now, silent, dataCentre}
 }
 
-// Stalled returns the groups whose stall is confirmed, each with the time now. entries counts the
+// Confirmed returns the groups whose stall is confirmed, each with the time now. entries counts the
 // entries that take callers' requests, by data centre.
-func (s *Stalls) Stalled(now time.Time, entries map[string]int) map[StalledGroup]time.Time {
-	out := make(map[StalledGroup]time.Time)
+func (s *StallReports) Confirmed(now time.Time, entries map[string]int) map[GroupEpoch]time.Time {
+	out := make(map[GroupEpoch]time.Time)
 	for g, reports := range s.reports {
 		if isConfirmed(now, reports, entries) {
 			out[g] = now
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -25,16 +25,16 @@
 	Term uint64
 	// LeaseUntil is the end of the leader's lease by this process's clock.
 	LeaseUntil time.Time
-	// Stalled holds when entries last confirmed that a group epoch makes no progress on requests.
-	Stalled map[StalledGroup]time.Time
+	// ConfirmedStalls holds when entries last confirmed that a group epoch makes no progress on requests.
+	ConfirmedStalls map[GroupEpoch]time.Time
 	// Timing holds the times that differ from the defaults.
 	Timing Timing
 	// rows holds the sorted rows of the board while Run runs; nil otherwise.
 	rows *sortedRows
 }
 
-// StalledGroup identifies one epoch of a group.
-type StalledGroup struct {
+// GroupEpoch identifies one epoch of a group.
+type GroupEpoch struct {
 	Group string
 	Epoch uint64
 }
