--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -197,10 +197,10 @@
 	if vm.Flaps == 0 {
 		return true
 	}
-	most := v.timing().SettleMost
+	most := v.timing().MaxRejoinWait
 	need := most
 	if vm.Flaps < 6 {
-		need = min(most, v.timing().Settle<<vm.Flaps)
+		need = min(most, v.timing().RejoinWait<<vm.Flaps)
 	}
 	age := now.UnixMilli() - vm.SinceMillis
 	return age < 0 || age >= need.Milliseconds()
--- a/internal/controller/opening_sim_test.go
+++ b/internal/controller/opening_sim_test.go
@@ -382,7 +382,7 @@
 	actions := Run(View{
 		Board: w.board, Evidence: w.table, Memory: w.memory, Term: w.term, LeaseUntil: w.now.Add(2 * time.Second), ConfirmedStalls: w.stalled(),
 		Timing: Timing{Paused: 3 * time.Second, Dead: 3 * time.Second, Fault: 300 * time.Millisecond, Start: 6 * time.Second,
-			Resend: 700 * time.Millisecond, Settle: 250 * time.Millisecond, SettleMost: 8 * time.Second, Stall: simStall},
+			Resend: 700 * time.Millisecond, RejoinWait: 250 * time.Millisecond, MaxRejoinWait: 8 * time.Second, Stall: simStall},
 	}, w.now)
 	for _, c := range actions.Commands {
 		w.apply(c)
--- a/internal/controller/timing.go
+++ b/internal/controller/timing.go
@@ -15,9 +15,9 @@
 	Start time.Duration
 	// Resend is the time after which an order without a visible effect is sent again.
 	Resend time.Duration
-	// Settle is half the wait after the first return of a VM, SettleMost the longest wait; see
+	// RejoinWait is half the wait after the first return of a VM, MaxRejoinWait the longest wait; see
 	// isStable.
-	Settle, SettleMost time.Duration
+	RejoinWait, MaxRejoinWait time.Duration
 	// Stall is how long the head of a group that lost a member continues as before, until the
 	// head stops serving by itself. It applies only to groups that open.
 	Stall time.Duration
@@ -32,7 +32,7 @@
 		value time.Duration
 	}{
 		{&t.Paused, pausedAfter}, {&t.Dead, deadAfter}, {&t.Fault, faultTimeout}, {&t.Start, startTimeout},
-		{&t.Resend, resendAfter}, {&t.Settle, rejoinWait}, {&t.SettleMost, maxRejoinWait}, {&t.Stall, DefaultStall},
+		{&t.Resend, resendAfter}, {&t.RejoinWait, rejoinWait}, {&t.MaxRejoinWait, maxRejoinWait}, {&t.Stall, DefaultStall},
 	} {
 		if *d.field == 0 {
 			*d.field = d.value
--- a/internal/node/adapter.go
+++ b/internal/node/adapter.go
@@ -88,8 +88,8 @@
 	t.Fault = quickFaultDelay
 	t.Start = quickStartTimeout
 	t.Resend = quickResendDelay
-	t.Settle = quickSettle
-	t.SettleMost = quickMaxSettle
+	t.RejoinWait = quickSettle
+	t.MaxRejoinWait = quickMaxSettle
 	return t
 }
 
