--- a/internal/controller/announcements.go
+++ b/internal/controller/announcements.go
@@ -32,9 +32,9 @@
 //
 // Failure: a new leader first receives an old announcement from one entry before the newer
 // announcement from another entry, and overwrites a newer row with it. Only announcements
-// received within Timing.Paused therefore count.
+// received within Timing.PausedAfter therefore count.
 func recordAnnouncements(v View, now time.Time, a *Actions) {
-	fresh := v.timing().Paused
+	fresh := v.timing().PausedAfter
 	reports := v.Evidence.Select(func(r *evidence.Report) bool {
 		return r.LatestDetail != nil && now.Sub(r.ReceivedAt) <= fresh && !isRecorded(v, r)
 	})
--- a/internal/controller/breaking.go
+++ b/internal/controller/breaking.go
@@ -126,7 +126,7 @@
 		if supersedes(r, vm.StartedMillis) {
 			return "restarted", 0
 		}
-		return "restarted", v.timing().Fault
+		return "restarted", v.timing().FaultTimeout
 	}
 	return reportedFault(v, now, g, r)
 }
@@ -145,15 +145,15 @@
 			return lostFault(v, now, r.Unreachable[0])
 		}
 		if !inEpoch {
-			return "left the epoch", v.timing().Fault
+			return "left the epoch", v.timing().FaultTimeout
 		}
 		if !isServicePhase(g, r) {
-			return "is " + string(r.Phase), v.timing().Fault
+			return "is " + string(r.Phase), v.timing().FaultTimeout
 		}
 	case blackboard.Loading:
 		// The time counts from the order, because a member's order is sent late when many are
 		// due.
-		if !inEpoch && v.Memory.sinceLoadOrder(r.ID, groupEpoch{g.ID, g.Epoch}, now) > v.timing().Start {
+		if !inEpoch && v.Memory.sinceLoadOrder(r.ID, groupEpoch{g.ID, g.Epoch}, now) > v.timing().StartTimeout {
 			v.Memory.avoidAfterFailedLoad(g, r.ID, now)
 			return "does not begin to load", 0
 		}
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -54,7 +54,7 @@
 
 // updateLiveness derives alive, paused, dead or straggler from the evidence.
 func updateLiveness(v View, now time.Time, a *Actions) {
-	dead := v.Memory.deadThreshold(hasMassSilence(v, now), now, v.timing().Dead)
+	dead := v.Memory.deadThreshold(hasMassSilence(v, now), now, v.timing().DeadAfter)
 	for _, id := range v.vmIDs() {
 		vm := v.Board.VMs[id]
 		r, hasReport := v.Evidence.Get(id)
@@ -92,7 +92,7 @@
 		if hasReport && r.Incarnation != s.Incarnation {
 			continue
 		}
-		to := nextLiveness(v, now, s.Liveness, r, hasReport, v.timing().Dead)
+		to := nextLiveness(v, now, s.Liveness, r, hasReport, v.timing().DeadAfter)
 		if to == blackboard.Dead && silence(v, now, r, hasReport) > removeServiceAfter {
 			v.Evidence.Forget(backend.KindService, id)
 			a.command(&blackboard.RemoveService{ID: id, Incarnation: s.Incarnation})
@@ -151,7 +151,7 @@
 		}
 		living++
 		r, hasReport := v.Evidence.Get(id)
-		if silence(v, now, r, hasReport) > v.timing().Paused {
+		if silence(v, now, r, hasReport) > v.timing().PausedAfter {
 			silent++
 		}
 	}
@@ -172,7 +172,7 @@
 	switch {
 	case current == blackboard.Dead || silent > dead*scale:
 		return blackboard.Dead
-	case silent > v.timing().Paused*scale:
+	case silent > v.timing().PausedAfter*scale:
 		return blackboard.Paused
 	}
 	return current
--- a/internal/controller/opening.go
+++ b/internal/controller/opening.go
@@ -138,7 +138,7 @@
 		}
 		held++
 		r, hasReport := v.Evidence.Get(m.VM)
-		if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.ReceivedAt) > v.timing().Paused {
+		if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.ReceivedAt) > v.timing().PausedAfter {
 			continue
 		}
 		if r.Incarnation != m.Incarnation || (ended && (acceptedRelease(v, g, m) || r.Group != g.ID || r.Epoch != g.Epoch)) {
--- a/internal/controller/opening_sim_test.go
+++ b/internal/controller/opening_sim_test.go
@@ -381,8 +381,8 @@
 	w.table.Digest(w.now, evidence.Cursor{})
 	actions := Run(View{
 		Board: w.board, Evidence: w.table, Memory: w.memory, Term: w.term, LeaseUntil: w.now.Add(2 * time.Second), ConfirmedStalls: w.stalled(),
-		Timing: Timing{Paused: 3 * time.Second, Dead: 3 * time.Second, Fault: 300 * time.Millisecond, Start: 6 * time.Second,
-			Resend: 700 * time.Millisecond, RejoinWait: 250 * time.Millisecond, MaxRejoinWait: 8 * time.Second, Stall: simStall},
+		Timing: Timing{PausedAfter: 3 * time.Second, DeadAfter: 3 * time.Second, FaultTimeout: 300 * time.Millisecond, StartTimeout: 6 * time.Second,
+			ResendAfter: 700 * time.Millisecond, RejoinWait: 250 * time.Millisecond, MaxRejoinWait: 8 * time.Second, Stall: simStall},
 	}, w.now)
 	for _, c := range actions.Commands {
 		w.apply(c)
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -42,7 +42,7 @@
 }
 
 // send plans an order. It plans nothing if the lease is too short, the same order was sent less
-// than Timing.Resend ago, too many orders are in flight, or the weight store has no capacity for
+// than Timing.ResendAfter ago, too many orders are in flight, or the weight store has no capacity for
 // the load that the order starts; then a later run plans the order.
 func send(v View, now time.Time, a *Actions, vm blackboard.VM, incarnation string, o backend.Order) bool {
 	deadline, ok := orderDeadline(v, now)
@@ -59,7 +59,7 @@
 		v.Memory.orders[vm.ID] = r
 	}
 	same := r.kind == o.Kind && r.target == target && r.incarnation == incarnation
-	if same && now.Sub(r.sentAt) < v.timing().Resend {
+	if same && now.Sub(r.sentAt) < v.timing().ResendAfter {
 		return false
 	}
 	store := v.Memory.storeOf(vm.Pool)
--- a/internal/controller/releasing.go
+++ b/internal/controller/releasing.go
@@ -48,7 +48,7 @@
 
 func releaseMember(v View, now time.Time, a *Actions, g blackboard.Group, m blackboard.GroupMember, vm blackboard.VM) {
 	r, hasReport := v.Evidence.Get(m.VM)
-	if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.ReceivedAt) > v.timing().Paused {
+	if !hasReport || r.Incarnation != vm.Incarnation || now.Sub(r.ReceivedAt) > v.timing().PausedAfter {
 		return
 	}
 	if r.Group != "" && (r.Group != g.ID || r.Epoch != g.Epoch) {
@@ -121,7 +121,7 @@
 	for _, id := range v.vmIDs() {
 		vm := v.Board.VMs[id]
 		r, hasReport := v.Evidence.Get(id)
-		if !hasReport || r.Group == "" || now.Sub(r.ReceivedAt) > v.timing().Paused {
+		if !hasReport || r.Group == "" || now.Sub(r.ReceivedAt) > v.timing().PausedAfter {
 			continue
 		}
 		if r.Incarnation != vm.Incarnation || r.Phase == backend.PhaseReleasing {
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -95,7 +95,7 @@
 	if e == nil {
 		return
 	}
-	if o := v.Memory.orders[s.vm.ID]; o != nil && now.Sub(o.sentAt) < v.timing().Resend {
+	if o := v.Memory.orders[s.vm.ID]; o != nil && now.Sub(o.sentAt) < v.timing().ResendAfter {
 		return
 	}
 	if s.fetches && !v.Memory.storeOf(s.vm.Pool).hasCapacity(e) {
--- a/internal/controller/timing.go
+++ b/internal/controller/timing.go
@@ -7,14 +7,14 @@
 // evidence.AnnounceInterval and reloads that take tens of seconds; the constants give their
 // reasons.
 type Timing struct {
-	// Paused and Dead are how long a backend server must be silent to count as paused or dead.
-	Paused, Dead time.Duration
-	// Fault is how long a reported fault that may be temporary must last.
-	Fault time.Duration
-	// Start is how long a member may take to begin to load.
-	Start time.Duration
-	// Resend is the time after which an order without a visible effect is sent again.
-	Resend time.Duration
+	// PausedAfter and DeadAfter are how long a backend server must be silent to count as paused or dead.
+	PausedAfter, DeadAfter time.Duration
+	// FaultTimeout is how long a reported fault that may be temporary must last.
+	FaultTimeout time.Duration
+	// StartTimeout is how long a member may take to begin to load.
+	StartTimeout time.Duration
+	// ResendAfter is the time after which an order without a visible effect is sent again.
+	ResendAfter time.Duration
 	// RejoinWait is half the wait after the first return of a VM, MaxRejoinWait the longest wait; see
 	// isStable.
 	RejoinWait, MaxRejoinWait time.Duration
@@ -31,8 +31,8 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&t.Paused, pausedAfter}, {&t.Dead, deadAfter}, {&t.Fault, faultTimeout}, {&t.Start, startTimeout},
-		{&t.Resend, resendAfter}, {&t.RejoinWait, rejoinWait}, {&t.MaxRejoinWait, maxRejoinWait}, {&t.Stall, DefaultStall},
+		{&t.PausedAfter, pausedAfter}, {&t.DeadAfter, deadAfter}, {&t.FaultTimeout, faultTimeout}, {&t.StartTimeout, startTimeout},
+		{&t.ResendAfter, resendAfter}, {&t.RejoinWait, rejoinWait}, {&t.MaxRejoinWait, maxRejoinWait}, {&t.Stall, DefaultStall},
 	} {
 		if *d.field == 0 {
 			*d.field = d.value
--- a/internal/controller/weight_store.go
+++ b/internal/controller/weight_store.go
@@ -103,7 +103,7 @@
 		return needsFetch(v, vm, model)
 	}
 	o := v.Memory.orders[vm.ID]
-	return o != nil && o.fetches && o.incarnation == vm.Incarnation && now.Sub(o.sentAt) < v.timing().Resend
+	return o != nil && o.fetches && o.incarnation == vm.Incarnation && now.Sub(o.sentAt) < v.timing().ResendAfter
 }
 
 func (s *weightStore) retain(isWanted func(load) bool) {
--- a/internal/node/adapter.go
+++ b/internal/node/adapter.go
@@ -83,11 +83,11 @@
 	if c.AnnounceMillis == settings.DefaultAnnounceMillis {
 		return t
 	}
-	t.Dead = millis(c.DeadMillis)
-	t.Paused = t.Dead
-	t.Fault = quickFaultDelay
-	t.Start = quickStartTimeout
-	t.Resend = quickResendDelay
+	t.DeadAfter = millis(c.DeadMillis)
+	t.PausedAfter = t.DeadAfter
+	t.FaultTimeout = quickFaultDelay
+	t.StartTimeout = quickStartTimeout
+	t.ResendAfter = quickResendDelay
 	t.RejoinWait = quickSettle
 	t.MaxRejoinWait = quickMaxSettle
 	return t
