--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -24,7 +24,7 @@
 	isLogged := false
 	for {
 		r, err := replica.Open(o)
-		if !errors.Is(err, wal.ErrNoRoom) {
+		if !errors.Is(err, wal.ErrNoSpace) {
 			return r, errors.Trace(err)
 		}
 		if !isLogged {
--- a/internal/replica/full_disk.go
+++ b/internal/replica/full_disk.go
@@ -20,9 +20,9 @@
 	isFull bool
 }
 
-// NoRoom waits before the next attempt of a write that failed because the disk is full. It
+// WaitForSpace waits before the next attempt of a write that failed because the disk is full. It
 // returns false if the node is stopping.
-func (d *fullDisk) NoRoom(err error) bool {
+func (d *fullDisk) WaitForSpace(err error) bool {
 	if !d.isFull {
 		d.isFull = true
 		d.logger.error("event", "dependency_lost", "what", "disk", "err", err)
@@ -35,8 +35,8 @@
 	}
 }
 
-// Room records that a write has succeeded after NoRoom.
-func (d *fullDisk) Room() {
+// SpaceRegained records that a write has succeeded after WaitForSpace.
+func (d *fullDisk) SpaceRegained() {
 	d.isFull = false
 	d.logger.info("event", "dependency_regained", "what", "disk")
 }
--- a/internal/wal/no_space.go
+++ b/internal/wal/no_space.go
@@ -8,17 +8,17 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// ErrNoRoom is returned when a write fails because the data file cannot grow. All
+// ErrNoSpace is returned when a write fails because the data file cannot grow. All
 // earlier writes are intact, and the failed write may be retried.
-const ErrNoRoom = errors.ConstError("the data file cannot grow: the disk is full, or a quota or file size limit is reached")
+const ErrNoSpace = errors.ConstError("the data file cannot grow: the disk is full, or a quota or file size limit is reached")
 
-// Waiter waits for free disk space.
-type Waiter interface {
-	// NoRoom is called after a write failed with ErrNoRoom. It may block before it
+// SpaceWaiter waits for free disk space.
+type SpaceWaiter interface {
+	// WaitForSpace is called after a write failed with ErrNoSpace. It may block before it
 	// returns. It returns true to retry the write and false to abandon it.
-	NoRoom(err error) (again bool)
-	// Room is called once a write succeeds after NoRoom was called for it.
-	Room()
+	WaitForSpace(err error) (again bool)
+	// SpaceRegained is called once a write succeeds after WaitForSpace was called for it.
+	SpaceRegained()
 }
 
 // noSpaceErrnos are the system errors for a file that cannot grow: the disk is full,
@@ -55,13 +55,13 @@
 	for waited := false; ; waited = true {
 		err := w.updateOnce(f)
 		if err == nil && waited {
-			w.waiter.Room()
+			w.waiter.SpaceRegained()
 		}
 		if !isNoSpace(err) {
 			return err
 		}
-		err = errors.Annotate(ErrNoRoom, err.Error())
-		if w.waiter == nil || !w.waiter.NoRoom(err) {
+		err = errors.Annotate(ErrNoSpace, err.Error())
+		if w.waiter == nil || !w.waiter.WaitForSpace(err) {
 			return err
 		}
 		if err := w.reopen(); err != nil {
--- a/internal/wal/no_space_test.go
+++ b/internal/wal/no_space_test.go
@@ -15,7 +15,7 @@
 )
 
 // smallDisk limits the file size of this process, and lifts the limit after a few
-// failed writes. It is a Waiter.
+// failed writes. It is a SpaceWaiter.
 type smallDisk struct {
 	t                   *testing.T
 	old                 syscall.Rlimit
@@ -50,9 +50,9 @@
 	assert.NilError(d.t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &d.old))
 }
 
-// NoRoom lifts the limit after some calls and always asks for a retry.
-func (d *smallDisk) NoRoom(err error) bool {
-	assert.Assert(d.t, errors.Is(err, ErrNoRoom))
+// WaitForSpace lifts the limit after some calls and always asks for a retry.
+func (d *smallDisk) WaitForSpace(err error) bool {
+	assert.Assert(d.t, errors.Is(err, ErrNoSpace))
 	d.attempts++
 	if d.attempts >= d.liftAfter {
 		d.liftLimit()
@@ -60,8 +60,8 @@
 	return true
 }
 
-// Room counts the waits that ended in success.
-func (d *smallDisk) Room() { d.regained++ }
+// SpaceRegained counts the waits that ended in success.
+func (d *smallDisk) SpaceRegained() { d.regained++ }
 
 // writeKinds holds one write of each kind, for a folder with 40 entries.
 var writeKinds = map[string]func(w *WAL) error{
@@ -110,7 +110,7 @@
 func contentAfterWrite(t *testing.T, write func(*WAL) error, d *smallDisk, limit uint64) string {
 	t.Helper()
 	folder := newFolderWithEntries(t)
-	var waiter Waiter
+	var waiter SpaceWaiter
 	if d != nil {
 		waiter = d
 	}
@@ -148,7 +148,7 @@
 		d.limitFileSize(8 << 10)
 		err = write(w)
 		d.liftLimit()
-		assert.Assert(t, errors.Is(err, ErrNoRoom), "%s: %v", name, err)
+		assert.Assert(t, errors.Is(err, ErrNoSpace), "%s: %v", name, err)
 		assert.NilError(t, w.Close())
 		w, err = Open(folder, nil)
 		assert.NilError(t, err)
@@ -160,7 +160,7 @@
 }
 
 // Guards against a full disk reported as damage. A process starts for the first time
-// on a full disk. Open must return ErrNoRoom, not a CorruptError, and succeed once
+// on a full disk. Open must return ErrNoSpace, not a CorruptError, and succeed once
 // the disk has free space.
 func TestFullDiskAtFirstStartIsNotDamage(t *testing.T) {
 	if !inChild(t) {
@@ -172,7 +172,7 @@
 		d.limitFileSize(limit)
 		w, err := Open(folder, nil)
 		d.liftLimit()
-		assert.Assert(t, errors.Is(err, ErrNoRoom), "file size limit of %d bytes: %v", limit, err)
+		assert.Assert(t, errors.Is(err, ErrNoSpace), "file size limit of %d bytes: %v", limit, err)
 		assert.Assert(t, w == nil)
 		w, err = Open(folder, nil)
 		assert.NilError(t, err, "first start with a file size limit of %d bytes", limit)
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -82,7 +82,7 @@
 type WAL struct {
 	path     string
 	db       *bolt.DB
-	waiter   Waiter
+	waiter   SpaceWaiter
 	identity Identity
 	saved    raft.Saved
 }
@@ -91,17 +91,17 @@
 // decides whether to retry a later write that fails because the file cannot grow. A
 // nil waiter abandons such writes.
 //
-// Open returns ErrNoRoom if the file cannot grow, ErrLocked if another process has
+// Open returns ErrNoSpace if the file cannot grow, ErrLocked if another process has
 // the folder open, and a CorruptError if the file is damaged.
-func Open(folder string, waiter Waiter) (*WAL, error) {
+func Open(folder string, waiter SpaceWaiter) (*WAL, error) {
 	w, err := open(folder, waiter)
 	if isNoSpace(err) {
-		return nil, errors.Annotate(ErrNoRoom, err.Error())
+		return nil, errors.Annotate(ErrNoSpace, err.Error())
 	}
 	return w, errors.Trace(err)
 }
 
-func open(folder string, waiter Waiter) (*WAL, error) {
+func open(folder string, waiter SpaceWaiter) (*WAL, error) {
 	path := filepath.Join(folder, FileName)
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, errors.Annotatef(err, "creating the data folder %s", folder)
