--- a/internal/raft/directed_test.go
+++ b/internal/raft/directed_test.go
@@ -38,7 +38,7 @@
 	data, err := EncodeMembership(m)
 	assert.NilError(t, err)
 	for _, id := range b.order {
-		saved := Saved{
+		saved := PersistedState{
 			HardState: HardState{Term: 1, Commit: 1},
 			Entries:   []Entry{{Term: 1, Index: 1, Type: EntryMembership, Data: data}},
 		}
@@ -300,7 +300,7 @@
 		}
 	}
 	old := b.nodes[others[1]]
-	saved := Saved{HardState: old.hard, Entries: old.log.entries}
+	saved := PersistedState{HardState: old.hard, Entries: old.log.entries}
 	restarted, err := New(old.cfg, saved, b.now)
 	assert.NilError(t, err)
 	restarted.Step(b.now, voteRequest(restarted.cfg.ID))
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -64,7 +64,7 @@
 
 // New returns a node with the state read from its data folder. It returns
 // ErrInvalidConfig for an invalid cfg and ErrInvariant for an inconsistent state.
-func New(cfg Config, saved Saved, now time.Duration) (*Node, error) {
+func New(cfg Config, saved PersistedState, now time.Duration) (*Node, error) {
 	if err := cfg.check(); err != nil {
 		return nil, errors.Trace(err)
 	}
--- a/internal/raft/simulation_test.go
+++ b/internal/raft/simulation_test.go
@@ -25,7 +25,7 @@
 // simDisk is the content of a VM's data folder. A nil disk is an empty folder.
 type simDisk struct {
 	id    NodeID
-	saved Saved
+	saved PersistedState
 }
 
 // simVM is one machine, which outlives its process and its disk.
@@ -194,7 +194,7 @@
 	if err != nil {
 		panic(err)
 	}
-	vm.disk.saved = Saved{
+	vm.disk.saved = PersistedState{
 		HardState: HardState{Term: 1, Commit: 1},
 		Entries:   []Entry{{Term: 1, Index: 1, Type: EntryMembership, Data: data}},
 	}
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -69,9 +69,9 @@
 	Term  uint64
 }
 
-// Saved is the state that a node reads from its data folder when it starts. Base
+// PersistedState is the state that a node reads from its data folder when it starts. Base
 // is the position just before the first of Entries.
-type Saved struct {
+type PersistedState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Base      Position
--- a/internal/replica/found.go
+++ b/internal/replica/found.go
@@ -133,12 +133,12 @@
 	}
 	first := raft.Entry{Term: 1, Index: 1, Type: raft.EntryMembership, Data: data}
 	id := wal.Identity{Node: n.id, Cluster: cluster}
-	if err := n.wal.Found(id, first); err != nil {
+	if err := n.wal.Bootstrap(id, first); err != nil {
 		return errors.Trace(err)
 	}
 	n.publishIdentity(id)
 	n.logger.info("msg", "cluster founded", "cluster", cluster)
-	saved := raft.Saved{HardState: raft.HardState{Term: 1, Commit: 1}, Entries: []raft.Entry{first}}
+	saved := raft.PersistedState{HardState: raft.HardState{Term: 1, Commit: 1}, Entries: []raft.Entry{first}}
 	return errors.Trace(n.startCore(saved))
 }
 
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -120,7 +120,7 @@
 		changed:   make(chan struct{}),
 		peers:     opts.Peers,
 	}
-	if err := n.startCore(store.Saved()); err != nil {
+	if err := n.startCore(store.LoadedState()); err != nil {
 		_ = store.Close()
 		return nil, errors.Trace(err)
 	}
@@ -132,7 +132,7 @@
 	return n, nil
 }
 
-func (n *Node) startCore(saved raft.Saved) error {
+func (n *Node) startCore(saved raft.PersistedState) error {
 	if saved.Snapshot.Index > 0 {
 		n.snapshotBytes = len(saved.Snapshot.Data)
 		if err := n.opts.Machine.Restore(saved.Snapshot.Data); err != nil {
--- a/internal/replica/recover.go
+++ b/internal/replica/recover.go
@@ -44,7 +44,7 @@
 
 func recoverStore(opts Options, store *wal.WAL) (Recovered, error) {
 	old := store.Identity()
-	saved := store.Saved()
+	saved := store.LoadedState()
 	last := saved.Base
 	if k := len(saved.Entries); k > 0 {
 		last = raft.Position{Index: saved.Entries[k-1].Index, Term: saved.Entries[k-1].Term}
@@ -65,7 +65,7 @@
 		Index: last.Index + 1, Term: max(saved.HardState.Term, last.Term) + 1,
 		Type: raft.EntryMembership, Data: data,
 	}
-	if err := store.Found(next, entry); err != nil {
+	if err := store.Bootstrap(next, entry); err != nil {
 		return Recovered{}, errors.Trace(err)
 	}
 	return Recovered{
--- a/internal/wal/no_space_test.go
+++ b/internal/wal/no_space_test.go
@@ -130,7 +130,7 @@
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, w.Close()) }()
 	id := w.Identity()
-	s := w.Saved()
+	s := w.LoadedState()
 	return fmt.Sprintf("%d %+v %+v %+v", id.Cluster, s.HardState, s.Base, s.Snapshot.Index) + fmt.Sprint(len(s.Snapshot.Data), len(s.Entries))
 }
 
@@ -152,7 +152,7 @@
 		assert.NilError(t, w.Close())
 		w, err = Open(folder, nil)
 		assert.NilError(t, err)
-		s := w.Saved()
+		s := w.LoadedState()
 		assert.Equal(t, len(s.Entries), 40)
 		assert.Equal(t, s.HardState.Commit, uint64(40))
 		assert.NilError(t, w.Close())
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -21,7 +21,7 @@
 	if !bytes.Equal(meta.Get(keyFormat), formatVersion1) {
 		return w.corruptError("format", "the version is not supported by this program")
 	}
-	var s raft.Saved
+	var s raft.PersistedState
 	readers := []func() error{
 		func() error { return readRecord(w, meta, keyIdentity, true, decodeIdentity, &w.identity) },
 		func() error { return readRecord(w, meta, keyHardState, false, decodeHardState, &s.HardState) },
@@ -67,7 +67,7 @@
 }
 
 // readEntries reads all log entries into s and checks them.
-func (w *WAL) readEntries(b *bolt.Bucket, s *raft.Saved) error {
+func (w *WAL) readEntries(b *bolt.Bucket, s *raft.PersistedState) error {
 	next := s.Base.Index + 1
 	term := s.Base.Term
 	cursor := b.Cursor()
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -84,7 +84,7 @@
 	db       *bolt.DB
 	waiter   SpaceWaiter
 	identity Identity
-	saved    raft.Saved
+	saved    raft.PersistedState
 }
 
 // Open opens the data folder, or creates it with a new random identity. The waiter
@@ -245,11 +245,11 @@
 // Identity returns the replica's current identity.
 func (w *WAL) Identity() Identity { return w.identity }
 
-// Saved returns the state as of Open. The WAL keeps no copy of it, so a second call
+// LoadedState returns the state as of Open. The WAL keeps no copy of it, so a second call
 // returns the zero value.
-func (w *WAL) Saved() raft.Saved {
+func (w *WAL) LoadedState() raft.PersistedState {
 	s := w.saved
-	w.saved = raft.Saved{}
+	w.saved = raft.PersistedState{}
 	return s
 }
 
@@ -290,9 +290,9 @@
 	}))
 }
 
-// Found bootstraps a new cluster: it persists the first membership as a committed
+// Bootstrap bootstraps a new cluster: it persists the first membership as a committed
 // entry, together with the identity that names the cluster.
-func (w *WAL) Found(id Identity, first raft.Entry) error {
+func (w *WAL) Bootstrap(id Identity, first raft.Entry) error {
 	err := w.update(func(tx *bolt.Tx) error {
 		if err := appendEntries(tx, []raft.Entry{first}); err != nil {
 			return errors.Trace(err)
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -67,7 +67,7 @@
 	w = openAt(t, folder)
 	defer func() { assert.NilError(t, w.Close()) }()
 	assert.Equal(t, w.Identity(), id)
-	s := w.Saved()
+	s := w.LoadedState()
 	assert.DeepEqual(t, s.Snapshot, snapshot)
 	assert.Equal(t, s.HardState, raft.HardState{Term: 4, Vote: 7, Commit: 39})
 	assert.Equal(t, s.Base, raft.Position{Index: 10, Term: 3})
@@ -78,7 +78,7 @@
 	next := []raft.Entry{{Term: 5, Index: 101, Data: []byte("x")}}
 	assert.NilError(t, w.Save(raft.Ready{MustPersist: true, Snapshot: &received, Entries: next, HardState: raft.HardState{Term: 5, Commit: 100}}))
 	assert.NilError(t, w.db.View(w.readAll))
-	assert.Equal(t, w.Saved().Base, raft.Position{Index: 100, Term: 5})
+	assert.Equal(t, w.LoadedState().Base, raft.Position{Index: 100, Term: 5})
 }
 
 // mustBeCorrupt checks that Open rejects a damaged folder with a CorruptError that
@@ -168,7 +168,7 @@
 	assert.NilError(t, w.Close())
 	w = openAt(t, folder)
 	defer func() { assert.NilError(t, w.Close()) }()
-	s := w.Saved()
+	s := w.LoadedState()
 	assert.Equal(t, len(s.Entries), 40)
 	assert.Equal(t, s.Entries[39].Term, uint64(3))
 }
