--- a/internal/raft/next_membership.go
+++ b/internal/raft/next_membership.go
@@ -5,19 +5,19 @@
 type MembershipView struct {
 	Membership Membership
 	Self       NodeID
-	// Wanted is the target number of voters.
-	Wanted int
-	// Joins holds the current join requests, ordered by identity.
-	Joins []Member
-	// Active holds the members that answered within the last election timeout.
-	Active map[NodeID]bool
-	// CaughtUp holds the members whose log has all committed entries.
-	CaughtUp map[NodeID]bool
-	// Silent holds the members that have not answered for so long that a learner
+	// TargetVoters is the target number of voters.
+	TargetVoters int
+	// JoinRequests holds the current join requests, ordered by identity.
+	JoinRequests []Member
+	// ActiveMembers holds the members that answered within the last election timeout.
+	ActiveMembers map[NodeID]bool
+	// CaughtUpMembers holds the members whose log has all committed entries.
+	CaughtUpMembers map[NodeID]bool
+	// SilentMembers holds the members that have not answered for so long that a learner
 	// should replace them.
-	Silent map[NodeID]bool
-	// Fresh holds the members that answered within the last few heartbeats.
-	Fresh map[NodeID]bool
+	SilentMembers map[NodeID]bool
+	// FreshMembers holds the members that answered within the last few heartbeats.
+	FreshMembers map[NodeID]bool
 }
 
 // NextMembership returns the one membership change to make now and the reason for
@@ -26,7 +26,7 @@
 	if id, ok := supersededMember(v); ok {
 		return v.Membership.Without(id), "the VM of a member rejoins with an empty disk under a new identity"
 	}
-	for _, request := range v.Joins {
+	for _, request := range v.JoinRequests {
 		present, ok := v.Membership.Find(request.ID)
 		if !ok && !isVMListed(v, request) && !v.Membership.IsRemoved(request.ID) {
 			request.Learner = true
@@ -58,7 +58,7 @@
 // and ProposeMembership rejects the change unless a majority of the shorter list
 // answers.
 func supersededMember(v MembershipView) (NodeID, bool) {
-	for _, request := range v.Joins {
+	for _, request := range v.JoinRequests {
 		// A join request is kept for some time after its sender became a member
 		// or was removed. Such a stale request replaces no member.
 		_, present := v.Membership.Find(request.ID)
@@ -66,7 +66,7 @@
 			continue
 		}
 		for _, m := range v.Membership.Members {
-			if m.VM == request.VM && m.ID != request.ID && m.ID != v.Self && !v.Active[m.ID] {
+			if m.VM == request.VM && m.ID != request.ID && m.ID != v.Self && !v.ActiveMembers[m.ID] {
 				return m.ID, true
 			}
 		}
@@ -97,7 +97,7 @@
 			voters++
 		}
 	}
-	if voters >= v.Wanted {
+	if voters >= v.TargetVoters {
 		return Member{}, false
 	}
 	return findReadyLearner(v, perCentre)
@@ -117,8 +117,8 @@
 	var silent NodeID
 	for _, id := range v.Membership.Voters() {
 		switch {
-		case id == v.Self || v.Fresh[id]:
-		case silent == 0 && v.Silent[id]:
+		case id == v.Self || v.FreshMembers[id]:
+		case silent == 0 && v.SilentMembers[id]:
 			silent = id
 		default:
 			return 0, false
@@ -133,7 +133,7 @@
 	var best Member
 	found := false
 	for _, m := range v.Membership.Members {
-		if !m.Learner || !v.Active[m.ID] || !v.CaughtUp[m.ID] {
+		if !m.Learner || !v.ActiveMembers[m.ID] || !v.CaughtUpMembers[m.ID] {
 			continue
 		}
 		if !found || perCentre[m.DataCentre] < perCentre[best.DataCentre] {
--- a/internal/raft/next_membership_test.go
+++ b/internal/raft/next_membership_test.go
@@ -13,10 +13,10 @@
 			{ID: 2, VM: "b", DataCentre: "y", Address: "2"},
 			{ID: 3, VM: "c", DataCentre: "z", Address: "3"},
 		}},
-		Self:     1,
-		Wanted:   3,
-		Active:   map[NodeID]bool{1: true, 2: true, 3: true},
-		CaughtUp: map[NodeID]bool{1: true, 2: true, 3: true},
+		Self:            1,
+		TargetVoters:    3,
+		ActiveMembers:   map[NodeID]bool{1: true, 2: true, 3: true},
+		CaughtUpMembers: map[NodeID]bool{1: true, 2: true, 3: true},
 	}
 }
 
@@ -29,7 +29,7 @@
 	v := sampleView()
 	v.Membership = v.Membership.Without(2)
 	v.Membership = v.Membership.With(Member{ID: 22, VM: "b", DataCentre: "y", Address: "2", Learner: true})
-	v.Joins = []Member{{ID: 2, VM: "b", DataCentre: "y", Address: "2"}, {ID: 22, VM: "b", DataCentre: "y", Address: "2"}}
+	v.JoinRequests = []Member{{ID: 2, VM: "b", DataCentre: "y", Address: "2"}, {ID: 22, VM: "b", DataCentre: "y", Address: "2"}}
 	_, reason := NextMembership(v)
 	assert.Equal(t, reason, "")
 }
@@ -39,11 +39,11 @@
 // Otherwise both identities could count at once.
 func TestReplacementInOrder(t *testing.T) {
 	v := sampleView()
-	v.Joins = []Member{{ID: 33, VM: "c", DataCentre: "z", Address: "3"}}
+	v.JoinRequests = []Member{{ID: 33, VM: "c", DataCentre: "z", Address: "3"}}
 	_, reason := NextMembership(v)
 	assert.Equal(t, reason, "", "the old identity still answers")
 
-	v.Active[3] = false
+	v.ActiveMembers[3] = false
 	next, _ := NextMembership(v)
 	assert.Assert(t, next.IsRemoved(3))
 	assert.Equal(t, len(next.Members), 2)
@@ -56,10 +56,10 @@
 	v.Membership = next
 	_, reason = NextMembership(v)
 	assert.Equal(t, reason, "", "the learner has not answered yet")
-	v.Active[33] = true
+	v.ActiveMembers[33] = true
 	_, reason = NextMembership(v)
 	assert.Equal(t, reason, "", "the learner has not caught up yet")
-	v.CaughtUp[33] = true
+	v.CaughtUpMembers[33] = true
 	next, _ = NextMembership(v)
 	assert.Assert(t, next.IsVoter(33))
 }
@@ -72,8 +72,8 @@
 	v.Membership = v.Membership.With(Member{ID: 4, VM: "d", DataCentre: "x", Address: "4", Learner: true})
 	v.Membership = v.Membership.With(Member{ID: 5, VM: "e", DataCentre: "z", Address: "5", Learner: true})
 	for _, id := range []NodeID{4, 5} {
-		v.Active[id] = true
-		v.CaughtUp[id] = true
+		v.ActiveMembers[id] = true
+		v.CaughtUpMembers[id] = true
 	}
 	next, _ := NextMembership(v)
 	assert.Assert(t, next.IsVoter(5))
@@ -84,7 +84,7 @@
 // identity, and the membership has the new address.
 func TestMovedReplicaKeepsItsVote(t *testing.T) {
 	v := sampleView()
-	v.Joins = []Member{{ID: 2, VM: "b", DataCentre: "y", Address: "20"}}
+	v.JoinRequests = []Member{{ID: 2, VM: "b", DataCentre: "y", Address: "20"}}
 	next, _ := NextMembership(v)
 	m, _ := next.Find(2)
 	assert.Equal(t, m, Member{ID: 2, VM: "b", DataCentre: "y", Address: "20"})
@@ -95,21 +95,21 @@
 // before the learner is promoted, the group has no majority.
 func TestLearnerReplacesSilentVoter(t *testing.T) {
 	v := sampleView()
-	v.Silent = map[NodeID]bool{3: true}
-	v.Fresh = map[NodeID]bool{1: true, 2: true}
-	v.Active[3] = false
+	v.SilentMembers = map[NodeID]bool{3: true}
+	v.FreshMembers = map[NodeID]bool{1: true, 2: true}
+	v.ActiveMembers[3] = false
 	_, reason := NextMembership(v)
 	assert.Equal(t, reason, "", "there is no learner")
 
 	v.Membership = v.Membership.With(Member{ID: 4, VM: "d", DataCentre: "z", Address: "4", Learner: true})
 	_, reason = NextMembership(v)
 	assert.Equal(t, reason, "", "the learner has not caught up")
-	v.Active[4] = true
-	v.CaughtUp[4] = true
-	v.Fresh[2] = false
+	v.ActiveMembers[4] = true
+	v.CaughtUpMembers[4] = true
+	v.FreshMembers[2] = false
 	_, reason = NextMembership(v)
 	assert.Equal(t, reason, "", "another voter may be lost too")
-	v.Fresh[2] = true
+	v.FreshMembers[2] = true
 	next, _ := NextMembership(v)
 	assert.Assert(t, next.IsRemoved(3))
 	v.Membership = next
--- a/internal/raft/simulation_members_test.go
+++ b/internal/raft/simulation_members_test.go
@@ -8,23 +8,23 @@
 		return
 	}
 	v := MembershipView{
-		Membership: s.Membership, Self: p.id, Wanted: w.wanted,
-		Active: map[NodeID]bool{}, CaughtUp: map[NodeID]bool{}, Silent: map[NodeID]bool{},
-		Fresh: map[NodeID]bool{},
+		Membership: s.Membership, Self: p.id, TargetVoters: w.wanted,
+		ActiveMembers: map[NodeID]bool{}, CaughtUpMembers: map[NodeID]bool{}, SilentMembers: map[NodeID]bool{},
+		FreshMembers: map[NodeID]bool{},
 	}
 	for _, vm := range w.vms {
 		if vm.proc == nil || vm.proc.frozenUntil > w.now || w.blocked(vm.name, p.vm.name) {
 			continue
 		}
 		if m, ok := s.Membership.Find(vm.disk.id); !ok && !w.hasActiveMember(p, s, vm) {
-			v.Joins = append(v.Joins, Member{ID: vm.disk.id, VM: vm.name, DataCentre: m.DataCentre})
+			v.JoinRequests = append(v.JoinRequests, Member{ID: vm.disk.id, VM: vm.name, DataCentre: m.DataCentre})
 		}
 	}
 	for _, m := range s.Membership.Members {
-		v.Active[m.ID] = p.node.Active(m.ID)
-		v.CaughtUp[m.ID] = p.node.Match(m.ID) >= s.Commit
-		v.Fresh[m.ID] = p.node.Fresh(m.ID)
-		v.Silent[m.ID] = p.node.SilentFor(m.ID) > simReplaceAfter
+		v.ActiveMembers[m.ID] = p.node.Active(m.ID)
+		v.CaughtUpMembers[m.ID] = p.node.Match(m.ID) >= s.Commit
+		v.FreshMembers[m.ID] = p.node.Fresh(m.ID)
+		v.SilentMembers[m.ID] = p.node.SilentFor(m.ID) > simReplaceAfter
 	}
 	next, reason := NextMembership(v)
 	if reason == "" {
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -44,13 +44,13 @@
 
 func (n *Node) membershipView(status raft.Status) raft.MembershipView {
 	v := raft.MembershipView{
-		Membership: status.Membership,
-		Self:       status.ID,
-		Wanted:     n.opts.Voters,
-		Active:     map[raft.NodeID]bool{},
-		CaughtUp:   map[raft.NodeID]bool{},
-		Silent:     map[raft.NodeID]bool{},
-		Fresh:      map[raft.NodeID]bool{},
+		Membership:      status.Membership,
+		Self:            status.ID,
+		TargetVoters:    n.opts.Voters,
+		ActiveMembers:   map[raft.NodeID]bool{},
+		CaughtUpMembers: map[raft.NodeID]bool{},
+		SilentMembers:   map[raft.NodeID]bool{},
+		FreshMembers:    map[raft.NodeID]bool{},
 	}
 	now := n.opts.Now()
 	for id, j := range n.joins {
@@ -58,14 +58,14 @@
 			delete(n.joins, id)
 			continue
 		}
-		v.Joins = append(v.Joins, j.member)
+		v.JoinRequests = append(v.JoinRequests, j.member)
 	}
-	slices.SortFunc(v.Joins, func(a, b Member) int { return compareIDs(a.ID, b.ID) })
+	slices.SortFunc(v.JoinRequests, func(a, b Member) int { return compareIDs(a.ID, b.ID) })
 	for _, m := range status.Membership.Members {
-		v.Active[m.ID] = n.core.Active(m.ID)
-		v.CaughtUp[m.ID] = n.core.Match(m.ID) >= status.Commit
-		v.Fresh[m.ID] = n.core.Fresh(m.ID)
-		v.Silent[m.ID] = n.core.SilentFor(m.ID) > n.opts.ReplaceAfter
+		v.ActiveMembers[m.ID] = n.core.Active(m.ID)
+		v.CaughtUpMembers[m.ID] = n.core.Match(m.ID) >= status.Commit
+		v.FreshMembers[m.ID] = n.core.Fresh(m.ID)
+		v.SilentMembers[m.ID] = n.core.SilentFor(m.ID) > n.opts.ReplaceAfter
 	}
 	return v
 }
