--- a/internal/raft/directed_test.go
+++ b/internal/raft/directed_test.go
@@ -58,7 +58,7 @@
 		moved = false
 		for _, id := range b.order {
 			r := b.nodes[id].Ready()
-			if r.Empty() {
+			if r.IsEmpty() {
 				continue
 			}
 			moved = true
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -69,22 +69,22 @@
 	return max(0, acked+n.cfg.ElectionTimeout-n.cfg.LeaseMargin)
 }
 
-// Active reports whether a member answered within the last election timeout.
-func (n *Node) Active(id NodeID) bool {
+// IsActive reports whether a member answered within the last election timeout.
+func (n *Node) IsActive(id NodeID) bool {
 	return n.ackedWithin(id, n.cfg.ElectionTimeout)
 }
 
-// Fresh reports whether a member answered within the last few heartbeat intervals,
+// AnsweredRecently reports whether a member answered within the last few heartbeat intervals,
 // see freshHeartbeatIntervals. A membership change that needs the member's vote
 // requires this.
-func (n *Node) Fresh(id NodeID) bool {
+func (n *Node) AnsweredRecently(id NodeID) bool {
 	return n.ackedWithin(id, freshHeartbeatIntervals*n.cfg.HeartbeatInterval)
 }
 
-// SilentFor returns the time since a member last answered this leader, or since
+// TimeSinceAnswer returns the time since a member last answered this leader, or since
 // this node began to lead if the member has not answered. It returns zero for
 // this node and for a non-member.
-func (n *Node) SilentFor(id NodeID) time.Duration {
+func (n *Node) TimeSinceAnswer(id NodeID) time.Duration {
 	p := n.progress[id]
 	if p == nil || id == n.cfg.ID {
 		return 0
@@ -191,7 +191,7 @@
 	}
 	var target NodeID
 	for _, id := range n.membership.Voters() {
-		if id == n.cfg.ID || !n.Active(id) {
+		if id == n.cfg.ID || !n.IsActive(id) {
 			continue
 		}
 		if target == 0 || n.progress[id].match > n.progress[target].match {
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -168,7 +168,7 @@
 	voters := next.Voters()
 	fresh := 0
 	for _, id := range voters {
-		if n.Fresh(id) {
+		if n.AnsweredRecently(id) {
 			fresh++
 		}
 	}
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// Match returns the highest index up to which a member is known to have synced the
+// MatchIndex returns the highest index up to which a member is known to have synced the
 // log. It returns zero for a non-member and on a node that does not lead.
-func (n *Node) Match(id NodeID) uint64 {
+func (n *Node) MatchIndex(id NodeID) uint64 {
 	if p := n.progress[id]; p != nil {
 		return p.match
 	}
--- a/internal/raft/simulation_faults_test.go
+++ b/internal/raft/simulation_faults_test.go
@@ -191,7 +191,7 @@
 			continue
 		}
 		for _, id := range w.checker.membership.Voters() {
-			if vm.proc.node.SilentFor(id) > simReplaceAfter-detectionWindow {
+			if vm.proc.node.TimeSinceAnswer(id) > simReplaceAfter-detectionWindow {
 				lists = append(lists, w.checker.membership.Without(id))
 			}
 		}
--- a/internal/raft/simulation_members_test.go
+++ b/internal/raft/simulation_members_test.go
@@ -21,10 +21,10 @@
 		}
 	}
 	for _, m := range s.Membership.Members {
-		v.ActiveMembers[m.ID] = p.node.Active(m.ID)
-		v.CaughtUpMembers[m.ID] = p.node.Match(m.ID) >= s.Commit
-		v.FreshMembers[m.ID] = p.node.Fresh(m.ID)
-		v.SilentMembers[m.ID] = p.node.SilentFor(m.ID) > simReplaceAfter
+		v.ActiveMembers[m.ID] = p.node.IsActive(m.ID)
+		v.CaughtUpMembers[m.ID] = p.node.MatchIndex(m.ID) >= s.Commit
+		v.FreshMembers[m.ID] = p.node.AnsweredRecently(m.ID)
+		v.SilentMembers[m.ID] = p.node.TimeSinceAnswer(m.ID) > simReplaceAfter
 	}
 	next, reason := NextMembership(v)
 	if reason == "" {
@@ -38,7 +38,7 @@
 // hasActiveMember reports whether the VM has an active member under another identity.
 func (w *simCluster) hasActiveMember(p *simProcess, s Status, vm *simVM) bool {
 	for _, m := range s.Membership.Members {
-		if m.VM == vm.name && m.ID != vm.disk.id && p.node.Active(m.ID) {
+		if m.VM == vm.name && m.ID != vm.disk.id && p.node.IsActive(m.ID) {
 			return true
 		}
 	}
--- a/internal/raft/simulation_test.go
+++ b/internal/raft/simulation_test.go
@@ -303,7 +303,7 @@
 	for range 8 {
 		r := p.node.Ready()
 		w.checker.checkLeader(p)
-		if r.Empty() {
+		if r.IsEmpty() {
 			break
 		}
 		p.pending = &r
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -146,8 +146,8 @@
 	Reads       []Read
 }
 
-// Empty reports whether there is no work.
-func (r Ready) Empty() bool {
+// IsEmpty reports whether there is no work.
+func (r Ready) IsEmpty() bool {
 	return !r.MustPersist && len(r.Messages) == 0 && len(r.Committed) == 0 && len(r.Reads) == 0
 }
 
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -62,10 +62,10 @@
 	}
 	slices.SortFunc(v.JoinRequests, func(a, b Member) int { return compareIDs(a.ID, b.ID) })
 	for _, m := range status.Membership.Members {
-		v.ActiveMembers[m.ID] = n.core.Active(m.ID)
-		v.CaughtUpMembers[m.ID] = n.core.Match(m.ID) >= status.Commit
-		v.FreshMembers[m.ID] = n.core.Fresh(m.ID)
-		v.SilentMembers[m.ID] = n.core.SilentFor(m.ID) > n.opts.ReplaceAfter
+		v.ActiveMembers[m.ID] = n.core.IsActive(m.ID)
+		v.CaughtUpMembers[m.ID] = n.core.MatchIndex(m.ID) >= status.Commit
+		v.FreshMembers[m.ID] = n.core.AnsweredRecently(m.ID)
+		v.SilentMembers[m.ID] = n.core.TimeSinceAnswer(m.ID) > n.opts.ReplaceAfter
 	}
 	return v
 }
--- a/internal/replica/process.go
+++ b/internal/replica/process.go
@@ -19,7 +19,7 @@
 	for {
 		n.requestReads()
 		r := n.core.Ready()
-		if r.Empty() {
+		if r.IsEmpty() {
 			n.publish()
 			return errors.Trace(n.recordRemoval())
 		}
@@ -155,7 +155,7 @@
 	v := view{status: n.core.Status(), leaseExpiry: n.core.LeaseExpiry(), leaderSince: n.core.LeaderSince()}
 	if v.status.Role == raft.RoleLeader {
 		for _, m := range v.status.Membership.Members {
-			if n.core.Active(m.ID) {
+			if n.core.IsActive(m.ID) {
 				v.active = append(v.active, m.ID)
 			}
 		}
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -133,7 +133,7 @@
 		return raftrpc.JoinResponse_NOT_LEADER
 	}
 	for _, m := range status.Membership.Members {
-		if m.VM == req.Vm && m.ID != id && (m.ID == status.ID || n.core.Active(m.ID)) {
+		if m.VM == req.Vm && m.ID != id && (m.ID == status.ID || n.core.IsActive(m.ID)) {
 			// Two machines with the same name in their settings would otherwise replace each
 			// other endlessly.
 			n.logger.warn("msg", "join refused", "vm", req.Vm, "id", idString(id),
