--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -152,7 +152,7 @@
 	if !n.log.matches(previous) {
 		n.send(Message{
 			Type: MessageAppendReply, To: m.From, Reject: true, Index: m.Index,
-			Hint: n.log.conflictHint(previous), SentAt: m.SentAt, Round: m.Round,
+			ConflictHint: n.log.conflictHint(previous), SentAt: m.SentAt, Round: m.Round,
 		})
 		return
 	}
@@ -244,7 +244,7 @@
 	}
 	p.probeInFlight = false
 	p.probing = true
-	p.next = max(p.match+1, min(m.Index, m.Hint+1))
+	p.next = max(p.match+1, min(m.Index, m.ConflictHint+1))
 }
 
 // maybeCommit commits the entries that a majority has synced, if the last of them
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -115,8 +115,8 @@
 	Entries []Entry
 	Commit  uint64
 	Reject  bool
-	// Hint is the highest index at which a rejecting follower may match.
-	Hint uint64
+	// ConflictHint is the highest index at which a rejecting follower may match.
+	ConflictHint uint64
 	// Forced marks the election of a leadership transfer. The leader requested it,
 	// so voters ignore their vote promise.
 	Forced bool
--- a/internal/replica/codec.go
+++ b/internal/replica/codec.go
@@ -20,7 +20,7 @@
 		LogTerm: m.LogTerm,
 		Commit:  m.Commit,
 		Reject:  m.Reject,
-		Hint:    m.Hint,
+		Hint:    m.ConflictHint,
 		Forced:  m.Forced,
 		SentAt:  int64(m.SentAt),
 		Round:   m.Round,
@@ -43,19 +43,19 @@
 
 func fromWire(w *raftrpc.Message) (raft.Message, error) {
 	m := raft.Message{
-		Type:    raft.MessageType(w.Type),
-		Group:   raft.GroupID(w.Group),
-		From:    raft.NodeID(w.From),
-		To:      raft.NodeID(w.To),
-		Term:    w.Term,
-		Index:   w.Index,
-		LogTerm: w.LogTerm,
-		Commit:  w.Commit,
-		Reject:  w.Reject,
-		Hint:    w.Hint,
-		Forced:  w.Forced,
-		SentAt:  time.Duration(w.SentAt),
-		Round:   w.Round,
+		Type:         raft.MessageType(w.Type),
+		Group:        raft.GroupID(w.Group),
+		From:         raft.NodeID(w.From),
+		To:           raft.NodeID(w.To),
+		Term:         w.Term,
+		Index:        w.Index,
+		LogTerm:      w.LogTerm,
+		Commit:       w.Commit,
+		Reject:       w.Reject,
+		ConflictHint: w.Hint,
+		Forced:       w.Forced,
+		SentAt:       time.Duration(w.SentAt),
+		Round:        w.Round,
 	}
 	for _, e := range w.Entries {
 		m.Entries = append(m.Entries, raft.Entry{Term: e.Term, Index: e.Index, Type: raft.EntryType(e.Type), Data: e.Data})
