--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -39,21 +39,21 @@
 	// kept: the record becomes a tombstone at once, and a resend learns only that the
 	// request ran.
 	MaxAnswerBytes = 256 << 10
-	// MaxAnswersBytes is the size limit of all kept answers. Beyond it, the records
+	// MaxTotalAnswerBytes is the size limit of all kept answers. Beyond it, the records
 	// with the oldest answers become tombstones.
-	MaxAnswersBytes = 32 << 20
+	MaxTotalAnswerBytes = 32 << 20
 	// MaxRecords is the most records in the table. A full table refuses claims as
 	// not run. It does not drop a tombstone before the end of its lifetime.
 	//
 	// A snapshot of this many records is encoded in a fraction of the election
 	// timeout (docs/CAPACITY.md).
 	MaxRecords = 100_000
-	// WorkspaceParts limits one workspace to MaxRecords/WorkspaceParts records.
-	WorkspaceParts = 2
-	// MaxStepMillis is the most by which one Expire advances the table's clock. It is
+	// WorkspaceShareDivisor limits one workspace to MaxRecords/WorkspaceShareDivisor records.
+	WorkspaceShareDivisor = 2
+	// MaxClockStepMillis is the most by which one Expire advances the table's clock. It is
 	// twice the time between two Expires, so that the clock catches up after an
 	// outage.
-	MaxStepMillis = 10_000
+	MaxClockStepMillis = 10_000
 )
 
 // Answer is the answer that the caller received.
@@ -114,7 +114,7 @@
 	// clockMillis is the table's clock, in milliseconds, against which deadlines and
 	// lifetimes are checked. It is zero before the first Expire.
 	//
-	// Each Expire advances it by at most MaxStepMillis and never moves it back,
+	// Each Expire advances it by at most MaxClockStepMillis and never moves it back,
 	// whichever replica leads. This guards against a leader whose clock is a day
 	// ahead. With the leader's clock, every record would expire at once, and resent
 	// requests would run again.
@@ -265,7 +265,7 @@
 		t.answerBytes += f.Answer.size()
 		t.answeredKeys = append(t.answeredKeys, f.Key)
 	}
-	for t.answerBytes > MaxAnswersBytes {
+	for t.answerBytes > MaxTotalAnswerBytes {
 		t.dropOldestAnswer()
 	}
 	return Outcome{Granted: true, State: Done}
@@ -322,7 +322,7 @@
 	if t.clockMillis == 0 {
 		t.clockMillis = leaderMillis
 	}
-	t.clockMillis = max(t.clockMillis, min(leaderMillis, t.clockMillis+MaxStepMillis))
+	t.clockMillis = max(t.clockMillis, min(leaderMillis, t.clockMillis+MaxClockStepMillis))
 	return t.clockMillis
 }
 
@@ -338,7 +338,7 @@
 // isFullFor reports whether the table has no capacity for a new key. A workspace that
 // has used its part is refused, so that it cannot use up the capacity of all others.
 func (t *Table) isFullFor(key string) bool {
-	return len(t.records) >= MaxRecords || t.recordsPerWorkspace[workspaceOf(key)] >= MaxRecords/WorkspaceParts
+	return len(t.records) >= MaxRecords || t.recordsPerWorkspace[workspaceOf(key)] >= MaxRecords/WorkspaceShareDivisor
 }
 
 // workspaceOf returns the part of a key before the first slash.
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -20,14 +20,14 @@
 
 // applyInSteps applies c. For an Expire it first applies the earlier Expires that a
 // leader would have sent, because one Expire advances the clock only by
-// MaxStepMillis.
+// MaxClockStepMillis.
 func applyInSteps(t *testing.T, table *Table, c Command) {
 	t.Helper()
 	if c.Expire == nil {
 		applyCommand(t, table, c)
 		return
 	}
-	for at := int64(1); at < c.Expire.NowMillis; at += MaxStepMillis {
+	for at := int64(1); at < c.Expire.NowMillis; at += MaxClockStepMillis {
 		table.apply(Command{Expire: &Expire{at}})
 	}
 	applyCommand(t, table, c)
@@ -56,7 +56,7 @@
 	for i := range MaxRecords {
 		table.apply(claim("greedy/"+strconv.Itoa(i), "a", 0))
 	}
-	assert.Equal(t, table.Len(), MaxRecords/WorkspaceParts)
+	assert.Equal(t, table.Len(), MaxRecords/WorkspaceShareDivisor)
 	assert.Assert(t, applyCommand(t, table, claim("greedy/x", "a", 0)).Full)
 	assert.Assert(t, applyCommand(t, table, claim("other/x", "a", 0)).Granted)
 }
@@ -127,13 +127,13 @@
 
 func TestKeptAnswersAreBounded(t *testing.T) {
 	table := NewTable()
-	const keys = MaxAnswersBytes/MaxAnswerBytes + 10
+	const keys = MaxTotalAnswerBytes/MaxAnswerBytes + 10
 	for i := range keys {
 		key := strconv.Itoa(i)
 		applyCommand(t, table, claim(key, "a", 0))
 		applyCommand(t, table, Command{Finish: &Finish{key, "a", &Answer{Body: make([]byte, MaxAnswerBytes)}, 1}})
 	}
-	assert.Equal(t, table.answerBytes, MaxAnswersBytes)
+	assert.Equal(t, table.answerBytes, MaxTotalAnswerBytes)
 	assert.Assert(t, applyCommand(t, table, claim("0", "b", 2)).Answer == nil)
 	assert.Assert(t, applyCommand(t, table, claim(strconv.Itoa(keys-1), "b", 2)).Answer != nil)
 }
