--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -28,7 +28,7 @@
 	}
 	now := time.Now()
 	out, err := s.requestClaim(j, record.Command{Claim: &record.Claim{
-		Key: j.key, Body: j.fingerprint, Entry: s.o.ID, Attempt: j.id,
+		Key: j.key, BodyHash: j.fingerprint, Entry: s.o.ID, Attempt: j.id,
 		DeadlineMillis: j.deadline.Add(claimGrace).UnixMilli(), NowMillis: now.UnixMilli(),
 	}})
 	s.o.Metrics.Claim(time.Since(now))
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -80,9 +80,9 @@
 type Record struct {
 	// Key is the workspace, a slash and the idempotency key.
 	Key string `json:"key"`
-	// Body is the hash of the request's body. A claim of the same key with another
+	// BodyHash is the hash of the request's body. A claim of the same key with another
 	// body is refused.
-	Body string `json:"body"`
+	BodyHash string `json:"body"`
 	// Entry is the identity of the entry that claimed the request.
 	Entry string `json:"entry"`
 	// Attempt is the identity of the attempt that holds the claim.
@@ -140,7 +140,7 @@
 // table converts the time left until the deadline to its own clock.
 type Claim struct {
 	Key            string `json:"key"`
-	Body           string `json:"body"`
+	BodyHash       string `json:"body"`
 	Entry          string `json:"entry"`
 	Attempt        string `json:"attempt"`
 	DeadlineMillis int64  `json:"deadline_ms"`
@@ -230,14 +230,14 @@
 			return Outcome{Full: true}
 		}
 		r = &Record{
-			Key: c.Key, Body: c.Body, Entry: c.Entry, Attempt: c.Attempt,
+			Key: c.Key, BodyHash: c.BodyHash, Entry: c.Entry, Attempt: c.Attempt,
 			State: Claimed, DeadlineMillis: t.now(c.NowMillis) + c.DeadlineMillis - c.NowMillis,
 		}
 		t.add(r)
 		t.scheduleCheck(r)
 		return Outcome{Granted: true, State: Claimed}
 	}
-	if r.Body != c.Body {
+	if r.BodyHash != c.BodyHash {
 		return Outcome{Reused: true}
 	}
 	// The log may hold a claim twice, because the entry sent it again after a lost
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -62,7 +62,7 @@
 }
 
 func claim(key, attempt string, now int64) Command {
-	return Command{Claim: &Claim{Key: key, Body: "b", Entry: "e", Attempt: attempt, DeadlineMillis: now + 100, NowMillis: now}}
+	return Command{Claim: &Claim{Key: key, BodyHash: "b", Entry: "e", Attempt: attempt, DeadlineMillis: now + 100, NowMillis: now}}
 }
 
 // Guards against a request that runs on two entries. A caller sends one request to two
@@ -121,7 +121,7 @@
 	table := NewTable()
 	applyCommand(t, table, claim("k", "a", 0))
 	other := claim("k", "b", 0)
-	other.Claim.Body = "another"
+	other.Claim.BodyHash = "another"
 	assert.Assert(t, applyCommand(t, table, other).Reused)
 }
 
