--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -70,10 +70,10 @@
 	case out.Granted:
 		j.claimed = true
 		return nil
-	case out.Full:
+	case out.TableFull:
 		return failure.New(failure.TypeOverloaded, "no capacity for another at-most-once record").
 			WithRan(failure.RanNo).WithRetryAfter(staleRetryAfter)
-	case out.Reused:
+	case out.KeyReused:
 		return failure.New(failure.TypeKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
 	case out.State == record.Claimed:
 		return failure.New(failure.TypeInProgress, "the request runs on another entry").
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -174,11 +174,11 @@
 	// Granted is set if a Claim, Finish or Abandon took effect. After a Claim, this
 	// attempt and no other may send the request to a backend server.
 	Granted bool `json:"granted"`
-	// Full is set if the table or the workspace's part of it is full. Nothing was
+	// TableFull is set if the table or the workspace's part of it is full. Nothing was
 	// recorded.
-	Full bool `json:"full,omitempty"`
-	// Reused is set if the key was claimed with another body.
-	Reused bool `json:"reused,omitempty"`
+	TableFull bool `json:"full,omitempty"`
+	// KeyReused is set if the key was claimed with another body.
+	KeyReused bool `json:"reused,omitempty"`
 	// State is the record's state after a Claim or Finish.
 	State State `json:"state,omitempty"`
 	// Entry and Answer are those of a record that existed before a Claim.
@@ -227,7 +227,7 @@
 	r, ok := t.records[c.Key]
 	if !ok {
 		if t.isFullFor(c.Key) {
-			return Outcome{Full: true}
+			return Outcome{TableFull: true}
 		}
 		r = &Record{
 			Key: c.Key, BodyHash: c.BodyHash, Entry: c.Entry, Attempt: c.Attempt,
@@ -238,7 +238,7 @@
 		return Outcome{Granted: true, State: Claimed}
 	}
 	if r.BodyHash != c.BodyHash {
-		return Outcome{Reused: true}
+		return Outcome{KeyReused: true}
 	}
 	// The log may hold a claim twice, because the entry sent it again after a lost
 	// answer. The attempt then still holds the claim.
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -57,7 +57,7 @@
 		table.apply(claim("greedy/"+strconv.Itoa(i), "a", 0))
 	}
 	assert.Equal(t, table.Len(), MaxRecords/WorkspaceShareDivisor)
-	assert.Assert(t, applyCommand(t, table, claim("greedy/x", "a", 0)).Full)
+	assert.Assert(t, applyCommand(t, table, claim("greedy/x", "a", 0)).TableFull)
 	assert.Assert(t, applyCommand(t, table, claim("other/x", "a", 0)).Granted)
 }
 
@@ -122,7 +122,7 @@
 	applyCommand(t, table, claim("k", "a", 0))
 	other := claim("k", "b", 0)
 	other.Claim.BodyHash = "another"
-	assert.Assert(t, applyCommand(t, table, other).Reused)
+	assert.Assert(t, applyCommand(t, table, other).KeyReused)
 }
 
 func TestKeptAnswersAreBounded(t *testing.T) {
