--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -308,7 +308,7 @@
 }
 
 func (s *Server) expireRecords(ctx context.Context, now time.Time) error {
-	command, err := record.Encode(record.Command{Expire: &record.Expire{NowMillis: now.UnixMilli()}})
+	command, err := record.EncodeCommand(record.Command{Expire: &record.Expire{NowMillis: now.UnixMilli()}})
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -214,7 +214,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	records, err := m.records.Encode()
+	records, err := m.records.EncodeSnapshot()
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -239,7 +239,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	records, err := record.Decode(rest[size:])
+	records, err := record.DecodeSnapshot(rest[size:])
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -114,7 +114,7 @@
 
 func (s *Server) commitRecord(ctx context.Context, c record.Command) (record.Outcome, error) {
 	var out record.Outcome
-	encoded, err := record.Encode(c)
+	encoded, err := record.EncodeCommand(c)
 	if err != nil {
 		return out, errors.Trace(err)
 	}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -186,11 +186,11 @@
 	Answer *Answer `json:"answer,omitempty"`
 }
 
-// ErrMalformed is returned by Decode for data that is not a valid snapshot.
+// ErrMalformed is returned by DecodeSnapshot for data that is not a valid snapshot.
 const ErrMalformed = errors.ConstError("malformed record data")
 
-// Encode returns the command as log entry data.
-func Encode(c Command) ([]byte, error) {
+// EncodeCommand returns the command as log entry data.
+func EncodeCommand(c Command) ([]byte, error) {
 	data, err := json.Marshal(c)
 	return data, errors.Trace(err)
 }
@@ -395,8 +395,8 @@
 	Clock   int64     `json:"clock"`
 }
 
-// Encode returns the table as a snapshot.
-func (t *Table) Encode() ([]byte, error) {
+// EncodeSnapshot returns the table as a snapshot.
+func (t *Table) EncodeSnapshot() ([]byte, error) {
 	s := snapshot{Ended: t.answeredKeys, Clock: t.clockMillis}
 	for _, k := range t.keys() {
 		s.Records = append(s.Records, t.records[k])
@@ -405,8 +405,8 @@
 	return data, errors.Trace(err)
 }
 
-// Decode returns the table stored in a snapshot.
-func Decode(data []byte) (*Table, error) {
+// DecodeSnapshot returns the table stored in a snapshot.
+func DecodeSnapshot(data []byte) (*Table, error) {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, errors.WithType(errors.Annotate(err, "records snapshot"), ErrMalformed)
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -11,7 +11,7 @@
 
 func applyCommand(t *testing.T, table *Table, c Command) Outcome {
 	t.Helper()
-	data, err := Encode(c)
+	data, err := EncodeCommand(c)
 	assert.NilError(t, err)
 	var out Outcome
 	assert.NilError(t, json.Unmarshal(table.Apply(data), &out))
@@ -178,9 +178,9 @@
 }
 
 func restoreFromSnapshot(t *testing.T, table *Table) *Table {
-	data, err := table.Encode()
+	data, err := table.EncodeSnapshot()
 	assert.NilError(t, err)
-	again, err := Decode(data)
+	again, err := DecodeSnapshot(data)
 	assert.NilError(t, err)
 	return again
 }
--- a/test/capacity/slopes_test.go
+++ b/test/capacity/slopes_test.go
@@ -248,9 +248,9 @@
 	table := record.NewTable()
 	for i := range n {
 		key, attempt := fmt.Sprintf("audits/01ebf93f-4505-42df-9f25-%012d", i), fmt.Sprint(i)
-		claim, _ := record.Encode(record.Command{Claim: &record.Claim{Key: key, BodyHash: fmt.Sprintf("%032x", i), Entry: "entry-1", Attempt: attempt, DeadlineMillis: 60_000, NowMillis: 1}})
+		claim, _ := record.EncodeCommand(record.Command{Claim: &record.Claim{Key: key, BodyHash: fmt.Sprintf("%032x", i), Entry: "entry-1", Attempt: attempt, DeadlineMillis: 60_000, NowMillis: 1}})
 		table.Apply(claim)
-		finish, _ := record.Encode(record.Command{Finish: &record.Finish{Key: key, Attempt: attempt, NowMillis: 2}})
+		finish, _ := record.EncodeCommand(record.Command{Finish: &record.Finish{Key: key, Attempt: attempt, NowMillis: 2}})
 		table.Apply(finish)
 	}
 	return table
@@ -264,11 +264,11 @@
 		var table *record.Table
 		heap = append(heap, point{x, heapOf(func() any { table = recordTableOf(n); return table })})
 		assert.Equal(t, table.Len(), n)
-		data, err := table.Encode()
+		data, err := table.EncodeSnapshot()
 		assert.NilError(t, err)
 		size = append(size, point{x, float64(len(data))})
-		encode = append(encode, point{x, microsPerSecond * timeOf(func() { _, _ = table.Encode() })})
-		claim, _ := record.Encode(record.Command{Claim: &record.Claim{Key: "audits/again", BodyHash: "b", Entry: "e", Attempt: "a", DeadlineMillis: 60_000, NowMillis: 3}})
+		encode = append(encode, point{x, microsPerSecond * timeOf(func() { _, _ = table.EncodeSnapshot() })})
+		claim, _ := record.EncodeCommand(record.Command{Claim: &record.Claim{Key: "audits/again", BodyHash: "b", Entry: "e", Attempt: "a", DeadlineMillis: 60_000, NowMillis: 3}})
 		one = append(one, point{x, microsPerSecond * timeOf(func() { table.Apply(claim) })})
 	}
 	r := newReport(t, "At-most-once records, as tombstones without answers")
