--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -115,13 +115,13 @@
 	return m.board
 }
 
-// News reports whether an entry at revision have needs an update, and returns a channel that
+// NeedsUpdate reports whether an entry at revision have needs an update, and returns a channel that
 // closes with the next change that concerns entries.
 //
 // Load: a pool of 3,000 VMs starts. The row of each VM changes three times within seconds while
 // 295 entries watch. Entries hold none of these rows. Replies for every such change took a
 // third of the leader's processor from the orders to the VMs.
-func (m *Machine) News(have uint64) (bool, <-chan struct{}) {
+func (m *Machine) NeedsUpdate(have uint64) (bool, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return have < m.lastEntryChange || have > m.board.Revision, m.changed
@@ -139,13 +139,13 @@
 // covers the difference.
 const maxSnapshotLag = 256
 
-// Encoded returns the board for an entry that holds none: a snapshot and, if the snapshot is
+// EntrySnapshot returns the board for an entry that holds none: a snapshot and, if the snapshot is
 // older than the current revision, the command that brings it up to date.
 //
 // Load: half of a thousand entries restart within one second after a power loss, while each
 // announcement of a backend server makes a new revision. Encoding a snapshot for each revision
 // took the new leader's whole processor, and the leader lost its leadership.
-func (m *Machine) Encoded() (snapshot []byte, commands [][]byte, board *blackboard.Board, err error) {
+func (m *Machine) EntrySnapshot() (snapshot []byte, commands [][]byte, board *blackboard.Board, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	behind := m.board.Revision - m.snapshotRevision
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -22,7 +22,7 @@
 	apply(&blackboard.Found{ClusterID: "c"})
 	for i := range 2000 {
 		apply(&blackboard.PutEntry{Entry: blackboard.Entry{ID: fmt.Sprint("e", i)}})
-		snapshot, commands, board, err := m.Encoded()
+		snapshot, commands, board, err := m.EntrySnapshot()
 		assert.NilError(t, err)
 		if i%97 != 0 {
 			continue
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -94,7 +94,7 @@
 	wait := min(time.Duration(r.WaitMs)*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	needsUpdate, changed := s.o.Machine.News(r.HaveRevision)
+	needsUpdate, changed := s.o.Machine.NeedsUpdate(r.HaveRevision)
 	if needsUpdate {
 		return true
 	}
@@ -141,7 +141,7 @@
 		reply.Commands = [][]byte{patch}
 	}
 	if !ok {
-		snapshot, commands, current, err := s.o.Machine.Encoded()
+		snapshot, commands, current, err := s.o.Machine.EntrySnapshot()
 		if err != nil {
 			return nil, rpcError(err)
 		}
@@ -169,7 +169,7 @@
 	if !r.Board || reply.Revision == 0 {
 		return reply, nil
 	}
-	snapshot, commands, board, err := s.o.Machine.Encoded()
+	snapshot, commands, board, err := s.o.Machine.EntrySnapshot()
 	if err != nil {
 		return nil, rpcError(err)
 	}
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -180,12 +180,12 @@
 	s, _ := leadingServer(t, 0, 1)
 	m := s.o.Machine
 	have := m.Board().Revision
-	needsUpdate, changed := m.News(have)
+	needsUpdate, changed := m.NeedsUpdate(have)
 	assert.Assert(t, !needsUpdate)
 	var verdict blackboard.Verdict
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.PutVM{VM: blackboard.VM{ID: "v", Incarnation: "a"}}, &verdict))
 	assert.Assert(t, m.Board().Revision > have)
-	needsUpdate, _ = m.News(have)
+	needsUpdate, _ = m.NeedsUpdate(have)
 	assert.Assert(t, !needsUpdate)
 	select {
 	case <-changed:
@@ -193,7 +193,7 @@
 	default:
 	}
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.NoteCallers{NowMillis: 7}, &verdict))
-	needsUpdate, _ = m.News(have)
+	needsUpdate, _ = m.NeedsUpdate(have)
 	assert.Assert(t, needsUpdate)
 	<-changed
 }
