--- a/internal/control/evacuation.go
+++ b/internal/control/evacuation.go
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(c.Request().Context(), adminTimeout)
 	defer cancel()
 	outcome, err := s.evacuateVia(c.Param("data_centre"), end, func(encoded []byte) ([]byte, error) {
-		return s.proposeDurably(ctx, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
+		return s.proposeDurably(ctx, LogCommand(noderpc.Machine_MACHINE_BOARD, encoded))
 	})
 	if err != nil {
 		return errors.Trace(err)
--- a/internal/control/evacuation_test.go
+++ b/internal/control/evacuation_test.go
@@ -20,7 +20,7 @@
 type selfCommitter struct{ s *Server }
 
 func (c selfCommitter) Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error) {
-	return c.s.proposeDurably(ctx, Wrap(r.Machine, r.Command))
+	return c.s.proposeDurably(ctx, LogCommand(r.Machine, r.Command))
 }
 
 func evacuatingServer(t *testing.T, minDisks, voters int) (*Server, *immediateConsensus) {
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -314,7 +314,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	_, err = s.o.Consensus.Propose(ctx, Wrap(noderpc.Machine_MACHINE_RECORDS, command))
+	_, err = s.o.Consensus.Propose(ctx, LogCommand(noderpc.Machine_MACHINE_RECORDS, command))
 	return errors.Trace(err)
 }
 
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Wrap returns a log command for one of the machines.
-func Wrap(machine noderpc.Machine, command []byte) []byte {
+// LogCommand returns a log command for one of the machines.
+func LogCommand(machine noderpc.Machine, command []byte) []byte {
 	return append([]byte{byte(machine)}, command...)
 }
 
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -17,7 +17,7 @@
 	apply := func(c blackboard.Command) {
 		encoded, err := blackboard.Encode(c)
 		assert.NilError(t, err)
-		m.Apply(1, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
+		m.Apply(1, LogCommand(noderpc.Machine_MACHINE_BOARD, encoded))
 	}
 	apply(&blackboard.Found{ClusterID: "c"})
 	for i := range 2000 {
--- a/internal/control/relay_test.go
+++ b/internal/control/relay_test.go
@@ -78,7 +78,7 @@
 	t.Helper()
 	encoded, err := blackboard.Encode(c)
 	assert.NilError(t, err)
-	w.follower.o.Machine.Apply(1, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
+	w.follower.o.Machine.Apply(1, LogCommand(noderpc.Machine_MACHINE_BOARD, encoded))
 }
 
 // both applies a command on the leader and on the follower.
--- a/internal/control/replace.go
+++ b/internal/control/replace.go
@@ -20,10 +20,10 @@
 	Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error)
 }
 
-// Replace writes a complete configuration through the leader, which may be another process. The
+// ReplaceConfiguration writes a complete configuration through the leader, which may be another process. The
 // type of the error tells whether the outcome is known. The command may be sent again, because
 // a version is applied only once.
-func (s *Server) Replace(ctx context.Context, through Committer, c *blackboard.ReplaceConfiguration) (blackboard.ReplaceOutcome, error) {
+func (s *Server) ReplaceConfiguration(ctx context.Context, through Committer, c *blackboard.ReplaceConfiguration) (blackboard.ReplaceOutcome, error) {
 	return replaceVia(c, func(encoded []byte) ([]byte, error) { return s.commitThrough(ctx, through, encoded) })
 }
 
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(c.Request().Context(), adminTimeout)
 	defer cancel()
 	outcome, err := replaceVia(&whole, func(encoded []byte) ([]byte, error) {
-		return s.proposeDurably(ctx, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
+		return s.proposeDurably(ctx, LogCommand(noderpc.Machine_MACHINE_BOARD, encoded))
 	})
 	if err != nil {
 		return errors.Trace(err)
@@ -83,9 +83,9 @@
 	})
 }
 
-// Newest returns the configuration in force if this process leads. Otherwise it returns a
+// ConfigurationInForce returns the configuration in force if this process leads. Otherwise it returns a
 // failure of type not_leader, whose detail is the leader's peer address if that is known.
-func (s *Server) Newest(ctx context.Context) (*blackboard.Configuration, error) {
+func (s *Server) ConfigurationInForce(ctx context.Context) (*blackboard.Configuration, error) {
 	if err := s.o.Consensus.ReadBarrier(ctx); err != nil {
 		return nil, toFailure(err)
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	data, err := s.o.Consensus.Propose(ctx, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
+	data, err := s.o.Consensus.Propose(ctx, LogCommand(noderpc.Machine_MACHINE_BOARD, encoded))
 	if err != nil {
 		return errors.Trace(toFailure(err))
 	}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -204,7 +204,7 @@
 	if r.ClusterId != board.ClusterID {
 		return nil, rpcError(failure.New(failure.TypeConflict, "the entry follows another cluster").WithRan(failure.RanNo))
 	}
-	result, err := s.proposeDurably(ctx, Wrap(r.Machine, r.Command))
+	result, err := s.proposeDurably(ctx, LogCommand(r.Machine, r.Command))
 	if err != nil {
 		return nil, rpcError(err)
 	}
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -128,7 +128,7 @@
 			consensus.after = c.after
 			encoded, err := blackboard.Encode(wholeConfiguration(4))
 			assert.NilError(t, err)
-			_, err = s.proposeDurably(context.Background(), Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
+			_, err = s.proposeDurably(context.Background(), LogCommand(noderpc.Machine_MACHINE_BOARD, encoded))
 			if c.want == "" {
 				assert.NilError(t, err)
 				return
