--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -54,7 +54,7 @@
 	if s.o.Renewer != nil {
 		go s.renewLoop(ctx)
 	}
-	ticker := time.NewTicker(s.o.Step)
+	ticker := time.NewTicker(s.o.StepInterval)
 	defer ticker.Stop()
 	var o *leadership
 	for {
@@ -71,7 +71,7 @@
 			continue
 		}
 		if o == nil || o.term != term {
-			o = &leadership{term: term, memory: controller.NewMemory(time.Now(), s.o.OrderLease)}
+			o = &leadership{term: term, memory: controller.NewMemory(time.Now(), s.o.MaxOrderLease)}
 		}
 		s.reportReplicaChanges(o)
 		began := o.runTime
--- a/internal/control/relay.go
+++ b/internal/control/relay.go
@@ -126,7 +126,7 @@
 		s.leases.grant(h.EntryId, now)
 	}
 	s.mu.Unlock()
-	reply := &noderpc.RenewReply{LeaseMs: s.o.Lease.Milliseconds(), Revision: s.o.Machine.Board().Revision}
+	reply := &noderpc.RenewReply{LeaseMs: s.o.EntryLease.Milliseconds(), Revision: s.o.Machine.Board().Revision}
 	term, err := s.leading()
 	if err != nil {
 		return nil, rpcError(err)
--- a/internal/control/relay_test.go
+++ b/internal/control/relay_test.go
@@ -62,7 +62,7 @@
 	m := NewMachine()
 	w.follower = NewServer(Options{
 		Machine: m, Consensus: &followingConsensus{immediateConsensus: immediateConsensus{machine: m, voters: 3}, leader: "m0"},
-		Logger: log.NewNopLogger(), Lease: time.Second, Step: time.Minute, Renewer: w.renewer,
+		Logger: log.NewNopLogger(), EntryLease: time.Second, StepInterval: time.Minute, Renewer: w.renewer,
 	})
 	w.apply(t, &blackboard.Found{ClusterID: "c"})
 	w.apply(t, &blackboard.PutEntry{Entry: blackboard.Entry{ID: "e"}})
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -50,13 +50,13 @@
 	Evidence  Evidence
 	Orders    OrderSender
 	Logger    log.Logger
-	// Lease is how long an entry may serve without a message from the leader.
-	Lease time.Duration
-	// Step is the time between two runs of the controllers.
-	Step time.Duration
-	// OrderLease is the longest lease of an earlier leader. A new leader sends no order until
+	// EntryLease is how long an entry may serve without a message from the leader.
+	EntryLease time.Duration
+	// StepInterval is the time between two runs of the controllers.
+	StepInterval time.Duration
+	// MaxOrderLease is the longest lease of an earlier leader. A new leader sends no order until
 	// that time has passed.
-	OrderLease time.Duration
+	MaxOrderLease time.Duration
 	// Timing overrides the default times of the controllers.
 	Timing controller.Timing
 	// MinDisks is how many disks must hold a change before it is acknowledged. With 0, a
@@ -96,7 +96,7 @@
 func NewServer(o Options) *Server {
 	return &Server{
 		o: o, woken: make(chan struct{}, 1), stalls: controller.NewStallReports(), events: newEventLog(), relay: newRelay(),
-		leases: newLeases(o.Lease, clock.Now()), rateLimits: make(rateLimitAges),
+		leases: newLeases(o.EntryLease, clock.Now()), rateLimits: make(rateLimitAges),
 	}
 }
 
@@ -123,7 +123,7 @@
 		return
 	}
 	s.term = term
-	s.leases = newLeases(s.o.Lease, clock.Now())
+	s.leases = newLeases(s.o.EntryLease, clock.Now())
 	s.events.reset(s.o.VM)
 	s.meter = meter{}
 	_ = level.Info(s.o.Logger).Log("event", "leading", "term", term)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -115,7 +115,7 @@
 // While the leader's lease runs, there is no newer leader and so no newer configuration.
 func (s *Server) answerWatch(r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
 	s.grantLease(r.EntryId)
-	reply, err := s.replyTo(r, 0, s.o.Lease)
+	reply, err := s.replyTo(r, 0, s.o.EntryLease)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 	m := NewMachine()
 	c := &immediateConsensus{machine: m, voters: voters}
-	s := NewServer(Options{Machine: m, Consensus: c, Logger: log.NewNopLogger(), Lease: time.Second, MinDisks: minDisks})
+	s := NewServer(Options{Machine: m, Consensus: c, Logger: log.NewNopLogger(), EntryLease: time.Second, MinDisks: minDisks})
 	var verdict blackboard.Verdict
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.Found{ClusterID: "c"}, &verdict))
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.PutEntry{Entry: blackboard.Entry{ID: "e"}}, &verdict))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -260,9 +260,9 @@
 		n.control = control.NewServer(control.Options{
 			Machine: n.machine, Consensus: n.replica, Evidence: n.announcements, Orders: n.orderSender(),
 			MinDisks: c.MinDisks, Timing: n.timing(), Renewer: client, DataCentres: slices.Sorted(maps.Keys(n.settings.Regions)),
-			Logger: n.decisionLogger("control"), VM: n.settings.VM, Step: n.controllerStep(), Metrics: n.metrics.Control(),
-			Lease:      time.Duration(c.ConfigLeaseMillis) * time.Millisecond,
-			OrderLease: time.Duration(c.TickMillis*int64(c.ElectionTicks)) * time.Millisecond,
+			Logger: n.decisionLogger("control"), VM: n.settings.VM, StepInterval: n.controllerStep(), Metrics: n.metrics.Control(),
+			EntryLease:    time.Duration(c.ConfigLeaseMillis) * time.Millisecond,
+			MaxOrderLease: time.Duration(c.TickMillis*int64(c.ElectionTicks)) * time.Millisecond,
 		})
 	}
 	return nil
