--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -46,12 +46,12 @@
 	return &Client{seeds: addresses, addresses: addresses, clients: make(map[string]noderpc.Board), http: client, avoidedUntil: make(map[string]time.Time)}
 }
 
-// Learn sets the addresses of the cluster's control processes. The addresses from the settings
+// SetMembers sets the addresses of the cluster's control processes. The addresses from the settings
 // stay as the last resort.
 //
 // Failure: control VMs are replaced one after the other, until a process that knows only the
 // addresses from its settings finds no control process any more.
-func (c *Client) Learn(addresses []string) {
+func (c *Client) SetMembers(addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
@@ -71,13 +71,13 @@
 	c.addresses = all
 }
 
-// Reseed replaces the addresses from the settings.
-func (c *Client) Reseed(seeds []string) {
+// SetSeeds replaces the addresses from the settings.
+func (c *Client) SetSeeds(seeds []string) {
 	c.mu.Lock()
 	c.seeds = slices.Clone(seeds)
 	known := slices.Clone(c.addresses)
 	c.mu.Unlock()
-	c.Learn(known)
+	c.SetMembers(known)
 }
 
 // Leader returns the peer address of the process last known to lead, or "".
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -239,7 +239,7 @@
 	client := controlclient.New(n.settings.Peers.Control, n.peerClient)
 	n.follower = follow.New(follow.Options{
 		Watcher: client, Entry: self, Logger: log.With(n.logger, "part", "follow"), OnChange: n.onBoardChange,
-		OnControl: client.Learn, StartWithoutLease: e.ServeWithoutLease,
+		OnControl: client.SetMembers, StartWithoutLease: e.ServeWithoutLease,
 	})
 	n.commits = client
 	n.announcements = announcement.New(announcement.Options{
@@ -339,7 +339,7 @@
 // Reload applies the settings that may change while the process runs: the addresses of
 // the control processes.
 func (n *Node) Reload(s *settings.Settings) {
-	n.commits.Reseed(s.Peers.Control)
+	n.commits.SetSeeds(s.Peers.Control)
 	if n.replica != nil {
 		n.replica.SetPeers(s.Peers.Control)
 	}
--- a/test/capacity/fleet_entries_test.go
+++ b/test/capacity/fleet_entries_test.go
@@ -42,7 +42,7 @@
 		transport := &http.Transport{IdleConnTimeout: time.Minute}
 		client := controlclient.New(s.control, &http.Client{Transport: transport})
 		follower := follow.New(follow.Options{
-			Watcher: client, Logger: log.NewNopLogger(), OnControl: client.Learn, StartWithoutLease: true,
+			Watcher: client, Logger: log.NewNopLogger(), OnControl: client.SetMembers, StartWithoutLease: true,
 			Entry: blackboard.Entry{ID: name, Address: name + ":8080", PeerAddress: name + ":8081", DataCentre: "dev", Deaf: true},
 		})
 		f.followers = append(f.followers, follower)
