--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -28,9 +28,9 @@
 	lease time.Duration
 }
 
-func (f fixedBoard) Board() *blackboard.Board { return f.board }
-func (f fixedBoard) Lease() time.Duration     { return f.lease }
-func (f fixedBoard) Granted() time.Duration   { return f.lease }
+func (f fixedBoard) Board() *blackboard.Board      { return f.board }
+func (f fixedBoard) LeaseRemaining() time.Duration { return f.lease }
+func (f fixedBoard) LeaseLength() time.Duration    { return f.lease }
 
 // scriptedForwarder is a Forwarder that gives its answers in order.
 type scriptedForwarder struct {
@@ -115,7 +115,7 @@
 		assert.NilError(t, err)
 	}
 	follower := fixedBoard{board: board, lease: time.Minute}
-	receiver := announcement.New(announcement.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
+	receiver := announcement.New(announcement.Options{Self: "e", Board: follower.Board, Lease: follower.LeaseRemaining, Logger: log.NewNopLogger()})
 	s := NewServer(Options{
 		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1, RetryRatio: 1, RetrySlack: 5000},
 		Follower: follower, Announcements: receiver, Logger: log.NewNopLogger(), Forwarder: f,
--- a/internal/entry/isolation.go
+++ b/internal/entry/isolation.go
@@ -182,7 +182,7 @@
 // one that has just crashed.
 func (s *Server) awaitEmpty(j *job, r route, taken, until time.Time) bool {
 	for time.Now().Before(until) && j.ctx.Err() == nil && s.inService(r) {
-		if s.isEmptyAfter(r, taken.Add(s.o.Follower.Granted()+quarantineMargin)) {
+		if s.isEmptyAfter(r, taken.Add(s.o.Follower.LeaseLength()+quarantineMargin)) {
 			return true
 		}
 		time.Sleep(isolationPoll)
--- a/internal/entry/isolation_test.go
+++ b/internal/entry/isolation_test.go
@@ -18,9 +18,9 @@
 	board atomic.Pointer[blackboard.Board]
 }
 
-func (f *changingBoard) Board() *blackboard.Board { return f.board.Load() }
-func (f *changingBoard) Lease() time.Duration     { return time.Minute }
-func (f *changingBoard) Granted() time.Duration   { return time.Second }
+func (f *changingBoard) Board() *blackboard.Board      { return f.board.Load() }
+func (f *changingBoard) LeaseRemaining() time.Duration { return time.Minute }
+func (f *changingBoard) LeaseLength() time.Duration    { return time.Second }
 
 // unreachableControl is a committer that reaches no control process.
 type unreachableControl struct{}
--- a/internal/entry/routes_bench_test.go
+++ b/internal/entry/routes_bench_test.go
@@ -28,7 +28,7 @@
 // deafServer returns an entry that receives no announcements and relies on its board.
 func deafServer(board *blackboard.Board) *Server {
 	follower := fixedBoard{board: board, lease: time.Minute}
-	receiver := announcement.New(announcement.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
+	receiver := announcement.New(announcement.Options{Self: "e", Board: follower.Board, Lease: follower.LeaseRemaining, Logger: log.NewNopLogger()})
 	return NewServer(Options{
 		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1}, Follower: follower, Announcements: receiver,
 		Logger: log.NewNopLogger(),
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -226,7 +226,7 @@
 // It is called right before each dispatch and not only at admission: since then a request may
 // have waited, or this process may have been frozen.
 func (s *Server) mayDispatch() *failure.Error {
-	if s.o.Follower.Lease() > 0 {
+	if s.o.Follower.LeaseRemaining() > 0 {
 		return nil
 	}
 	if s.o.Settings.ServeWithoutLease && s.o.Follower.Board().Config.Revision > 0 {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -33,9 +33,9 @@
 // Follower provides the newest board and the lease to serve under it.
 type Follower interface {
 	Board() *blackboard.Board
-	Lease() time.Duration
-	// Granted returns the length of the leases that the leader grants.
-	Granted() time.Duration
+	LeaseRemaining() time.Duration
+	// LeaseLength returns the length of the leases that the leader grants.
+	LeaseLength() time.Duration
 }
 
 // Committer writes commands through the leader of the control processes.
@@ -345,7 +345,7 @@
 	open, _ := s.jobs.counts()
 	routes, waiting := s.dispatcher.counts()
 	s.o.Metrics.Sample(metrics.EntrySample{
-		Open: open, Waiting: waiting, Routes: routes, Lease: s.o.Follower.Lease(),
+		Open: open, Waiting: waiting, Routes: routes, Lease: s.o.Follower.LeaseRemaining(),
 		ConfigRevision: s.o.Follower.Board().Config.Revision, RateLimited: s.rateLimits.count(),
 	})
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -30,9 +30,9 @@
 	Logger  log.Logger
 	// OnChange is called with each new board, always from the same goroutine.
 	OnChange func(*blackboard.Board)
-	// OnControl is called with the peer addresses of the control replicas as a control process
+	// OnControlAddresses is called with the peer addresses of the control replicas as a control process
 	// reports them. It may be nil.
-	OnControl func([]string)
+	OnControlAddresses func([]string)
 	// StartWithoutLease lets an entry that holds no board start with the last known state of
 	// the control processes while none of them leads.
 	StartWithoutLease bool
@@ -82,19 +82,19 @@
 	return f.board
 }
 
-// Lease returns how much longer this entry may admit requests, or 0 if it may not.
+// LeaseRemaining returns how much longer this entry may admit requests, or 0 if it may not.
 //
 // Failure: an entry is cut off and serves under a configuration that operators replaced long
 // ago. The lease prevents that, because it is counted from before the watch was sent, by a
 // clock that includes the time in which the process was frozen.
-func (f *Follower) Lease() time.Duration {
+func (f *Follower) LeaseRemaining() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return max(0, f.leaseUntil.Sub(clock.Now()))
 }
 
-// Granted returns the length of the leases that the leader grants, or 0 before the first.
-func (f *Follower) Granted() time.Duration {
+// LeaseLength returns the length of the leases that the leader grants, or 0 before the first.
+func (f *Follower) LeaseLength() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.granted
@@ -155,10 +155,10 @@
 	return false, nil
 }
 
-// notifyControl reports the addresses of the control processes to OnControl.
+// notifyControl reports the addresses of the control processes to OnControlAddresses.
 func (f *Follower) notifyControl(addresses []string) {
-	if f.o.OnControl != nil {
-		f.o.OnControl(addresses)
+	if f.o.OnControlAddresses != nil {
+		f.o.OnControlAddresses(addresses)
 	}
 }
 
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// ErrBackwards is returned for a reply that would revert the entry to an earlier configuration.
-const ErrBackwards = errors.ConstError("the leader's board is older than the one held here")
+// ErrOlderBoard is returned for a reply that would revert the entry to an earlier configuration.
+const ErrOlderBoard = errors.ConstError("the leader's board is older than the one held here")
 
 // advance returns the board that results from applying the reply.
 func advance(board *blackboard.Board, reply *noderpc.WatchReply) (*blackboard.Board, error) {
@@ -219,7 +219,7 @@
 	same := board.ClusterID == "" || board.ClusterID == next.ClusterID
 	if !invariant.Check(forward && same, "configuration_never_reverts",
 		"have board %d config %d, got board %d config %d", board.Revision, board.Config.Revision, next.Revision, next.Config.Revision) {
-		return nil, errors.Trace(ErrBackwards)
+		return nil, errors.Trace(ErrOlderBoard)
 	}
 	return next, nil
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -84,10 +84,10 @@
 func TestFollowsByCommandsAndBySnapshots(t *testing.T) {
 	l := &leader{commands: commands(t), have: 1}
 	f := newFollower(l)
-	assert.Equal(t, f.Lease(), time.Duration(0))
+	assert.Equal(t, f.LeaseRemaining(), time.Duration(0))
 	assert.NilError(t, f.watchOnce(context.Background()))
 	assert.Equal(t, f.Board().Config.ActivePreset, "first")
-	assert.Assert(t, f.Lease() > 0)
+	assert.Assert(t, f.LeaseRemaining() > 0)
 	l.have, l.snapshot = 3, true
 	assert.NilError(t, f.watchOnce(context.Background()))
 	assert.Equal(t, f.Board().Config.ActivePreset, "third")
@@ -103,7 +103,7 @@
 	f := newFollower(l)
 	assert.NilError(t, f.watchOnce(context.Background()))
 	l.have, l.snapshot = 1, true
-	assert.ErrorIs(t, f.watchOnce(context.Background()), ErrBackwards)
+	assert.ErrorIs(t, f.watchOnce(context.Background()), ErrOlderBoard)
 	assert.Equal(t, f.Board().Config.ActivePreset, "third")
 }
 
@@ -114,7 +114,7 @@
 	l := &leader{commands: commands(t), have: 1, delay: 300 * time.Millisecond}
 	f := newFollower(l)
 	assert.NilError(t, f.watchOnce(context.Background()))
-	assert.Assert(t, f.Lease() <= 700*time.Millisecond)
+	assert.Assert(t, f.LeaseRemaining() <= 700*time.Millisecond)
 }
 
 // runUntil runs a follower until done returns true after a change.
@@ -139,10 +139,10 @@
 	f.o.StartWithoutLease = true
 	runUntil(t, f, func() bool { return true })
 	assert.Equal(t, f.Board().Config.ActivePreset, "second")
-	assert.Equal(t, f.Lease(), time.Duration(0))
+	assert.Equal(t, f.LeaseRemaining(), time.Duration(0))
 	l.have, l.leaderless = 3, false
 	runUntil(t, f, func() bool { return f.Board().Config.ActivePreset == "third" })
-	assert.Assert(t, f.Lease() > 0)
+	assert.Assert(t, f.LeaseRemaining() > 0)
 	assert.Equal(t, l.lastKnown, 1)
 }
 
@@ -155,5 +155,5 @@
 	runUntil(t, f, func() bool { return true })
 	assert.Equal(t, l.lastKnown, 1)
 	assert.Equal(t, f.Board().Config.ActivePreset, "third")
-	assert.Assert(t, f.Lease() > 0)
+	assert.Assert(t, f.LeaseRemaining() > 0)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -239,11 +239,11 @@
 	client := controlclient.New(n.settings.Peers.Control, n.peerClient)
 	n.follower = follow.New(follow.Options{
 		Watcher: client, Entry: self, Logger: log.With(n.logger, "part", "follow"), OnChange: n.onBoardChange,
-		OnControl: client.SetMembers, StartWithoutLease: e.ServeWithoutLease,
+		OnControlAddresses: client.SetMembers, StartWithoutLease: e.ServeWithoutLease,
 	})
 	n.commits = client
 	n.announcements = announcement.New(announcement.Options{
-		Self: n.settings.VM, Board: n.follower.Board, Lease: n.follower.Lease, Dial: n.dialer.DialContext,
+		Self: n.settings.VM, Board: n.follower.Board, Lease: n.follower.LeaseRemaining, Dial: n.dialer.DialContext,
 		PeerToken: n.tokens.peers, AnnounceToken: n.tokens.announce,
 		Logger: log.With(n.logger, "part", "hearing"), OnAnnouncement: n.onAnnouncement,
 		Interval: millis(n.settings.Control.AnnounceMillis), OnChange: n.onEvidenceChange,
--- a/test/capacity/fleet_entries_test.go
+++ b/test/capacity/fleet_entries_test.go
@@ -42,7 +42,7 @@
 		transport := &http.Transport{IdleConnTimeout: time.Minute}
 		client := controlclient.New(s.control, &http.Client{Transport: transport})
 		follower := follow.New(follow.Options{
-			Watcher: client, Logger: log.NewNopLogger(), OnControl: client.SetMembers, StartWithoutLease: true,
+			Watcher: client, Logger: log.NewNopLogger(), OnControlAddresses: client.SetMembers, StartWithoutLease: true,
 			Entry: blackboard.Entry{ID: name, Address: name + ":8080", PeerAddress: name + ":8081", DataCentre: "dev", Deaf: true},
 		})
 		f.followers = append(f.followers, follower)
@@ -69,7 +69,7 @@
 // awaitLeases waits until all entries hold a lease.
 func (f *fleet) awaitLeases() {
 	f.t.Helper()
-	f.await("all entries hold a lease", func(e *follow.Follower) bool { return e.Lease() > 0 })
+	f.await("all entries hold a lease", func(e *follow.Follower) bool { return e.LeaseRemaining() > 0 })
 }
 
 // awaitConfiguration waits until all entries have at least this revision of the configuration.
