--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -200,7 +200,7 @@
 	o.Machine = n.machine
 	o.Logger = log.With(n.logger, "part", "replica")
 	o.Secret = n.tokens.peers
-	o.LocalAddr = n.localAddr()
+	o.SourceAddress = n.localAddr()
 	r, err := n.openReplica(o)
 	if err != nil {
 		return errors.Trace(err)
@@ -222,7 +222,7 @@
 
 // Recover starts a new cluster from the state in the data folder of a stopped control
 // process. See replica.Recover for the data that may be lost.
-func Recover(s *settings.Settings) (replica.Recovered, error) {
+func Recover(s *settings.Settings) (replica.RecoveryResult, error) {
 	recovered, err := replica.Recover(replicaOptions(s))
 	return recovered, errors.Trace(err)
 }
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -226,7 +226,7 @@
 	eventually(c.t, "a committed membership", func() bool {
 		s := c.leader().node.Status()
 		members = s.Members
-		return s.MembershipIndex <= s.Commit && s.Lease > 0
+		return s.MembershipIndex <= s.Commit && s.LeaseRemaining > 0
 	})
 	return members
 }
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -42,8 +42,8 @@
 	DataCentre string
 	// Address is the IP and port at which the other replicas reach Handler.
 	Address string
-	// LocalAddr is the source address of connections to peers; nil lets the system choose.
-	LocalAddr net.Addr
+	// SourceAddress is the source address of connections to peers; nil lets the system choose.
+	SourceAddress net.Addr
 	// Peers are the addresses of the control VMs from the settings. They may include this
 	// node's own.
 	Peers   []string
@@ -228,8 +228,8 @@
 	// Active holds the members that responded to the leader within the last election timeout.
 	// It is empty on a node that does not lead.
 	Active []raft.NodeID
-	// Lease is how long this leader is certain to remain the only one.
-	Lease time.Duration
+	// LeaseRemaining is how long this leader is certain to remain the only one.
+	LeaseRemaining time.Duration
 	// Err is the error that stopped the node, if it failed.
 	Err error
 }
--- a/internal/replica/process.go
+++ b/internal/replica/process.go
@@ -267,7 +267,7 @@
 		Members:         slices.Clone(s.Membership.Members),
 		MembershipIndex: s.MembershipIndex,
 		Active:          slices.Clone(n.view.active),
-		Lease:           remaining(n.view.leaseExpiry, now),
+		LeaseRemaining:  remaining(n.view.leaseExpiry, now),
 		Err:             n.err,
 	}
 }
--- a/internal/replica/recover.go
+++ b/internal/replica/recover.go
@@ -10,8 +10,8 @@
 // ErrNothingToRecover means that the data folder never belonged to a cluster.
 const ErrNothingToRecover = errors.ConstError("the data folder holds no cluster's state")
 
-// Recovered describes the content of a survivor's data folder.
-type Recovered struct {
+// RecoveryResult describes the content of a survivor's data folder.
+type RecoveryResult struct {
 	// OldCluster and NewCluster are the cluster ids before and after the recovery.
 	OldCluster uint64
 	NewCluster uint64
@@ -30,19 +30,19 @@
 // cluster that returns later is refused and can't mix its log into the new one; its data folder
 // must be emptied before it can join. If there are several survivors, the operator must choose
 // the one with the highest term, then the highest last index, as reported by Status and
-// Recovered.
-func Recover(opts Options) (Recovered, error) {
+// RecoveryResult.
+func Recover(opts Options) (RecoveryResult, error) {
 	opts = opts.withDefaults()
 	store, err := wal.Open(opts.Folder, nil)
 	if err != nil {
-		return Recovered{}, errors.Trace(err)
+		return RecoveryResult{}, errors.Trace(err)
 	}
 	recovered, err := recoverStore(opts, store)
 	closeErr := store.Close()
 	return recovered, errors.Trace(firstError(err, closeErr))
 }
 
-func recoverStore(opts Options, store *wal.WAL) (Recovered, error) {
+func recoverStore(opts Options, store *wal.WAL) (RecoveryResult, error) {
 	old := store.Identity()
 	saved := store.LoadedState()
 	last := saved.Base
@@ -50,25 +50,25 @@
 		last = raft.Position{Index: saved.Entries[k-1].Index, Term: saved.Entries[k-1].Term}
 	}
 	if old.Cluster == 0 || last.Index == 0 {
-		return Recovered{}, errors.Trace(ErrNothingToRecover)
+		return RecoveryResult{}, errors.Trace(ErrNothingToRecover)
 	}
 	next, err := newIdentity()
 	if err != nil {
-		return Recovered{}, errors.Trace(err)
+		return RecoveryResult{}, errors.Trace(err)
 	}
 	self := Member{ID: next.Node, VM: opts.VM, DataCentre: opts.DataCentre, Address: opts.Address}
 	data, err := raft.EncodeMembership(raft.Membership{Members: []Member{self}})
 	if err != nil {
-		return Recovered{}, errors.Trace(err)
+		return RecoveryResult{}, errors.Trace(err)
 	}
 	entry := raft.Entry{
 		Index: last.Index + 1, Term: max(saved.HardState.Term, last.Term) + 1,
 		Type: raft.EntryMembership, Data: data,
 	}
 	if err := store.Bootstrap(next, entry); err != nil {
-		return Recovered{}, errors.Trace(err)
+		return RecoveryResult{}, errors.Trace(err)
 	}
-	return Recovered{
+	return RecoveryResult{
 		OldCluster: old.Cluster, NewCluster: next.Cluster,
 		LastIndex: last.Index, CommitIndex: saved.HardState.Commit,
 	}, nil
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -268,7 +268,7 @@
 		return &connection{http: authorised{opts.HTTPClient, opts.Secret}}
 	}
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: opts.electionTimeout() / 3, LocalAddr: opts.LocalAddr}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: opts.electionTimeout() / 3, LocalAddr: opts.SourceAddress}).DialContext,
 		MaxConnsPerHost:     1,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     time.Minute,
