--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -126,10 +126,10 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Fresh requests a new connection for this call. A pooled connection may be dead
+	// NewConnection requests a new connection for this call. A pooled connection may be dead
 	// without notice. Making a new one shows that the network path works right before
 	// a call is sent whose unknown outcome would be final.
-	Fresh bool
+	NewConnection bool
 	// Verbatim passes a caller's own request on with its Path and Host unchanged. It
 	// also accepts an answer that ends with its connection, although such an end can't
 	// be distinguished from a cut that looks like an ordinary close.
--- a/internal/backend/forward.go
+++ b/internal/backend/forward.go
@@ -30,8 +30,8 @@
 	// Resume requests that a stream continue after the event ResumeAfter.
 	Resume      bool
 	ResumeAfter uint64
-	// Fresh requests a new connection, see ServiceCall.Fresh.
-	Fresh bool
+	// NewConnection requests a new connection, see ServiceCall.NewConnection.
+	NewConnection bool
 }
 
 // ForwardAnswer is the head of the answer to a ForwardCall. The caller must close Body.
@@ -46,8 +46,8 @@
 	NotRun bool
 	// OtherServer is set if another backend server now has the address.
 	OtherServer bool
-	// Foreign is set if the answer belongs to another request.
-	Foreign bool
+	// IsOtherRequest is set if the answer belongs to another request.
+	IsOtherRequest bool
 	// Proven is set if the answer carries proof that a backend server made it for
 	// this request.
 	Proven bool
--- a/internal/backend/http_client_test.go
+++ b/internal/backend/http_client_test.go
@@ -309,7 +309,7 @@
 }
 
 // Failure: a call hangs until its deadline on a pooled connection that has gone silent.
-// The next call must not hang on the next idle connection, and a call with Fresh set
+// The next call must not hang on the next idle connection, and a call with NewConnection set
 // must not use the pool at all.
 func TestDeadlineOnAPooledConnectionRetiresIdleOnes(t *testing.T) {
 	const pooled = 4
@@ -339,7 +339,7 @@
 			ctx, cancel = context.WithTimeout(t.Context(), 20*time.Millisecond)
 		}
 		defer cancel()
-		request := ServiceCall{Method: "GET", Path: "/", Fresh: fresh}
+		request := ServiceCall{Method: "GET", Path: "/", NewConnection: fresh}
 		answer, err := c.Call(ctx, s.Listener.Addr().String(), request)
 		if err != nil {
 			return err
--- a/internal/backend/http_service.go
+++ b/internal/backend/http_service.go
@@ -24,7 +24,7 @@
 		path:    s.Path,
 		header:  EndToEnd(s.Header),
 		body:    s.Body,
-		fresh:   s.Fresh,
+		fresh:   s.NewConnection,
 	}
 	if s.Verbatim {
 		r.host, r.opaque = s.Host, s.Path
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -319,7 +319,7 @@
 		ID: f.request.ID, Address: g.route.address, Incarnation: g.route.incarnation,
 		Method: f.request.Method, Path: f.request.Target, Host: f.request.Host, Header: f.request.Header, Body: f.request.Body,
 		Workspace: j.workspace, TimeLeft: time.Until(j.deadline), Rank: engineRank(f.priority, j.deadlinePriority(time.Now())),
-		Resume: f.resume, ResumeAfter: f.last, Fresh: j.nonIdempotent,
+		Resume: f.resume, ResumeAfter: f.last, NewConnection: j.nonIdempotent,
 	}
 }
 
@@ -343,7 +343,7 @@
 // backend server echoes and its proof tell such answers apart.
 func (j *job) checkAnswer(m *memoryBudget, a *backend.ForwardAnswer) (outcome, *failure.Error, bool) {
 	switch {
-	case a.Foreign:
+	case a.IsOtherRequest:
 		return outcomeBroken, failure.New(failure.TypeBackendFailed, "the backend server sent another request's answer"), true
 	case a.NotRun:
 		e := failure.New(failure.TypeOverloaded, "the backend server did not take the request, status "+strconv.Itoa(a.Status))
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -192,7 +192,7 @@
 	_, e, _ := send(configuredServer(t, f), ForwardRequest{Path: "/once/x"})
 	assert.Equal(t, len(f.calls), 1)
 	assert.Equal(t, e.Ran, failure.RanUnknown)
-	assert.Assert(t, f.calls[0].Fresh)
+	assert.Assert(t, f.calls[0].NewConnection)
 }
 
 // A backend server states that it did not run a non-idempotent request. Another may be asked
@@ -216,7 +216,7 @@
 // proof. Neither may reach the caller.
 func TestForeignOrUnprovenAnswerIsNotPassedOn(t *testing.T) {
 	for name, spoil := range map[string]func(*backend.ForwardAnswer){
-		"foreign":  func(a *backend.ForwardAnswer) { a.Foreign = true },
+		"foreign":  func(a *backend.ForwardAnswer) { a.IsOtherRequest = true },
 		"unproven": func(a *backend.ForwardAnswer) { a.Proven = false },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/entry/rate_limits.go
+++ b/internal/entry/rate_limits.go
@@ -179,7 +179,7 @@
 // observeForwarded records the rate limit in the answer to a forwarded request. An answer
 // without a valid proof may lack the limit for any reason.
 func (s *Server) observeForwarded(r route, a *backend.ForwardAnswer, sent time.Time) {
-	genuine := !a.Foreign && (a.Proven || a.NotRun)
+	genuine := !a.IsOtherRequest && (a.Proven || a.NotRun)
 	if a.OtherServer || (!genuine && a.RateLimit == nil) {
 		return
 	}
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -151,7 +151,7 @@
 func (s *Server) call(j *job, g grant) (outcome, *failure.Error) {
 	sc := j.service
 	sc.call.Attempt = g.attempt
-	sc.call.Fresh = j.nonIdempotent
+	sc.call.NewConnection = j.nonIdempotent
 	began := time.Now()
 	answer, err := s.o.Client.Call(j.ctx, g.route.address, sc.call)
 	if err != nil {
