--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -162,25 +162,25 @@
 	Retire(address string)
 }
 
-// Sent is the stage that a failed call reached.
-type Sent int
+// Stage is how far a failed call got.
+type Stage int
 
-// The stages of a call. Only SentNothing and SentRefused prove that the
+// The stages of a call. Only StageNotSent and StageRefused prove that the
 // request did not run.
 const (
-	// SentNothing means that no byte of the request was sent.
-	SentNothing Sent = iota
-	// SentRefused means that the backend server reported that it did not start the
+	// StageNotSent means that no byte of the request was sent.
+	StageNotSent Stage = iota
+	// StageRefused means that the backend server reported that it did not start the
 	// request.
-	SentRefused
-	// SentUnknown means that the request, or part of it, may have arrived.
-	SentUnknown
+	StageRefused
+	// StageUnknown means that the request, or part of it, may have arrived.
+	StageUnknown
 )
 
 // CallError is a failed call.
 type CallError struct {
 	Address string
-	Sent    Sent
+	Stage   Stage
 	// Status is the HTTP status, or 0 if no answer arrived.
 	Status int
 	// Busy is set if the backend server refused for lack of capacity.
@@ -195,7 +195,7 @@
 
 // Error returns the address, the stage and the cause as text.
 func (e *CallError) Error() string {
-	text := "backend server " + e.Address + ": " + e.Sent.String()
+	text := "backend server " + e.Address + ": " + e.Stage.String()
 	if e.Cause != nil {
 		text += ": " + e.Cause.Error()
 	}
@@ -206,11 +206,11 @@
 func (e *CallError) Unwrap() error { return e.Cause }
 
 // String returns a description of the stage.
-func (s Sent) String() string {
+func (s Stage) String() string {
 	switch s {
-	case SentNothing:
+	case StageNotSent:
 		return "nothing sent"
-	case SentRefused:
+	case StageRefused:
 		return "refused, not started"
 	default:
 		return "may have started"
--- a/internal/backend/http_client.go
+++ b/internal/backend/http_client.go
@@ -70,12 +70,12 @@
 	}
 	body, err := c.readReply(x)
 	if err != nil {
-		return OrderReply{}, &CallError{Address: address, Sent: SentUnknown, Status: http.StatusOK, Cause: err}
+		return OrderReply{}, &CallError{Address: address, Stage: StageUnknown, Status: http.StatusOK, Cause: err}
 	}
 	var reply OrderReply
 	if err := json.Unmarshal(body, &reply); err != nil {
 		cause := errors.Annotate(ErrMalformed, err.Error())
-		return OrderReply{}, &CallError{Address: address, Sent: SentUnknown, Status: http.StatusOK, Cause: cause}
+		return OrderReply{}, &CallError{Address: address, Stage: StageUnknown, Status: http.StatusOK, Cause: cause}
 	}
 	return reply, nil
 }
@@ -83,7 +83,7 @@
 func (c *HTTPClient) post(ctx context.Context, address, path string, message any) (*httpExchange, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
-		return nil, &CallError{Address: address, Sent: SentNothing, Cause: errors.Trace(err)}
+		return nil, &CallError{Address: address, Stage: StageNotSent, Cause: errors.Trace(err)}
 	}
 	r := outgoingRequest{
 		address: address,
@@ -100,7 +100,7 @@
 // failed during the run.
 func (c *HTTPClient) refusalError(address string, x *httpExchange) error {
 	e := &CallError{
-		Address: address, Sent: SentUnknown, Status: x.response.StatusCode, RateLimit: rateLimitOf(x.response.Header),
+		Address: address, Stage: StageUnknown, Status: x.response.StatusCode, RateLimit: rateLimitOf(x.response.Header),
 	}
 	body, err := c.readReply(x)
 	if err != nil {
@@ -113,7 +113,7 @@
 		return e
 	}
 	if r.Started != nil && !*r.Started {
-		e.Sent = SentRefused
+		e.Stage = StageRefused
 	}
 	e.Busy = r.Busy
 	e.RetryAfter = time.Duration(max(r.RetryAfterMillis, 0)) * time.Millisecond
@@ -121,7 +121,7 @@
 		e.Cause = &serverMessage{r.Message}
 	}
 	_ = level.Debug(c.options.Logger).Log("msg", "backend server refused", "address", address,
-		"status", e.Status, "sent", e.Sent, "busy", e.Busy)
+		"status", e.Status, "sent", e.Stage, "busy", e.Busy)
 	return e
 }
 
--- a/internal/backend/http_client_test.go
+++ b/internal/backend/http_client_test.go
@@ -57,11 +57,11 @@
 	return l.Addr().String()
 }
 
-func sentOf(t *testing.T, err error) Sent {
+func sentOf(t *testing.T, err error) Stage {
 	t.Helper()
 	var e *CallError
 	assert.Assert(t, errors.As(err, &e), "%v", err)
-	return e.Sent
+	return e.Stage
 }
 
 func TestNothingSentWithoutConnection(t *testing.T) {
@@ -70,12 +70,12 @@
 	address := l.Addr().String()
 	assert.NilError(t, l.Close())
 	_, err = newClient(t, Options{}).Generate(t.Context(), address, Generation{})
-	assert.Equal(t, sentOf(t, err), SentNothing)
+	assert.Equal(t, sentOf(t, err), StageNotSent)
 }
 
 // Failure: a service reads a call and closes the reused connection without an answer.
 // net/http itself would resend a bodyless GET on a new connection, and the service would
-// run the call twice. The client must send the call once and report SentUnknown.
+// run the call twice. The client must send the call once and report StageUnknown.
 func TestBrokenReusedConnectionIsUnknownAndNotRepeated(t *testing.T) {
 	var requests atomic.Int64
 	address := rawServer(t, func(conn net.Conn, _ int) {
@@ -102,7 +102,7 @@
 	assert.NilError(t, answer.Body.Close())
 
 	_, err = c.Call(t.Context(), address, call)
-	assert.Equal(t, sentOf(t, err), SentUnknown)
+	assert.Equal(t, sentOf(t, err), StageUnknown)
 	assert.Equal(t, requests.Load(), int64(2))
 }
 
@@ -122,15 +122,15 @@
 func TestOnlyStartedFalseIsARefusal(t *testing.T) {
 	for name, test := range map[string]struct {
 		body string
-		want Sent
+		want Stage
 	}{
-		"not started":       {`{"started":false,"busy":true,"retry_after_ms":200}`, SentRefused},
-		"started":           {`{"started":true}`, SentUnknown},
-		"no started field":  {`{"message":"boom"}`, SentUnknown},
-		"not JSON":          {`oops`, SentUnknown},
-		"far over a limit":  {strings.Repeat(" ", 100<<10) + `{"started":false}`, SentUnknown},
-		"empty":             {``, SentUnknown},
-		"started is a null": {`{"started":null}`, SentUnknown},
+		"not started":       {`{"started":false,"busy":true,"retry_after_ms":200}`, StageRefused},
+		"started":           {`{"started":true}`, StageUnknown},
+		"no started field":  {`{"message":"boom"}`, StageUnknown},
+		"not JSON":          {`oops`, StageUnknown},
+		"far over a limit":  {strings.Repeat(" ", 100<<10) + `{"started":false}`, StageUnknown},
+		"empty":             {``, StageUnknown},
+		"started is a null": {`{"started":null}`, StageUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -149,7 +149,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	_, err := newClient(t, Options{}).Call(t.Context(), address, ServiceCall{Method: "PUT", Path: "/x"})
-	assert.Equal(t, sentOf(t, err), SentRefused)
+	assert.Equal(t, sentOf(t, err), StageRefused)
 }
 
 // stream serves the given text as one token stream and reads it to its end.
@@ -217,7 +217,7 @@
 	})
 	c := newClient(t, Options{HeaderTimeout: 20 * time.Millisecond})
 	_, err := c.Generate(t.Context(), address, Generation{})
-	assert.Equal(t, sentOf(t, err), SentUnknown)
+	assert.Equal(t, sentOf(t, err), StageUnknown)
 	assert.ErrorIs(t, err, errHeaderTimeout)
 }
 
@@ -240,7 +240,7 @@
 		_ = conn.Close()
 	})
 	_, err := newClient(t, Options{}).Call(t.Context(), address, ServiceCall{Method: "GET", Path: "/"})
-	assert.Equal(t, sentOf(t, err), SentUnknown)
+	assert.Equal(t, sentOf(t, err), StageUnknown)
 	assert.ErrorIs(t, err, ErrMalformed)
 }
 
--- a/internal/backend/http_exchange.go
+++ b/internal/backend/http_exchange.go
@@ -40,7 +40,7 @@
 	request, err := r.build(traced)
 	if err != nil {
 		cancel(nil)
-		return nil, &CallError{Address: r.address, Sent: SentNothing, Cause: err}
+		return nil, &CallError{Address: r.address, Stage: StageNotSent, Cause: err}
 	}
 	c.authorise(request)
 	stop := startTimer(headerTimeout, func() { cancel(errHeaderTimeout) })
@@ -52,7 +52,7 @@
 		cause := causeOf(ctx, err)
 		c.retireIfSilent(ctx, r.address, used)
 		cancel(nil)
-		return nil, &CallError{Address: r.address, Sent: sent, Cause: cause}
+		return nil, &CallError{Address: r.address, Stage: sent, Cause: cause}
 	}
 	return &httpExchange{response: response, ctx: ctx, cancel: cancel}, nil
 }
@@ -103,14 +103,14 @@
 }
 
 // sent closes the connection and returns the stage that the request reached on it.
-func (u *usedConn) sent() Sent {
+func (u *usedConn) sent() Stage {
 	if u.isUnsealed {
-		return SentUnknown
+		return StageUnknown
 	}
 	if u.conn == nil || !u.conn.seal(u.writesBefore) {
-		return SentNothing
+		return StageNotSent
 	}
-	return SentUnknown
+	return StageUnknown
 }
 
 // outgoingRequest is a request to a backend server.
--- a/internal/backend/http_service.go
+++ b/internal/backend/http_service.go
@@ -59,7 +59,7 @@
 	if r.Header.Get(HeaderStarted) == StartedNo {
 		return &CallError{
 			Address: address,
-			Sent:    SentRefused,
+			Stage:   StageRefused,
 			Status:  r.StatusCode,
 
 			RateLimit: rateLimitOf(r.Header),
@@ -72,7 +72,7 @@
 	bodyless := r.Request.Method == http.MethodHead
 	if r.ContentLength < 0 && len(r.TransferEncoding) == 0 && !bodyless && !allowUnframed {
 		cause := errors.Annotate(ErrMalformed, "answer announces no end")
-		return &CallError{Address: address, Sent: SentUnknown, Status: r.StatusCode, Cause: cause}
+		return &CallError{Address: address, Stage: StageUnknown, Status: r.StatusCode, Cause: cause}
 	}
 	return nil
 }
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -44,7 +44,7 @@
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, c)
 	if len(s.calls) > len(s.answers) {
-		return nil, &backend.CallError{Address: c.Address, Sent: backend.SentNothing}
+		return nil, &backend.CallError{Address: c.Address, Stage: backend.StageNotSent}
 	}
 	return s.answers[len(s.calls)-1](c)
 }
@@ -186,7 +186,7 @@
 // not be sent again, and its caller must not be told that it did not run.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	lost := func(c backend.ForwardCall) (*backend.ForwardAnswer, error) {
-		return nil, &backend.CallError{Address: c.Address, Sent: backend.SentUnknown}
+		return nil, &backend.CallError{Address: c.Address, Stage: backend.StageUnknown}
 	}
 	f := &scriptedForwarder{answers: []func(backend.ForwardCall) (*backend.ForwardAnswer, error){lost, answerWith(200, "x", false)}}
 	_, e, _ := send(configuredServer(t, f), ForwardRequest{Path: "/once/x"})
--- a/internal/entry/rate_limits.go
+++ b/internal/entry/rate_limits.go
@@ -189,7 +189,7 @@
 // observeRefusal records the rate limit in the answer to a failed call.
 func (s *Server) observeRefusal(r route, err error, sent time.Time) {
 	var call *backend.CallError
-	if errors.As(err, &call) && (call.RateLimit != nil || call.Sent == backend.SentRefused) {
+	if errors.As(err, &call) && (call.RateLimit != nil || call.Stage == backend.StageRefused) {
 		s.observeRateLimit(r, call.RateLimit, sent)
 	}
 }
--- a/internal/entry/rate_limits_test.go
+++ b/internal/entry/rate_limits_test.go
@@ -99,7 +99,7 @@
 }
 
 func (c limitingClient) Generate(context.Context, string, backend.Generation) (backend.TokenStream, error) {
-	return nil, &backend.CallError{Sent: backend.SentRefused, RateLimit: &c.perSecond, RetryAfter: time.Second}
+	return nil, &backend.CallError{Stage: backend.StageRefused, RateLimit: &c.perSecond, RetryAfter: time.Second}
 }
 
 // Guards against observing limits only in the answers to forwarded requests.
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -387,7 +387,7 @@
 	}
 	e := failure.New(failure.TypeBackendFailed, err.Error())
 	var call *backend.CallError
-	if errors.As(err, &call) && call.Sent != backend.SentUnknown {
+	if errors.As(err, &call) && call.Stage != backend.StageUnknown {
 		return outcomeNotStarted, e
 	}
 	return outcomeBroken, e
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -177,7 +177,7 @@
 	}
 	e := failure.New(failure.TypeBackendFailed, err.Error())
 	var call *backend.CallError
-	if errors.As(err, &call) && call.Sent != backend.SentUnknown {
+	if errors.As(err, &call) && call.Stage != backend.StageUnknown {
 		return outcomeNotStarted, e
 	}
 	return outcomeBroken, e
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -179,7 +179,7 @@
 			_, err := read(t, c, test.engine, test.generation)
 			var e *backend.CallError
 			assert.Assert(t, errors.As(err, &e), "%v", err)
-			assert.Equal(t, e.Sent, backend.SentRefused)
+			assert.Equal(t, e.Stage, backend.StageRefused)
 		})
 	}
 	assert.Equal(t, len(head.Runs())+len(member.Runs()), 1)
@@ -232,7 +232,7 @@
 	_, err = read(t, c, head, generation("q", 1))
 	var e *backend.CallError
 	assert.Assert(t, errors.As(err, &e))
-	assert.Equal(t, e.Sent, backend.SentRefused)
+	assert.Equal(t, e.Stage, backend.StageRefused)
 }
 
 func TestFencingModes(t *testing.T) {
