--- a/internal/announcement/measure_test.go
+++ b/internal/announcement/measure_test.go
@@ -60,7 +60,7 @@
 	n := vm + int(sequence)*7
 	return &backend.Load{
 		Running: n % 16, Queued: n % 3, TokensInFlight: 5000 + n%977, TokensPerSecond: float64(n) * 1.37,
-		Capacity: 8000, AtMillis: int64(n % 211),
+		Capacity: 8000, AgeMillis: int64(n % 211),
 	}
 }
 
--- a/internal/backend/announcement.go
+++ b/internal/backend/announcement.go
@@ -57,7 +57,7 @@
 	// sustains less than its usual load because it started or was idle recently; 0 if it
 	// sustains its usual load.
 	ColdMillis int64 `json:"cold_ms,omitempty"`
-	// Load may be seconds old; Load.AtMillis is its age.
+	// Load may be seconds old; Load.AgeMillis is its age.
 	Load *Load `json:"load,omitempty"`
 
 	// Service is the plain service's name; empty for an engine.
@@ -88,8 +88,8 @@
 	// Capacity is the number of tokens in flight that the backend server sustains; 0
 	// if unknown.
 	Capacity int `json:"capacity,omitempty"`
-	// AtMillis is the age of the report when it was sent, in milliseconds.
-	AtMillis int64 `json:"age_ms"`
+	// AgeMillis is the age of the report when it was sent, in milliseconds.
+	AgeMillis int64 `json:"age_ms"`
 }
 
 // CacheEvent reports that prefix blocks entered or left an engine's cache. A gap in
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -157,9 +157,9 @@
 	Cancel(ctx context.Context, address, attempt string) error
 	Order(ctx context.Context, address string, o Order) (OrderReply, error)
 	Call(ctx context.Context, address string, c ServiceCall) (*ServiceAnswer, error)
-	// Retire closes the idle connections to address: after one connection has gone
+	// RetireConnections closes the idle connections to address: after one connection has gone
 	// silent, the others are likely to be dead as well.
-	Retire(address string)
+	RetireConnections(address string)
 }
 
 // Stage is how far a failed call got.
--- a/internal/backend/http_client.go
+++ b/internal/backend/http_client.go
@@ -29,9 +29,9 @@
 // Close closes all idle connections. It does not end open calls.
 func (c *HTTPClient) Close() { c.transports.closeAll() }
 
-// Retire closes the idle connections to address. Connections in use are not returned
+// RetireConnections closes the idle connections to address. Connections in use are not returned
 // to the pool, so later calls make new ones.
-func (c *HTTPClient) Retire(address string) { c.transports.retire(address) }
+func (c *HTTPClient) RetireConnections(address string) { c.transports.retire(address) }
 
 // Generate starts one attempt and returns its stream once the engine's response header
 // has arrived.
@@ -48,7 +48,7 @@
 
 // Cancel requests that the engine stop an attempt.
 func (c *HTTPClient) Cancel(ctx context.Context, address, attempt string) error {
-	x, err := c.post(ctx, address, PathCancel, CancelOrder{Attempt: attempt})
+	x, err := c.post(ctx, address, PathCancel, CancelRequest{Attempt: attempt})
 	if err != nil {
 		return err
 	}
--- a/internal/backend/http_client_test.go
+++ b/internal/backend/http_client_test.go
@@ -272,7 +272,7 @@
 }
 
 // Failure: after one connection has gone silent, each further request waits for a
-// timeout, because the other idle connections pass through the same middlebox. Retire
+// timeout, because the other idle connections pass through the same middlebox. RetireConnections
 // must make later calls to the address use new connections and affect no other address.
 func TestRetireDropsTheConnectionsOfOneAddress(t *testing.T) {
 	var first, second atomic.Int64
@@ -301,7 +301,7 @@
 		call(b)
 	}
 	assert.Equal(t, first.Load(), int64(1))
-	c.Retire(a)
+	c.RetireConnections(a)
 	call(a)
 	call(b)
 	assert.Equal(t, first.Load(), int64(2))
--- a/internal/backend/paths.go
+++ b/internal/backend/paths.go
@@ -35,7 +35,7 @@
 	Message          string `json:"message,omitempty"`
 }
 
-// CancelOrder is the body of a post to PathCancel.
-type CancelOrder struct {
+// CancelRequest is the body of a post to PathCancel.
+type CancelRequest struct {
 	Attempt string `json:"attempt"`
 }
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -216,6 +216,6 @@
 	if r.Load == nil || r.Load.Running > 0 || r.Load.Queued > 0 {
 		return false
 	}
-	made := r.ReceivedAt.Add(-time.Duration(r.Load.AtMillis) * time.Millisecond)
+	made := r.ReceivedAt.Add(-time.Duration(r.Load.AgeMillis) * time.Millisecond)
 	return made.After(drainedFrom.Add(evidence.RoutableAge))
 }
--- a/internal/controller/sim_engine_test.go
+++ b/internal/controller/sim_engine_test.go
@@ -127,7 +127,7 @@
 		ID: e.id, Incarnation: e.name(), Sequence: e.sequence, Kind: backend.KindEngine,
 		Address: e.id + ":1", DataCentre: "dc", FabricDomain: e.domain, Leaving: e.leaving,
 		Accelerators: e.accelerators, Group: e.group, Epoch: e.epoch, Phase: e.phase,
-		Load: &backend.Load{Running: e.running, AtMillis: 500}, Weights: sortedKeys(e.weights), Unreachable: lost,
+		Load: &backend.Load{Running: e.running, AgeMillis: 500}, Weights: sortedKeys(e.weights), Unreachable: lost,
 	}
 	n.table.Record(e.w.now, n.id, a)
 }
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -305,7 +305,7 @@
 	case j.ctx.Err() != nil:
 		return outcomeJobEnded, nil
 	case w.stalled():
-		s.o.Client.Retire(g.route.address)
+		s.o.Client.RetireConnections(g.route.address)
 		return outcomeBroken, failure.New(failure.TypeStalled, "the stream made no progress in time")
 	case w.ctx.Err() != nil:
 		return outcomeBroken, failure.New(failure.TypeStalled, errGroupLost.Error())
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -257,7 +257,7 @@
 	return placement.Load{
 		Running: r.Load.Running, Queued: r.Load.Queued, TokensInFlight: r.Load.TokensInFlight,
 		TokensPerSecond: r.Load.TokensPerSecond,
-		At:              r.ReceivedAt.Add(-time.Duration(r.Load.AtMillis) * time.Millisecond),
+		At:              r.ReceivedAt.Add(-time.Duration(r.Load.AgeMillis) * time.Millisecond),
 	}
 }
 
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -262,7 +262,7 @@
 // connections that have gone silent.
 func (s *Server) abandonAttempt(j *job, g grant, out outcome, stalled bool, e *failure.Error) {
 	if stalled {
-		s.o.Client.Retire(g.route.address)
+		s.o.Client.RetireConnections(g.route.address)
 	}
 	if out != outcomeNotStarted {
 		go s.cancelAttempt(g)
--- a/internal/evidence/wire/session_test.go
+++ b/internal/evidence/wire/session_test.go
@@ -50,7 +50,7 @@
 func line(id string, sequence uint64) evidence.DigestLine {
 	return evidence.DigestLine{
 		Kind: backend.KindEngine, ID: id, Incarnation: "x", StartedMillis: 1767225600123, Sequence: sequence, Group: "demo-0", Epoch: 7,
-		Phase: backend.PhaseReady, AgeMillis: 250, Load: &backend.Load{Running: 2, TokensPerSecond: 0.5, AtMillis: -1},
+		Phase: backend.PhaseReady, AgeMillis: 250, Load: &backend.Load{Running: 2, TokensPerSecond: 0.5, AgeMillis: -1},
 	}
 }
 
--- a/internal/evidence/wire/values.go
+++ b/internal/evidence/wire/values.go
@@ -33,7 +33,7 @@
 		b = protowire.AppendFixed64(b, math.Float64bits(l.TokensPerSecond))
 	}
 	b = putChanged(b, loadCapacity, last.Capacity, l.Capacity)
-	return putChanged(b, loadAge, int(last.AtMillis), int(l.AtMillis))
+	return putChanged(b, loadAge, int(last.AgeMillis), int(l.AgeMillis))
 }
 
 func putChanged(b []byte, number protowire.Number, last, v int) []byte {
@@ -64,7 +64,7 @@
 		case loadAge:
 			age := 0
 			err := v.asInt(&age)
-			l.AtMillis = int64(age)
+			l.AgeMillis = int64(age)
 			return err
 		}
 		return v.malformed()
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -220,7 +220,7 @@
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
-	var c backend.CancelOrder
+	var c backend.CancelRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBodyBytes)).Decode(&c); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/standin/load_report.go
+++ b/internal/standin/load_report.go
@@ -37,6 +37,6 @@
 	}
 	r.samples = r.samples[due:]
 	out := r.samples[0].load
-	out.AtMillis = now.Sub(r.samples[0].at).Milliseconds()
+	out.AgeMillis = now.Sub(r.samples[0].at).Milliseconds()
 	return &out
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -315,7 +315,7 @@
 	defer cancel()
 	_, err := c.Generate(ctx, e.Address(), generation("old", 1))
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
-	c.Retire(e.Address())
+	c.RetireConnections(e.Address())
 	_, err = read(t, c, e, generation("new", 1))
 	assert.Equal(t, err, io.EOF)
 }
@@ -364,7 +364,7 @@
 	assert.Assert(t, r.report(start, backend.Load{Running: 1}) == nil)
 	late := r.report(start.Add(1500*time.Millisecond), backend.Load{Running: 2})
 	assert.Equal(t, late.Running, 1)
-	assert.Equal(t, late.AtMillis, int64(1500))
+	assert.Equal(t, late.AgeMillis, int64(1500))
 }
 
 func TestServiceEchoesAndRecords(t *testing.T) {
--- a/test/capacity/slopes_test.go
+++ b/test/capacity/slopes_test.go
@@ -186,7 +186,7 @@
 			ID: v.ID, Incarnation: v.Incarnation, Sequence: sequence, Kind: backend.KindEngine, Address: v.Address,
 			DataCentre: v.DataCentre, FabricDomain: v.FabricDomain, Accelerators: 4, Weights: v.Weights, Model: "memo-large",
 			Group: fmt.Sprintf("memos-%d", i/vmsPerGroup), Epoch: uint64(i/vmsPerGroup + 1), Phase: backend.PhaseReady,
-			Load: &backend.Load{Running: 7, Queued: 1, TokensInFlight: 5200, TokensPerSecond: 410.5, Capacity: 8000, AtMillis: 900},
+			Load: &backend.Load{Running: 7, Queued: 1, TokensInFlight: 5200, TokensPerSecond: 410.5, Capacity: 8000, AgeMillis: 900},
 		})
 	}
 }
