--- a/internal/controller/forecast.go
+++ b/internal/controller/forecast.go
@@ -47,7 +47,7 @@
 
 func newHistory(now time.Time) *history {
 	return &history{
-		awayFraction: packing.DefaultForecast().Away, observedAt: now, deadSince: make(map[string]time.Time),
+		awayFraction: packing.DefaultForecast().AbsentFraction, observedAt: now, deadSince: make(map[string]time.Time),
 		returned: priorReturnProbability * priorWeight, lost: (1 - priorReturnProbability) * priorWeight,
 		returnSeconds: priorReturnProbability * priorWeight * priorReturnTime.Seconds(),
 	}
@@ -149,7 +149,7 @@
 // rows show when each VM was lost, returned or became known, whichever leader recorded that.
 func (h *history) forecast(now time.Time, vms []blackboard.VM, domains int) packing.Forecast {
 	o := packing.DefaultForecast()
-	o.Away = h.awayFraction
+	o.AbsentFraction = h.awayFraction
 	first := time.Duration(0)
 	for _, vm := range vms {
 		first = max(first, livenessAge(now, vm))
@@ -166,10 +166,10 @@
 			appeared++
 		}
 	}
-	seconds := span.Seconds()*float64(len(vms)) + o.Life.Seconds()
-	o.Life = time.Duration(seconds / float64(lost+1) * float64(time.Second))
+	seconds := span.Seconds()*float64(len(vms)) + o.MeanLifetime.Seconds()
+	o.MeanLifetime = time.Duration(seconds / float64(lost+1) * float64(time.Second))
 	if span > 0 {
-		o.Newcomers = float64(appeared) / (span.Seconds() * float64(max(1, domains)))
+		o.NewVMsPerSecond = float64(appeared) / (span.Seconds() * float64(max(1, domains)))
 	}
 	return o
 }
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -270,7 +270,7 @@
 		}
 		a.decide(Decision{Kind: "pack", Subject: domain, Choice: now, RunnerUp: before, Reason: fmt.Sprintf(
 			"highest worth with %d VMs; forecast: %.2f of the VMs away, a VM lives %.0f s, %.3f new VMs per second and domain",
-			len(domains[domain].VMs), o.Away, o.Life.Seconds(), o.Newcomers)})
+			len(domains[domain].VMs), o.AbsentFraction, o.MeanLifetime.Seconds(), o.NewVMsPerSecond)})
 	}
 }
 
--- a/internal/placement/packing/datacentre_test.go
+++ b/internal/placement/packing/datacentre_test.go
@@ -17,7 +17,7 @@
 	}
 	for _, away := range []float64{0.08, 0.085, 0.09, 0.1} {
 		forecast := DefaultForecast()
-		forecast.Away = away
+		forecast.AbsentFraction = away
 		const perCentre = 2
 		var domains []Domain
 		for c := range 3 {
--- a/internal/placement/packing/expectation.go
+++ b/internal/placement/packing/expectation.go
@@ -13,7 +13,7 @@
 		return mean
 	}
 	holders := groups*size + spares
-	away := p.forecast.Away
+	away := p.forecast.AbsentFraction
 	mean := 0.0
 	// probability is the probability that exactly lost of the holders are absent.
 	probability := math.Pow(1-away, float64(holders))
--- a/internal/placement/packing/forecast.go
+++ b/internal/placement/packing/forecast.go
@@ -5,29 +5,29 @@
 // Forecast describes the expected failures and returns of VMs, from the pool's own history. Fields
 // without observations hold the priors of DefaultForecast.
 type Forecast struct {
-	// Away is the average fraction of VMs that are unavailable: dead and expected to return, or
+	// AbsentFraction is the average fraction of VMs that are unavailable: dead and expected to return, or
 	// held by a group that is being dissolved.
-	Away float64
-	// Life is the mean time until a VM is lost.
-	Life time.Duration
-	// Newcomers is the rate, in VMs a second, at which VMs not known before join a domain.
-	Newcomers float64
+	AbsentFraction float64
+	// MeanLifetime is the mean time until a VM is lost.
+	MeanLifetime time.Duration
+	// NewVMsPerSecond is the rate, in VMs a second, at which VMs not known before join a domain.
+	NewVMsPerSecond float64
 }
 
 // DefaultForecast returns the forecast for a pool without history.
 //
-// The prior of Away favours one model in a domain. VMs that hold the same model can replace
+// The prior of AbsentFraction favours one model in a domain. VMs that hold the same model can replace
 // each other. With two models a loss strands the rest of a group, although there are enough
 // spare VMs of the other model. A tenth is a cautious value: a calmer pool has spare VMs and
-// learns its lower rate within a minute. The prior of Life, a VM lost every four minutes,
+// learns its lower rate within a minute. The prior of MeanLifetime, a VM lost every four minutes,
 // describes a pool in trouble: until more is known, the layout does not change when one VM
 // leaves and returns.
-func DefaultForecast() Forecast { return Forecast{Away: 0.1, Life: 4 * time.Minute} }
+func DefaultForecast() Forecast { return Forecast{AbsentFraction: 0.1, MeanLifetime: 4 * time.Minute} }
 
 // servedFraction returns the fraction of time that a group of size VMs serves. The group first
 // waits initialWait for VMs and weights, serves until it loses a VM, and then starts again.
 func (o Forecast) servedFraction(size int, initialWait time.Duration) float64 {
-	life := o.Life.Seconds() / float64(max(1, size))
+	life := o.MeanLifetime.Seconds() / float64(max(1, size))
 	return life / (life + initialWait.Seconds())
 }
 
@@ -39,7 +39,7 @@
 	if n <= 0 {
 		return 0
 	}
-	perSecond := o.Newcomers
+	perSecond := o.NewVMsPerSecond
 	for _, vm := range d.VMs {
 		perSecond += vm.ReturnsPerSecond
 	}
