--- a/internal/blackboard/suspect.go
+++ b/internal/blackboard/suspect.go
@@ -2,7 +2,7 @@
 
 // Suspect is a request, identified by its fingerprint, that was in flight on backend servers
 // when they crashed. Written by: entries, through ReportCrash. Read by: entries, which run a
-// suspect alone and refuse it once Convicted reports true.
+// suspect alone and refuse it once IsAttributed reports true.
 type Suspect struct {
 	Fingerprint string `json:"fingerprint"`
 	// Crashes counts the distinct backend server incarnations that crashed while the request was
@@ -14,9 +14,9 @@
 	LastMillis   int64    `json:"last_ms"`
 }
 
-// Convicted reports whether crashes are attributed to the request. The request must have been in
+// IsAttributed reports whether crashes are attributed to the request. The request must have been in
 // flight in two crashes, one of them without other requests, or in three crashes.
-func (s Suspect) Convicted() bool {
+func (s Suspect) IsAttributed() bool {
 	const maxCrashes = 3
 	return (s.Alone >= 1 && s.Crashes >= 2) || s.Crashes >= maxCrashes
 }
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -329,7 +329,7 @@
 	var old []blackboard.Command
 	for fingerprint, suspect := range board.Suspects {
 		lifetime := suspectLifetime
-		if suspect.Convicted() {
+		if suspect.IsAttributed() {
 			lifetime = attributedLifetime
 		}
 		if now.Sub(time.UnixMilli(suspect.LastMillis)) > lifetime {
--- a/internal/entry/isolation_test.go
+++ b/internal/entry/isolation_test.go
@@ -43,7 +43,7 @@
 	s.o.Follower, s.o.Control = follower, unreachableControl{}
 	after := blackboard.New()
 	after.Suspects["body"] = blackboard.Suspect{Fingerprint: "body", Crashes: 2, Alone: 1, Incarnations: []string{"a", "b"}}
-	assert.Assert(t, after.Suspects["body"].Convicted())
+	assert.Assert(t, after.Suspects["body"].IsAttributed())
 
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(300*time.Millisecond))
 	defer cancel()
--- a/internal/entry/job_table.go
+++ b/internal/entry/job_table.go
@@ -47,7 +47,7 @@
 	if e := s.mayAdmit(); e != nil {
 		return nil, e
 	}
-	if s.o.Follower.Board().Suspects[j.fingerprint].Convicted() {
+	if s.o.Follower.Board().Suspects[j.fingerprint].IsAttributed() {
 		return nil, crashRefusal()
 	}
 	j.ctx, j.cancel = context.WithCancelCause(context.Background())
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -107,7 +107,7 @@
 // crash. The request waits eight seconds for a turn in isolation and crashes a third backend
 // server. So the board is checked again after the wait.
 func (s *Server) mayAttempt(j *job) *failure.Error {
-	if s.o.Follower.Board().Suspects[j.fingerprint].Convicted() {
+	if s.o.Follower.Board().Suspects[j.fingerprint].IsAttributed() {
 		return crashRefusal()
 	}
 	return s.mayDispatch()
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -83,7 +83,7 @@
 	if j.nonIdempotent {
 		ctx = context.Background()
 	}
-	return s.hasCrashed(ctx, r, cut) && s.reportCrash(j, r, alone).Convicted()
+	return s.hasCrashed(ctx, r, cut) && s.reportCrash(j, r, alone).IsAttributed()
 }
 
 // reportCrash counts a crash against the job and returns the request's crash counts.
