--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -107,9 +107,9 @@
 	return b, nil
 }
 
-// DecodeWhole returns the board of a complete snapshot. It returns ErrInconsistent if the
+// DecodeComplete returns the board of a complete snapshot. It returns ErrInconsistent if the
 // snapshot breaks an invariant, which an entry copy may do because it omits VMs.
-func DecodeWhole(snapshot []byte) (*Board, error) {
+func DecodeComplete(snapshot []byte) (*Board, error) {
 	b, err := Decode(snapshot)
 	if err != nil {
 		return nil, errors.Trace(err)
--- a/internal/blackboard/evacuation_test.go
+++ b/internal/blackboard/evacuation_test.go
@@ -88,7 +88,7 @@
 	assert.NilError(t, err)
 	evacuated, _, change, err := before.ApplyChange(data)
 	assert.NilError(t, err)
-	assert.Assert(t, change.Concerns())
+	assert.Assert(t, change.AffectsEntries())
 	data, err = Encode(&NoteCold{Incarnation: "vm-east@1", Service: "pool"})
 	assert.NilError(t, err)
 	marked, _, cold, err := evacuated.ApplyChange(data)
--- a/internal/blackboard/patch.go
+++ b/internal/blackboard/patch.go
@@ -19,8 +19,8 @@
 	versionChanged, otherConfigChanged, callersChanged bool
 }
 
-// Concerns reports whether the change affects an entry copy beyond its revision.
-func (c Change) Concerns() bool {
+// AffectsEntries reports whether the change affects an entry copy beyond its revision.
+func (c Change) AffectsEntries() bool {
 	rows := len(c.groups) + len(c.leavingVMs) + len(c.services) + len(c.entries) + len(c.suspects) + len(c.quarantines) + len(c.waits) +
 		len(c.rateLimits) + len(c.evacuations) + len(c.coldServers)
 	return rows > 0 || c.versionChanged || c.otherConfigChanged || c.callersChanged
--- a/internal/blackboard/rate_limit_test.go
+++ b/internal/blackboard/rate_limit_test.go
@@ -21,7 +21,7 @@
 		return &NoteRateLimit{Incarnation: "i", Limit: &RateLimit{PerSecond: perSecond, HeardMillis: heardMillis}}
 	}
 	b, change := applyChange(t, New(), limit(2, 1000))
-	assert.Assert(t, change.Concerns())
+	assert.Assert(t, change.AffectsEntries())
 	assert.Equal(t, b.Revision, uint64(1))
 	b, _ = applyChange(t, b, limit(2.1, 1000+confirmIntervalMillis-1))
 	assert.Equal(t, b.Revision, uint64(1))
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -83,7 +83,7 @@
 	}
 	m.recordChange(change)
 	m.board = next
-	if change.Concerns() {
+	if change.AffectsEntries() {
 		m.notifyWatchers()
 	}
 	return result
@@ -235,7 +235,7 @@
 	if size > uint64(len(rest)) {
 		return errors.Trace(blackboard.ErrMalformed)
 	}
-	board, err := blackboard.DecodeWhole(rest[:size])
+	board, err := blackboard.DecodeComplete(rest[:size])
 	if err != nil {
 		return errors.Trace(err)
 	}
