--- a/internal/blackboard/evacuation_test.go
+++ b/internal/blackboard/evacuation_test.go
@@ -27,7 +27,7 @@
 		id, name := fmt.Sprint("vm-", dataCentre), fmt.Sprint("m-", i)
 		apply(&PutVM{VM: VM{ID: id, Incarnation: id + "@1", DataCentre: dataCentre, FabricDomain: dataCentre, Pool: "pool"}})
 		member := GroupMember{VM: id, Incarnation: id + "@1"}
-		apply(&FormGroup{Group: Group{ID: name, Spec: "m", Model: "m", FabricDomain: dataCentre, DataCentre: dataCentre, Members: []GroupMember{member}, Opens: true}})
+		apply(&FormGroup{Group: Group{ID: name, Spec: "m", Model: "m", FabricDomain: dataCentre, DataCentre: dataCentre, Members: []GroupMember{member}, RequiresOpenHead: true}})
 		for _, step := range [][2]GroupState{{Forming, Loading}, {Loading, Serving}} {
 			apply(&SetGroupState{Group: name, Epoch: b.Groups[name].Epoch, From: step[0], To: step[1]})
 		}
--- a/internal/blackboard/group.go
+++ b/internal/blackboard/group.go
@@ -53,9 +53,9 @@
 	OtherDataCentres []string      `json:"other_data_centres,omitempty"`
 	Members          []GroupMember `json:"members"`
 	Worth            int           `json:"worth"`
-	// Opens states that the group serves only while its first member, the head, is open; see
+	// RequiresOpenHead states that the group serves only while its first member, the head, is open; see
 	// GroupSpec.Pool.
-	Opens bool `json:"opens,omitempty"`
+	RequiresOpenHead bool `json:"opens,omitempty"`
 	// Reason explains why the group is in its state.
 	Reason      string `json:"reason,omitempty"`
 	SinceMillis int64  `json:"since_ms"`
@@ -67,10 +67,10 @@
 	phaseOpen  = "open"
 )
 
-// Ready reports whether a member in this phase is ready to serve. If Opens is set, the head must
+// IsMemberReady reports whether a member in this phase is ready to serve. If RequiresOpenHead is set, the head must
 // be open.
-func (g Group) Ready(m GroupMember, phase string) bool {
-	if g.Opens && len(g.Members) > 0 && g.Members[0].VM == m.VM {
+func (g Group) IsMemberReady(m GroupMember, phase string) bool {
+	if g.RequiresOpenHead && len(g.Members) > 0 && g.Members[0].VM == m.VM {
 		return phase == phaseOpen
 	}
 	return phase == phaseReady
--- a/internal/controller/breaking.go
+++ b/internal/controller/breaking.go
@@ -90,7 +90,7 @@
 
 func groupFaults(v View, now time.Time, g blackboard.Group) []fault {
 	var faults []fault
-	if at, stalled := v.ConfirmedStalls[GroupEpoch{g.ID, g.Epoch}]; stalled && g.Opens && now.Sub(at) < stallValidity {
+	if at, stalled := v.ConfirmedStalls[GroupEpoch{g.ID, g.Epoch}]; stalled && g.RequiresOpenHead && now.Sub(at) < stallValidity {
 		faults = append(faults, fault{"no entry gets answers", 0})
 	}
 	if g.State == blackboard.Loading && v.Memory.timeInState(g, now) > loadTimeout {
@@ -113,7 +113,7 @@
 		return "restarted", 0
 	}
 	if vm.Liveness == blackboard.Dead {
-		if g.Opens && g.State == blackboard.Serving {
+		if g.RequiresOpenHead && g.State == blackboard.Serving {
 			return "is dead", silentMemberLimit
 		}
 		return "is dead", 0
@@ -164,10 +164,10 @@
 // isServicePhase reports whether a member's phase is normal for a group in service. The head of a
 // draining group may have closed.
 func isServicePhase(g blackboard.Group, r evidence.Report) bool {
-	if g.Opens && g.State == blackboard.Draining {
+	if g.RequiresOpenHead && g.State == blackboard.Draining {
 		return true
 	}
-	return g.Ready(blackboard.GroupMember{VM: r.ID}, string(r.Phase))
+	return g.IsMemberReady(blackboard.GroupMember{VM: r.ID}, string(r.Phase))
 }
 
 // avoidAfterFailedLoad keeps a VM out of new groups for some time when its load failed. A VM that
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -164,7 +164,7 @@
 				continue
 			}
 			counts[g.Spec]++
-			if g.Opens && wantedGroups(v, g.Spec) > 0 {
+			if g.RequiresOpenHead && wantedGroups(v, g.Spec) > 0 {
 				// The groups that a pool has formed beyond its share continue to serve: the
 				// shrinking of a pool is no reason to break up a working group.
 				continue
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -188,7 +188,7 @@
 	a.command(&blackboard.FormGroup{NowMillis: now.UnixMilli(), Group: blackboard.Group{
 		ID: id, Spec: spec.Name, Model: spec.Model, FabricDomain: best.domain,
 		DataCentre: best.members[0].DataCentre, OtherDataCentres: otherDataCentres(best.members), Members: members,
-		Worth: v.Board.Config.GroupWorth(spec.Name), Reason: "wanted by its spec", Opens: spec.Pool != "",
+		Worth: v.Board.Config.GroupWorth(spec.Name), Reason: "wanted by its spec", RequiresOpenHead: spec.Pool != "",
 	}})
 	d := Decision{Kind: "form", Subject: id, Choice: best.domain, Reason: best.reason()}
 	if len(found) > 1 {
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -22,15 +22,15 @@
 func loadGroups(v View, now time.Time, a *Actions) {
 	var running storeLoads
 	for _, g := range v.Board.Groups {
-		if g.State == blackboard.Loading && !g.Opens && needsStore(v, g) {
+		if g.State == blackboard.Loading && !g.RequiresOpenHead && needsStore(v, g) {
 			running.begin(worthOf(v, g))
 		}
 	}
 	for _, g := range loadingOrder(v) {
 		switch {
-		case g.Opens && g.State == blackboard.Forming:
+		case g.RequiresOpenHead && g.State == blackboard.Forming:
 			startPoolLoading(v, now, a, g)
-		case g.Opens && g.State == blackboard.Loading:
+		case g.RequiresOpenHead && g.State == blackboard.Loading:
 			continuePoolLoading(v, now, a, g)
 		case g.State == blackboard.Forming:
 			startLoading(v, now, a, g, &running)
@@ -51,7 +51,7 @@
 	groups := groupsByWorth(v)
 	served := make(map[string]int)
 	for _, g := range groups {
-		if g.Opens && g.State == blackboard.Serving {
+		if g.RequiresOpenHead && g.State == blackboard.Serving {
 			served[g.Spec]++
 		}
 	}
@@ -62,7 +62,7 @@
 			continue
 		}
 		ordered = append(ordered, g)
-		if g.Opens {
+		if g.RequiresOpenHead {
 			served[g.Spec]++
 			part[g.ID] = float64(served[g.Spec]) / float64(max(1, wantedGroups(v, g.Spec)))
 		}
--- a/internal/controller/releasing.go
+++ b/internal/controller/releasing.go
@@ -15,7 +15,7 @@
 		if !prepareRelease(v, now, a, g) {
 			continue
 		}
-		if g.Opens {
+		if g.RequiresOpenHead {
 			if releasePoolGroup(v, now, a, g) == 0 {
 				a.moveGroup(g, blackboard.Released, g.Reason, now)
 			}
@@ -40,7 +40,7 @@
 	if g.State == blackboard.Broken {
 		return true
 	}
-	if g.Opens {
+	if g.RequiresOpenHead {
 		return g.State == blackboard.Draining && finishRequests(v, now, a, g)
 	}
 	return g.State == blackboard.Draining && isDrained(v, now, g)
--- a/internal/controller/run_bench_test.go
+++ b/internal/controller/run_bench_test.go
@@ -137,7 +137,7 @@
 	}
 	return blackboard.Group{
 		ID: id, Spec: model, Model: model, Epoch: uint64(len(board.Groups) + 1), State: blackboard.Serving,
-		FabricDomain: domain, Opens: true,
+		FabricDomain: domain, RequiresOpenHead: true,
 	}
 }
 
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -17,7 +17,7 @@
 		return true
 	}
 	g, ok := v.Board.Groups[vm.Group]
-	return ok && g.Epoch == vm.Epoch && g.Opens && g.State == blackboard.Serving
+	return ok && g.Epoch == vm.Epoch && g.RequiresOpenHead && g.State == blackboard.Serving
 }
 
 // engineSpec returns the engine parameters of the pool from which a spec forms its groups.
--- a/internal/entry/routes_bench_test.go
+++ b/internal/entry/routes_bench_test.go
@@ -44,7 +44,7 @@
 		for n := range groups {
 			g := blackboard.Group{
 				ID: fmt.Sprintf("%s-%d", model, n), Spec: model, Model: model, Epoch: uint64(n + 1), State: blackboard.Serving,
-				FabricDomain: fmt.Sprint("domain-", n%15), Opens: true,
+				FabricDomain: fmt.Sprint("domain-", n%15), RequiresOpenHead: true,
 			}
 			for i := range size {
 				g.Members = append(g.Members, blackboard.GroupMember{
--- a/internal/evidence/query.go
+++ b/internal/evidence/query.go
@@ -137,7 +137,7 @@
 	}
 	r, _ := t.Get(m.VM)
 	switch {
-	case !g.Ready(m, string(r.Phase)):
+	case !g.IsMemberReady(m, string(r.Phase)):
 		return "is " + string(r.Phase)
 	case len(r.Unreachable) > 0:
 		return "has lost " + r.Unreachable[0]
