--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -34,9 +34,9 @@
 	// Evacuations are keyed by data centre, ColdServers by incarnation.
 	Evacuations map[string]Evacuation `json:"evacuations,omitempty"`
 	ColdServers map[string]ColdServer `json:"cold_servers,omitempty"`
-	// CallersMillis is the time of the first request of any caller, by the clock of the entry
+	// FirstRequestMillis is the time of the first request of any caller, by the clock of the entry
 	// that received it. It is 0 before the first request.
-	CallersMillis int64 `json:"callers_ms,omitempty"`
+	FirstRequestMillis int64 `json:"callers_ms,omitempty"`
 	// TermBase is added to the consensus term in fencing tokens. Found sets TermBase and the
 	// first epoch from the clock. If all control disks are lost and the cluster is founded
 	// again, engines therefore accept its orders as newer than those of the previous cluster.
--- a/internal/blackboard/command.go
+++ b/internal/blackboard/command.go
@@ -54,7 +54,7 @@
 	"replace_config":  func() Command { return &ReplaceConfiguration{} },
 	"note_wait":       func() Command { return &NoteWait{} },
 	"note_rate_limit": func() Command { return &NoteRateLimit{} },
-	"note_callers":    func() Command { return &NoteCallers{} },
+	"note_callers":    func() Command { return &RecordFirstRequest{} },
 	"set_evacuation":  func() Command { return &SetEvacuation{} },
 	"note_cold":       func() Command { return &NoteCold{} },
 	"patch":           func() Command { return &Patch{} },
--- a/internal/blackboard/patch.go
+++ b/internal/blackboard/patch.go
@@ -38,7 +38,7 @@
 		rateLimits:     changedRows(before.RateLimits, d.RateLimits),
 		evacuations:    changedRows(before.Evacuations, d.Evacuations),
 		coldServers:    changedRows(before.ColdServers, d.ColdServers),
-		callersChanged: before.CallersMillis != d.CallersMillis,
+		callersChanged: before.FirstRequestMillis != d.FirstRequestMillis,
 	}
 	for id := range d.writtenGroups {
 		_, had := groupForEntries(before.Groups[id])
@@ -106,8 +106,8 @@
 	RateLimits  Rows[RateLimit]       `json:"rate_limits,omitzero"`
 	Evacuations Rows[Evacuation]      `json:"evacuations,omitzero"`
 	ColdServers Rows[ColdServer]      `json:"cold_servers,omitzero"`
-	// CallersMillis is the value of Board.CallersMillis.
-	CallersMillis int64 `json:"callers_ms,omitempty"`
+	// FirstRequestMillis is the value of Board.FirstRequestMillis.
+	FirstRequestMillis int64 `json:"callers_ms,omitempty"`
 
 	// Version is set if ReplaceConfiguration changed the configuration. Config is set instead if
 	// other commands changed it.
@@ -166,7 +166,7 @@
 // PatchFor returns the encoded Patch that brings an entry copy that lacks the given changes to
 // the board's revision.
 func (b *Board) PatchFor(changes []Change) ([]byte, error) {
-	p := &Patch{Revision: b.Revision, ClusterID: b.ClusterID, CallersMillis: b.CallersMillis}
+	p := &Patch{Revision: b.Revision, ClusterID: b.ClusterID, FirstRequestMillis: b.FirstRequestMillis}
 	p.Groups = b.groupRows(unionNames(changes, func(c Change) []string { return c.groups }))
 	p.Leaving = b.leavingVMRows(unionNames(changes, func(c Change) []string { return c.leavingVMs }))
 	p.Services = selectRows(b.Services, unionNames(changes, func(c Change) []string { return c.services }))
@@ -246,7 +246,7 @@
 	d.Suspects, d.Quarantines = p.Suspects.applyTo(d.Suspects), p.Quarantines.applyTo(d.Quarantines)
 	d.Waits, d.RateLimits = p.Waits.applyTo(d.Waits), p.RateLimits.applyTo(d.RateLimits)
 	d.Evacuations, d.ColdServers = p.Evacuations.applyTo(d.Evacuations), p.ColdServers.applyTo(d.ColdServers)
-	d.CallersMillis = p.CallersMillis
+	d.FirstRequestMillis = p.FirstRequestMillis
 	if p.Config != nil {
 		d.Config = p.Config.clone()
 	}
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -192,7 +192,7 @@
 		t.Fatal("the watch ended for the row of a VM")
 	default:
 	}
-	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.NoteCallers{NowMillis: 7}, &verdict))
+	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.RecordFirstRequest{NowMillis: 7}, &verdict))
 	needsUpdate, _ = m.NeedsUpdate(have)
 	assert.Assert(t, needsUpdate)
 	<-changed
--- a/internal/controller/opening_sim_test.go
+++ b/internal/controller/opening_sim_test.go
@@ -322,7 +322,7 @@
 		delay = 1500 * time.Millisecond
 	default:
 		delay = w.load
-		if w.board.CallersMillis != 0 {
+		if w.board.FirstRequestMillis != 0 {
 			w.fetched = append(w.fetched, w.now)
 			delay = max(w.load, w.busyLoad)
 		}
@@ -394,10 +394,10 @@
 
 // letCallersCome records callers on the board once they have arrived.
 func (w *poolWorld) letCallersCome() {
-	if w.board.CallersMillis != 0 || (w.callersAt.IsZero() && len(w.serving()) == 0) || w.now.Before(w.callersAt) {
+	if w.board.FirstRequestMillis != 0 || (w.callersAt.IsZero() && len(w.serving()) == 0) || w.now.Before(w.callersAt) {
 		return
 	}
-	w.apply(&blackboard.NoteCallers{NowMillis: w.now.UnixMilli()})
+	w.apply(&blackboard.RecordFirstRequest{NowMillis: w.now.UnixMilli()})
 }
 
 // stalled returns the stalls that entries would report: heads that have stalled for some time,
--- a/internal/controller/weight_store.go
+++ b/internal/controller/weight_store.go
@@ -53,7 +53,7 @@
 
 // noCallersYet reports whether no caller has sent a request since the system was bootstrapped.
 // Until then the weight store serves only the start.
-func noCallersYet(v View) bool { return v.Board.CallersMillis == 0 }
+func noCallersYet(v View) bool { return v.Board.FirstRequestMillis == 0 }
 
 // countLoads counts the VMs that load at present, and notices when the first callers arrive.
 func countLoads(v View, now time.Time) {
--- a/internal/entry/caller_report.go
+++ b/internal/entry/caller_report.go
@@ -38,7 +38,7 @@
 // a report.
 func (c *firstCallerReport) isDue(now time.Time, b *blackboard.Board, turn float64) bool {
 	since := c.firstRequestMillis.Load()
-	if since == 0 || b.ClusterID == "" || b.CallersMillis != 0 || now.Sub(c.reportedAt) < callerReportRetry {
+	if since == 0 || b.ClusterID == "" || b.FirstRequestMillis != 0 || now.Sub(c.reportedAt) < callerReportRetry {
 		return false
 	}
 	wait := time.Duration(turn * float64(len(b.Entries)) / callerReportsPerSecond * float64(time.Second))
@@ -59,7 +59,7 @@
 		ctx, cancel := context.WithTimeout(ctx, boardTimeout)
 		defer cancel()
 		since := s.callerReport.firstRequestMillis.Load()
-		err := s.commitBoard(ctx, &blackboard.NoteCallers{NowMillis: since}, nil)
+		err := s.commitBoard(ctx, &blackboard.RecordFirstRequest{NowMillis: since}, nil)
 		_ = level.Info(s.o.Logger).Log("event", "callers_reported", "since_ms", since, "err", errText(err))
 	}()
 }
