--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -27,8 +27,8 @@
 	Suspects  map[string]Suspect         `json:"suspects"`
 	// Quarantines are keyed by pool: a model or a plain service.
 	Quarantines map[string]Quarantine `json:"quarantines"`
-	// Waits maps a route to the timeout of its callers' first attempts, in milliseconds.
-	Waits map[string]int64 `json:"waits,omitempty"`
+	// CallerTimeouts maps a route to the timeout of its callers' first attempts, in milliseconds.
+	CallerTimeouts map[string]int64 `json:"waits,omitempty"`
 	// RateLimits are the limits that backend servers state, keyed by incarnation.
 	RateLimits map[string]RateLimit `json:"rate_limits,omitempty"`
 	// Evacuations are keyed by data centre, ColdServers by incarnation.
@@ -65,7 +65,7 @@
 	b.Entries = orEmpty(b.Entries)
 	b.Suspects = orEmpty(b.Suspects)
 	b.Quarantines = orEmpty(b.Quarantines)
-	b.Waits = orEmpty(b.Waits)
+	b.CallerTimeouts = orEmpty(b.CallerTimeouts)
 	b.RateLimits = orEmpty(b.RateLimits)
 	b.Evacuations = orEmpty(b.Evacuations)
 	b.ColdServers = orEmpty(b.ColdServers)
--- a/internal/blackboard/command.go
+++ b/internal/blackboard/command.go
@@ -52,7 +52,7 @@
 	"take_quarantine": func() Command { return &TakeQuarantine{} },
 	"end_quarantine":  func() Command { return &EndQuarantine{} },
 	"replace_config":  func() Command { return &ReplaceConfiguration{} },
-	"note_wait":       func() Command { return &NoteWait{} },
+	"note_wait":       func() Command { return &RecordCallerTimeout{} },
 	"note_rate_limit": func() Command { return &NoteRateLimit{} },
 	"note_callers":    func() Command { return &RecordFirstRequest{} },
 	"set_evacuation":  func() Command { return &SetEvacuation{} },
--- a/internal/blackboard/entry_copy.go
+++ b/internal/blackboard/entry_copy.go
@@ -31,7 +31,7 @@
 	c.Revision, c.ClusterID, c.Config = b.Revision, b.ClusterID, b.Config
 	c.Config.Document = nil
 	c.Services, c.Entries, c.Suspects, c.Quarantines = b.Services, b.Entries, b.Suspects, b.Quarantines
-	c.Waits, c.RateLimits, c.FirstRequestMillis = b.Waits, b.RateLimits, b.FirstRequestMillis
+	c.CallerTimeouts, c.RateLimits, c.FirstRequestMillis = b.CallerTimeouts, b.RateLimits, b.FirstRequestMillis
 	c.Evacuations, c.ColdServers = b.Evacuations, b.ColdServers
 	for id, g := range b.Groups {
 		if row, ok := groupForEntries(g); ok {
--- a/internal/blackboard/patch.go
+++ b/internal/blackboard/patch.go
@@ -34,7 +34,7 @@
 		entries:        changedRows(before.Entries, d.Entries),
 		suspects:       changedRows(before.Suspects, d.Suspects),
 		quarantines:    changedRows(before.Quarantines, d.Quarantines),
-		waits:          changedRows(before.Waits, d.Waits),
+		waits:          changedRows(before.CallerTimeouts, d.CallerTimeouts),
 		rateLimits:     changedRows(before.RateLimits, d.RateLimits),
 		evacuations:    changedRows(before.Evacuations, d.Evacuations),
 		coldServers:    changedRows(before.ColdServers, d.ColdServers),
@@ -96,16 +96,16 @@
 	Revision  uint64 `json:"revision"`
 	ClusterID string `json:"cluster_id"`
 
-	Groups      Rows[Group]           `json:"groups,omitzero"`
-	Leaving     Rows[VM]              `json:"leaving,omitzero"`
-	Services    Rows[ServiceInstance] `json:"services,omitzero"`
-	Entries     Rows[Entry]           `json:"entries,omitzero"`
-	Suspects    Rows[Suspect]         `json:"suspects,omitzero"`
-	Quarantines Rows[Quarantine]      `json:"quarantines,omitzero"`
-	Waits       Rows[int64]           `json:"waits,omitzero"`
-	RateLimits  Rows[RateLimit]       `json:"rate_limits,omitzero"`
-	Evacuations Rows[Evacuation]      `json:"evacuations,omitzero"`
-	ColdServers Rows[ColdServer]      `json:"cold_servers,omitzero"`
+	Groups         Rows[Group]           `json:"groups,omitzero"`
+	Leaving        Rows[VM]              `json:"leaving,omitzero"`
+	Services       Rows[ServiceInstance] `json:"services,omitzero"`
+	Entries        Rows[Entry]           `json:"entries,omitzero"`
+	Suspects       Rows[Suspect]         `json:"suspects,omitzero"`
+	Quarantines    Rows[Quarantine]      `json:"quarantines,omitzero"`
+	CallerTimeouts Rows[int64]           `json:"waits,omitzero"`
+	RateLimits     Rows[RateLimit]       `json:"rate_limits,omitzero"`
+	Evacuations    Rows[Evacuation]      `json:"evacuations,omitzero"`
+	ColdServers    Rows[ColdServer]      `json:"cold_servers,omitzero"`
 	// FirstRequestMillis is the value of Board.FirstRequestMillis.
 	FirstRequestMillis int64 `json:"callers_ms,omitempty"`
 
@@ -173,7 +173,7 @@
 	p.Entries = selectRows(b.Entries, unionNames(changes, func(c Change) []string { return c.entries }))
 	p.Suspects = selectRows(b.Suspects, unionNames(changes, func(c Change) []string { return c.suspects }))
 	p.Quarantines = selectRows(b.Quarantines, unionNames(changes, func(c Change) []string { return c.quarantines }))
-	p.Waits = selectRows(b.Waits, unionNames(changes, func(c Change) []string { return c.waits }))
+	p.CallerTimeouts = selectRows(b.CallerTimeouts, unionNames(changes, func(c Change) []string { return c.waits }))
 	p.RateLimits = selectRows(b.RateLimits, unionNames(changes, func(c Change) []string { return c.rateLimits }))
 	p.Evacuations = selectRows(b.Evacuations, unionNames(changes, func(c Change) []string { return c.evacuations }))
 	p.ColdServers = selectRows(b.ColdServers, unionNames(changes, func(c Change) []string { return c.coldServers }))
@@ -244,7 +244,7 @@
 	d.Groups, d.VMs = p.Groups.applyTo(d.Groups), p.Leaving.applyTo(d.VMs)
 	d.Services, d.Entries = p.Services.applyTo(d.Services), p.Entries.applyTo(d.Entries)
 	d.Suspects, d.Quarantines = p.Suspects.applyTo(d.Suspects), p.Quarantines.applyTo(d.Quarantines)
-	d.Waits, d.RateLimits = p.Waits.applyTo(d.Waits), p.RateLimits.applyTo(d.RateLimits)
+	d.CallerTimeouts, d.RateLimits = p.CallerTimeouts.applyTo(d.CallerTimeouts), p.RateLimits.applyTo(d.RateLimits)
 	d.Evacuations, d.ColdServers = p.Evacuations.applyTo(d.Evacuations), p.ColdServers.applyTo(d.ColdServers)
 	d.FirstRequestMillis = p.FirstRequestMillis
 	if p.Config != nil {
--- a/internal/entry/wait_estimates.go
+++ b/internal/entry/wait_estimates.go
@@ -42,7 +42,7 @@
 func (c *waitEstimates) loadBoard(b *blackboard.Board) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for route, ms := range b.Waits {
+	for route, ms := range b.CallerTimeouts {
 		c.estimates.Adopt(route, time.Duration(ms)*time.Millisecond)
 	}
 }
@@ -62,9 +62,9 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, boardTimeout)
 		defer cancel()
-		err := s.commitBoard(ctx, &blackboard.NoteWait{Route: route, LeastMillis: least.Milliseconds()}, nil)
+		err := s.commitBoard(ctx, &blackboard.RecordCallerTimeout{Route: route, LeastMillis: least.Milliseconds()}, nil)
 		_ = level.Info(s.o.Logger).Log("event", "wait_estimate_reported", "route", route, "least_ms", least.Milliseconds(),
-			"known_ms", board.Waits[route], "err", errText(err))
+			"known_ms", board.CallerTimeouts[route], "err", errText(err))
 	}()
 }
 
@@ -78,7 +78,7 @@
 	}
 	c.checkedAt = now
 	for name := range b.Config.Routes {
-		known := time.Duration(b.Waits[name]) * time.Millisecond
+		known := time.Duration(b.CallerTimeouts[name]) * time.Millisecond
 		if least, ok := c.estimates.EstimateToShare(name, known); ok {
 			return name, least
 		}
