--- a/internal/blackboard/cold_server.go
+++ b/internal/blackboard/cold_server.go
@@ -9,8 +9,8 @@
 	Service string `json:"service"`
 }
 
-// NoteCold marks a backend server as cold, or removes the mark.
-type NoteCold struct {
+// MarkCold marks a backend server as cold, or removes the mark.
+type MarkCold struct {
 	// Incarnation identifies the backend server.
 	Incarnation string `json:"incarnation"`
 	// Service is the value for ColdServer.Service; empty removes the mark.
@@ -20,7 +20,7 @@
 // maxColdServers bounds the number of marks. It exceeds the number of VMs in the largest pools.
 const maxColdServers = 8192
 
-func (c NoteCold) apply(d *draft) (any, bool) {
+func (c MarkCold) apply(d *draft) (any, bool) {
 	old, marked := d.ColdServers[c.Incarnation]
 	switch {
 	case c.Service == old.Service:
--- a/internal/blackboard/command.go
+++ b/internal/blackboard/command.go
@@ -53,10 +53,10 @@
 	"end_quarantine":  func() Command { return &EndQuarantine{} },
 	"replace_config":  func() Command { return &ReplaceConfiguration{} },
 	"note_wait":       func() Command { return &RecordCallerTimeout{} },
-	"note_rate_limit": func() Command { return &NoteRateLimit{} },
+	"note_rate_limit": func() Command { return &RecordRateLimit{} },
 	"note_callers":    func() Command { return &RecordFirstRequest{} },
 	"set_evacuation":  func() Command { return &SetEvacuation{} },
-	"note_cold":       func() Command { return &NoteCold{} },
+	"note_cold":       func() Command { return &MarkCold{} },
 	"patch":           func() Command { return &Patch{} },
 	"batch":           func() Command { return &Batch{} },
 }
--- a/internal/blackboard/evacuation_test.go
+++ b/internal/blackboard/evacuation_test.go
@@ -89,7 +89,7 @@
 	evacuated, _, change, err := before.ApplyChange(data)
 	assert.NilError(t, err)
 	assert.Assert(t, change.AffectsEntries())
-	data, err = Encode(&NoteCold{Incarnation: "vm-east@1", Service: "pool"})
+	data, err = Encode(&MarkCold{Incarnation: "vm-east@1", Service: "pool"})
 	assert.NilError(t, err)
 	marked, _, cold, err := evacuated.ApplyChange(data)
 	assert.NilError(t, err)
--- a/internal/blackboard/rate_limit.go
+++ b/internal/blackboard/rate_limit.go
@@ -8,9 +8,9 @@
 // divide the rate among themselves.
 type RateLimit struct {
 	PerSecond float64 `json:"per_second"`
-	// HeardMillis is the time of the last answer that stated the limit, by the receiving entry's
+	// ReceivedMillis is the time of the last answer that stated the limit, by the receiving entry's
 	// clock.
-	HeardMillis int64 `json:"heard_ms"`
+	ReceivedMillis int64 `json:"heard_ms"`
 }
 
 const (
@@ -30,11 +30,11 @@
 // confirms reports whether l was received long enough after o to be written as a confirmation of
 // o.
 func (l RateLimit) confirms(o RateLimit) bool {
-	return l.HeardMillis-o.HeardMillis >= confirmIntervalMillis
+	return l.ReceivedMillis-o.ReceivedMillis >= confirmIntervalMillis
 }
 
-// NoteRateLimit records or removes the limit of a backend server.
-type NoteRateLimit struct {
+// RecordRateLimit records or removes the limit of a backend server.
+type RecordRateLimit struct {
 	// Incarnation identifies the backend server.
 	Incarnation string `json:"incarnation"`
 	// Limit is nil if the backend server has no limit.
@@ -44,7 +44,7 @@
 // maxRateLimits bounds the number of limits. It exceeds the number of VMs in the largest pools.
 const maxRateLimits = 8192
 
-func (c NoteRateLimit) apply(d *draft) (any, bool) {
+func (c RecordRateLimit) apply(d *draft) (any, bool) {
 	old, known := d.RateLimits[c.Incarnation]
 	switch {
 	case c.Limit == nil && !known:
--- a/internal/control/rate_limits.go
+++ b/internal/control/rate_limits.go
@@ -36,7 +36,7 @@
 		case !known || seen.limit != limit:
 			a[incarnation] = seenRateLimit{limit: limit, since: now}
 		case now.Sub(seen.since) > unconfirmedLimitLifetime:
-			ended = append(ended, &blackboard.NoteRateLimit{Incarnation: incarnation})
+			ended = append(ended, &blackboard.RecordRateLimit{Incarnation: incarnation})
 		}
 	}
 	return ended
--- a/internal/controller/cold_marks.go
+++ b/internal/controller/cold_marks.go
@@ -24,7 +24,7 @@
 	for _, incarnation := range sortedKeys(v.Board.ColdServers) {
 		t, known := servers[incarnation]
 		if !known || t.isWarm(v, now, firstSeen(v.Memory.markedSince, incarnation, now)) {
-			a.command(&blackboard.NoteCold{Incarnation: incarnation})
+			a.command(&blackboard.MarkCold{Incarnation: incarnation})
 			a.decide(Decision{Kind: "cold", Subject: incarnation, Choice: "warm", Reason: "announced as warm since it was marked, or takes no requests"})
 		}
 	}
@@ -33,7 +33,7 @@
 		if _, marked := v.Board.ColdServers[incarnation]; marked || !t.isCold(now) {
 			continue
 		}
-		a.command(&blackboard.NoteCold{Incarnation: incarnation, Service: t.service})
+		a.command(&blackboard.MarkCold{Incarnation: incarnation, Service: t.service})
 		a.decide(Decision{Kind: "cold", Subject: incarnation, Choice: "cold", Reason: "announces that it stays cold for " + t.report.ColdUntil().Sub(now).String()})
 	}
 	for incarnation := range v.Memory.markedSince {
--- a/internal/entry/rate_limits.go
+++ b/internal/entry/rate_limits.go
@@ -128,10 +128,10 @@
 }
 
 // dueReports returns the limits that the board should show and does not.
-func (l *rateLimits) dueReports(now time.Time) []blackboard.NoteRateLimit {
+func (l *rateLimits) dueReports(now time.Time) []blackboard.RecordRateLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var notes []blackboard.NoteRateLimit
+	var notes []blackboard.RecordRateLimit
 	for incarnation, limit := range l.known {
 		if !limit.fromAnswer || now.Sub(l.reportedAt[incarnation]) < limitReportInterval {
 			continue
@@ -143,12 +143,12 @@
 			delete(l.reportedAt, incarnation)
 			continue
 		case limit.perSecond == nil:
-		case onBoard && row.Near(*limit.perSecond) && limit.learnedAt.UnixMilli()-row.HeardMillis < limitConfirmInterval.Milliseconds():
+		case onBoard && row.Near(*limit.perSecond) && limit.learnedAt.UnixMilli()-row.ReceivedMillis < limitConfirmInterval.Milliseconds():
 			continue
 		}
-		note := blackboard.NoteRateLimit{Incarnation: incarnation}
+		note := blackboard.RecordRateLimit{Incarnation: incarnation}
 		if limit.perSecond != nil {
-			note.Limit = &blackboard.RateLimit{PerSecond: *limit.perSecond, HeardMillis: limit.learnedAt.UnixMilli()}
+			note.Limit = &blackboard.RateLimit{PerSecond: *limit.perSecond, ReceivedMillis: limit.learnedAt.UnixMilli()}
 		}
 		l.reportedAt[incarnation] = now
 		notes = append(notes, note)
--- a/internal/entry/rate_limits_test.go
+++ b/internal/entry/rate_limits_test.go
@@ -21,7 +21,7 @@
 }
 
 func boardLimits(perSecond float64, heard time.Time) map[string]blackboard.RateLimit {
-	return map[string]blackboard.RateLimit{"i": {PerSecond: perSecond, HeardMillis: heard.UnixMilli()}}
+	return map[string]blackboard.RateLimit{"i": {PerSecond: perSecond, ReceivedMillis: heard.UnixMilli()}}
 }
 
 // Guards against a rate limit that ends because of an answer to a request sent before the limit
