--- a/internal/blackboard/quarantine.go
+++ b/internal/blackboard/quarantine.go
@@ -14,8 +14,8 @@
 	UntilMillis int64 `json:"until_ms"`
 }
 
-// Holds reports whether the quarantine is in force at the given time.
-func (q Quarantine) Holds(nowMillis int64) bool { return nowMillis < q.UntilMillis }
+// IsInForce reports whether the quarantine is in force at the given time.
+func (q Quarantine) IsInForce(nowMillis int64) bool { return nowMillis < q.UntilMillis }
 
 // TakeQuarantine requests the single quarantine of a pool. Suspects can therefore block at most
 // one target of the pool's capacity at a time.
@@ -26,7 +26,7 @@
 
 func (c TakeQuarantine) apply(d *draft) (any, bool) {
 	old, ok := d.Quarantines[c.Quarantine.Pool]
-	if ok && old.Holds(c.NowMillis) && old.Entry != c.Quarantine.Entry {
+	if ok && old.IsInForce(c.NowMillis) && old.Entry != c.Quarantine.Entry {
 		return refused("the pool has a quarantine")
 	}
 	d.Quarantines = cloneMap(d.Quarantines)
--- a/internal/blackboard/replace_configuration.go
+++ b/internal/blackboard/replace_configuration.go
@@ -43,7 +43,7 @@
 // order, and a resent command changes nothing.
 func (c ReplaceConfiguration) apply(d *draft) (any, bool) {
 	inForce := d.Config.Version
-	if e := c.Check(); e != nil {
+	if e := c.Validate(); e != nil {
 		return ReplaceOutcome{Version: inForce, Failure: e}, false
 	}
 	if c.Version <= inForce {
@@ -56,9 +56,9 @@
 	return ReplaceOutcome{Version: c.Version, Replaced: true}, true
 }
 
-// Check returns an error if the configuration is invalid. It does not compare the version with
+// Validate returns an error if the configuration is invalid. It does not compare the version with
 // the version in force.
-func (c ReplaceConfiguration) Check() *failure.Error {
+func (c ReplaceConfiguration) Validate() *failure.Error {
 	if c.Version == 0 {
 		return failure.New(failure.TypeBadRequest, "a configuration needs a version over 0").WithDetail("version")
 	}
--- a/internal/blackboard/service_spec.go
+++ b/internal/blackboard/service_spec.go
@@ -76,10 +76,10 @@
 // UsualTokens returns the mean size of a request in tokens, at least 1.
 func (e *EngineSpec) UsualTokens() int { return max(1, e.UsualPrompt+e.UsualAnswer) }
 
-// LongestPass returns the longest time between two events of a stream in a healthy group of the
+// LongestEventGap returns the longest time between two events of a stream in a healthy group of the
 // model. It assumes that all slots generate, and that each step also processes a full chunk of
 // prompts. It is 0 if the required figures are missing.
-func (e *EngineSpec) LongestPass(model string) time.Duration {
+func (e *EngineSpec) LongestEventGap(model string) time.Duration {
 	if e.PromptTokensPerSecond <= 0 || e.TokensPerEvent <= 0 {
 		return 0
 	}
--- a/internal/control/replace.go
+++ b/internal/control/replace.go
@@ -41,7 +41,7 @@
 // replaceVia checks a complete configuration, writes it with commit and decodes the outcome.
 func replaceVia(c *blackboard.ReplaceConfiguration, commit func(encoded []byte) ([]byte, error)) (blackboard.ReplaceOutcome, error) {
 	var outcome blackboard.ReplaceOutcome
-	if e := c.Check(); e != nil {
+	if e := c.Validate(); e != nil {
 		return outcome, e
 	}
 	encoded, err := blackboard.Encode(c)
--- a/internal/entry/group_progress.go
+++ b/internal/entry/group_progress.go
@@ -84,7 +84,7 @@
 	if e == nil {
 		return defaultSilenceLimit
 	}
-	pass := e.LongestPass(model)
+	pass := e.LongestEventGap(model)
 	if pass == 0 {
 		return defaultSilenceLimit
 	}
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -206,7 +206,7 @@
 // whether it is.
 func (r *routeUpdate) closeIfQuarantined(pool, target string) bool {
 	q, ok := r.board.Quarantines[pool]
-	if !ok || q.Target != target || !q.Holds(r.now.UnixMilli()) {
+	if !ok || q.Target != target || !q.IsInForce(r.now.UnixMilli()) {
 		return false
 	}
 	r.closed[target] = "in quarantine for a suspect request of entry " + q.Entry
--- a/internal/tool/replace.go
+++ b/internal/tool/replace.go
@@ -69,7 +69,7 @@
 	for _, w := range d.Workspaces {
 		replacement.Workspaces = append(replacement.Workspaces, w.blackboardWorkspace())
 	}
-	if e := replacement.Check(); e != nil {
+	if e := replacement.Validate(); e != nil {
 		return nil, usagef("%s: %s (%s)", path, e.Message, e.Detail)
 	}
 	return replacement, nil
