--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -74,7 +74,7 @@
 		return failure.New(failure.TypeOverloaded, "no capacity for another at-most-once record").
 			WithRan(failure.RanNo).WithRetryAfter(staleRetryAfter)
 	case out.KeyReused:
-		return failure.New(failure.TypeKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
+		return failure.New(failure.TypeIdempotencyKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
 	case out.State == record.Claimed:
 		return failure.New(failure.TypeInProgress, "the request runs on another entry").
 			WithRan(failure.RanUnknown).WithRetryAfter(time.Second)
--- a/internal/entry/completion_relay.go
+++ b/internal/entry/completion_relay.go
@@ -68,7 +68,7 @@
 	refused := *e
 	e = &refused
 	e.RequestID = c.Response().Header().Get(HeaderRequestID)
-	if c.Request().Header.Get(HeaderIdempotencyKey) != "" && e.Type != failure.TypeKeyReused {
+	if c.Request().Header.Get(HeaderIdempotencyKey) != "" && e.Type != failure.TypeIdempotencyKeyReused {
 		e = e.WithRan(failure.RanUnknown)
 	}
 	s.logEarlyRefusal(e.RequestID, e)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -306,9 +306,9 @@
 		return outcomeJobEnded, nil
 	case w.stalled():
 		s.o.Client.RetireConnections(g.route.address)
-		return outcomeBroken, failure.New(failure.TypeStalled, "the stream made no progress in time")
+		return outcomeBroken, failure.New(failure.TypeBackendStalled, "the stream made no progress in time")
 	case w.ctx.Err() != nil:
-		return outcomeBroken, failure.New(failure.TypeStalled, errGroupLost.Error())
+		return outcomeBroken, failure.New(failure.TypeBackendStalled, errGroupLost.Error())
 	}
 	return s.classifyServiceError(j, err)
 }
--- a/internal/entry/isolation_test.go
+++ b/internal/entry/isolation_test.go
@@ -56,6 +56,6 @@
 	})
 	assert.Equal(t, sent, 0)
 	assert.Assert(t, e != nil)
-	assert.Equal(t, e.Type, failure.TypePoisoned)
+	assert.Equal(t, e.Type, failure.TypeRequestCrashesBackend)
 	assert.Equal(t, e.Ran, failure.RanNo)
 }
--- a/internal/entry/job_table.go
+++ b/internal/entry/job_table.go
@@ -108,7 +108,7 @@
 	r.evictOld(time.Now())
 	if first, ok := r.jobs[j.key]; ok && j.key != "" {
 		if first.fingerprint != j.fingerprint {
-			return nil, failure.New(failure.TypeKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
+			return nil, failure.New(failure.TypeIdempotencyKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
 		}
 		first.answer.attach()
 		return first, nil
--- a/internal/entry/key_home.go
+++ b/internal/entry/key_home.go
@@ -44,7 +44,7 @@
 		j.begun = j.begun || reply.Begun
 		switch {
 		case reply.Reused:
-			return false, failure.New(failure.TypeKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
+			return false, failure.New(failure.TypeIdempotencyKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
 		case reply.Holder == s.o.ID:
 			j.isHolder = true
 			return false, nil
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -30,7 +30,7 @@
 		return "rejected"
 	case o == outcomeJobEnded:
 		return "ended"
-	case e != nil && e.Type == failure.TypeStalled:
+	case e != nil && e.Type == failure.TypeBackendStalled:
 		return "stalled"
 	}
 	return "broken"
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -383,7 +383,7 @@
 		return outcomeJobEnded, nil
 	}
 	if w.stalled() {
-		return outcomeBroken, failure.New(failure.TypeStalled, "the backend server made no progress in time")
+		return outcomeBroken, failure.New(failure.TypeBackendStalled, "the backend server made no progress in time")
 	}
 	e := failure.New(failure.TypeBackendFailed, err.Error())
 	var call *backend.CallError
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -118,7 +118,7 @@
 
 // crashRefusal returns the final failure of a request that crashes backend servers.
 func crashRefusal() *failure.Error {
-	return failure.New(failure.TypePoisoned,
+	return failure.New(failure.TypeRequestCrashesBackend,
 		"this request crashed the backend servers that ran it and will not be run again").WithRan(failure.RanUnknown)
 }
 
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -175,7 +175,7 @@
 		assert.Assert(t, again)
 		assert.Assert(t, wait >= a.retryAfter && wait <= a.retryAfter*6/5)
 	}
-	_, again := retryWait(Refused, &answer{refusal: failure.New(failure.TypePoisoned, "")})
+	_, again := retryWait(Refused, &answer{refusal: failure.New(failure.TypeRequestCrashesBackend, "")})
 	assert.Assert(t, !again, "a refusal without Retry-After is final")
 }
 
--- a/internal/node/crashing_request_test.go
+++ b/internal/node/crashing_request_test.go
@@ -31,7 +31,7 @@
 		}()
 	}
 	got := s.post(marker, 4, nil)
-	assert.Equal(t, got.failure.Type, failure.TypePoisoned)
+	assert.Equal(t, got.failure.Type, failure.TypeRequestCrashesBackend)
 	assert.Equal(t, got.failure.Ran, failure.RanUnknown)
 	assert.Equal(t, s.runs(marker), 2)
 
@@ -41,6 +41,6 @@
 	}
 
 	again := s.post(marker, 4, nil)
-	assert.Equal(t, again.failure.Type, failure.TypePoisoned)
+	assert.Equal(t, again.failure.Type, failure.TypeRequestCrashesBackend)
 	assert.Equal(t, s.runs(marker), 2)
 }
--- a/test/process/crashing_request_test.go
+++ b/test/process/crashing_request_test.go
@@ -45,12 +45,12 @@
 		turn++
 		reply := harness.Complete(t.Context(), entries[turn%len(entries)].Entry, poison)
 		assert.Assert(t, !reply.Whole, "%+v", reply)
-		return reply.Refusal != nil && reply.Refusal.Type == failure.TypePoisoned
+		return reply.Refusal != nil && reply.Refusal.Type == failure.TypeRequestCrashesBackend
 	})
 	for _, n := range entries {
 		harness.Await(t, n.Spec.Name+" refuses the crashing request", func() bool {
 			reply := harness.Complete(t.Context(), n.Entry, poison)
-			return reply.Refusal != nil && reply.Refusal.Type == failure.TypePoisoned
+			return reply.Refusal != nil && reply.Refusal.Type == failure.TypeRequestCrashesBackend
 		})
 	}
 	close(stop)
@@ -71,7 +71,7 @@
 	harness.Await(t, "an answer for "+request.Prompt, func() bool {
 		reply := harness.Complete(t.Context(), n.Entry, request)
 		if reply.Refusal != nil {
-			assert.Check(t, reply.Refusal.Type != failure.TypePoisoned, "%+v", reply.Refusal)
+			assert.Check(t, reply.Refusal.Type != failure.TypeRequestCrashesBackend, "%+v", reply.Refusal)
 		}
 		if reply.Whole {
 			assert.Check(t, reply.Right(request), "%+v", reply)
