--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -22,9 +22,9 @@
 	return "invariant " + v.Name + " broken: " + v.Detail
 }
 
-// FatalVariable names the environment variable that makes violations fatal if it is not empty.
+// FatalEnvVar names the environment variable that makes violations fatal if it is not empty.
 // Tests set it.
-const FatalVariable = "CITRONSTEP_INVARIANTS_FATAL"
+const FatalEnvVar = "CITRONSTEP_INVARIANTS_FATAL"
 
 var (
 	fatal      atomic.Bool
@@ -33,7 +33,7 @@
 )
 
 func init() {
-	fatal.Store(os.Getenv(FatalVariable) != "")
+	fatal.Store(os.Getenv(FatalEnvVar) != "")
 }
 
 // SetFatal sets whether a violation ends the process. Tests turn it on.
@@ -42,11 +42,11 @@
 // SetReporter sets the function that logs and counts each violation.
 func SetReporter(f func(Violation)) { reporter.Store(&f) }
 
-// Broken returns the number of violations in this process.
-func Broken() uint64 { return violations.Load() }
+// ViolationCount returns the number of violations in this process.
+func ViolationCount() uint64 { return violations.Load() }
 
 // Check returns ok. If ok is false, Check reports the violation, and panics if SetFatal or
-// FatalVariable makes violations fatal. The caller must refuse the step when Check returns
+// FatalEnvVar makes violations fatal. The caller must refuse the step when Check returns
 // false.
 func Check(ok bool, name, format string, args ...any) bool {
 	if ok {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -83,7 +83,7 @@
 // SampleInvariants counts the invariant violations since its previous call. It is not safe for
 // concurrent use.
 func (m *Metrics) SampleInvariants() {
-	now := invariant.Broken()
+	now := invariant.ViolationCount()
 	m.scope.Counter(nameInvariants).Inc(int64(now - m.violations))
 	m.violations = now
 }
--- a/internal/replica/main_test.go
+++ b/internal/replica/main_test.go
@@ -11,6 +11,6 @@
 
 func TestMain(m *testing.M) {
 	invariant.SetFatal(true)
-	_ = os.Setenv(invariant.FatalVariable, "1")
+	_ = os.Setenv(invariant.FatalEnvVar, "1")
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("internal/poll.runtime_pollWait"))
 }
