--- a/internal/announcement/exchange_test.go
+++ b/internal/announcement/exchange_test.go
@@ -103,7 +103,7 @@
 		})
 		mux := http.NewServeMux()
 		mux.HandleFunc(PathExchange, p.ServeExchange)
-		p.server = httptest.NewServer(auth.Handler(token, mux))
+		p.server = httptest.NewServer(auth.RequireToken(token, mux))
 		board.Entries[p.id] = blackboard.Entry{ID: p.id, PeerAddress: p.server.Listener.Addr().String()}
 		list[i] = p
 	}
--- a/internal/announcement/receiver.go
+++ b/internal/announcement/receiver.go
@@ -85,7 +85,7 @@
 
 // ServeHTTP receives one announcement of a backend server.
 func (h *Receiver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !auth.Allowed(r.Header, h.o.AnnounceToken) {
+	if !auth.HasToken(r.Header, h.o.AnnounceToken) {
 		failure.Write(w, failure.New(failure.TypeUnauthenticated, "the announce token is needed"))
 		return
 	}
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -15,8 +15,8 @@
 
 const bearerPrefix = "Bearer "
 
-// FromHeader returns the bearer token of the Authorization header, or "" if it has none.
-func FromHeader(h http.Header) string {
+// BearerToken returns the bearer token of the Authorization header, or "" if it has none.
+func BearerToken(h http.Header) string {
 	value := h.Get("Authorization")
 	if len(value) < len(bearerPrefix) || !strings.EqualFold(value[:len(bearerPrefix)], bearerPrefix) {
 		return ""
@@ -38,17 +38,17 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Allowed reports whether a request carries the token. An empty token allows every request. Package
+// HasToken reports whether a request carries the token. An empty token allows every request. Package
 // settings accepts an empty token only where the setting permits it.
-func Allowed(h http.Header, token string) bool {
-	return token == "" || Equal(FromHeader(h), token)
+func HasToken(h http.Header, token string) bool {
+	return token == "" || Equal(BearerToken(h), token)
 }
 
-// Bearer returns middleware that refuses requests without the token.
-func Bearer(token string) echo.MiddlewareFunc {
+// RequireTokenMiddleware returns middleware that refuses requests without the token.
+func RequireTokenMiddleware(token string) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
-			if !Allowed(c.Request().Header, token) {
+			if !HasToken(c.Request().Header, token) {
 				return failure.New(failure.TypeUnauthenticated, "a bearer token is needed")
 			}
 			return next(c)
@@ -56,10 +56,10 @@
 	}
 }
 
-// Handler returns a handler that refuses requests without the token and passes all others to h.
-func Handler(token string, h http.Handler) http.Handler {
+// RequireToken returns a handler that refuses requests without the token and passes all others to h.
+func RequireToken(token string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !Allowed(r.Header, token) {
+		if !HasToken(r.Header, token) {
 			failure.Write(w, failure.New(failure.TypeUnauthenticated, "a bearer token is needed"))
 			return
 		}
--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -35,7 +35,7 @@
 	e := echo.New()
 	e.HideBanner = true
 	e.HTTPErrorHandler = func(err error, c echo.Context) { writeError(c, err) }
-	e.Use(auth.Bearer(token))
+	e.Use(auth.RequireTokenMiddleware(token))
 	if forward != nil {
 		e.Use(forward.middleware(s))
 	}
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -194,7 +194,7 @@
 
 // workspaceOf finds the workspace by the hash of its key.
 func (s *Server) workspaceOf(h http.Header, board *blackboard.Board) (string, bool) {
-	key := auth.FromHeader(h)
+	key := auth.BearerToken(h)
 	if key == "" {
 		return "", false
 	}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -49,7 +49,7 @@
 // control process.
 func (n *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(metrics.Path, auth.Handler(n.tokens.admin, n.metrics.Handler()))
+	mux.Handle(metrics.Path, auth.RequireToken(n.tokens.admin, n.metrics.Handler()))
 	if n.control != nil {
 		forward := &control.Forwarder{Client: &http.Client{Transport: n.peerClient.Transport}, Token: n.tokens.peers}
 		mux.Handle("/admin/v1/", n.control.AdminHandler(n.tokens.admin, forward))
@@ -87,7 +87,7 @@
 		mux.Handle(board.PathPrefix(), board)
 		mux.Handle("/admin/v1/", n.control.AdminHandler("", nil))
 	}
-	guarded := auth.Handler(n.tokens.peers, mux)
+	guarded := auth.RequireToken(n.tokens.peers, mux)
 	if n.replica == nil {
 		return guarded
 	}
