--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -15,9 +15,9 @@
 	// PathConfiguration: GET returns blackboard.Configuration. POST takes a
 	// blackboard.ConfigChange and returns ChangeReply.
 	PathConfiguration = "/admin/v1/configuration"
-	// PathWholeConfiguration: POST takes a blackboard.ReplaceConfiguration and returns
+	// PathReplaceConfiguration: POST takes a blackboard.ReplaceConfiguration and returns
 	// ReplaceReply. It is safe to resend.
-	PathWholeConfiguration = "/admin/v1/whole-configuration"
+	PathReplaceConfiguration = "/admin/v1/whole-configuration"
 	// PathInForce: GET with ?revision=N returns InForce.
 	PathInForce = "/admin/v1/in-force"
 	// PathEvacuations: GET returns Evacuations. With a data centre as an additional path
--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -43,7 +43,7 @@
 	e.POST(adminapi.PathInit, s.postInit)
 	e.GET(adminapi.PathConfiguration, s.getConfiguration)
 	e.POST(adminapi.PathConfiguration, s.postConfiguration)
-	e.POST(adminapi.PathWholeConfiguration, s.postWholeConfiguration)
+	e.POST(adminapi.PathReplaceConfiguration, s.postWholeConfiguration)
 	e.GET(adminapi.PathInForce, s.getInForce)
 	e.GET(adminapi.PathEvacuations, s.getEvacuations)
 	e.POST(adminapi.PathEvacuations+"/:data_centre", s.postEvacuation)
--- a/internal/tool/fake_admin_test.go
+++ b/internal/tool/fake_admin_test.go
@@ -45,7 +45,7 @@
 	mux.HandleFunc("POST "+adminapi.PathInit, f.initCluster)
 	mux.HandleFunc("GET "+adminapi.PathConfiguration, f.configuration)
 	mux.HandleFunc("POST "+adminapi.PathConfiguration, f.change)
-	mux.HandleFunc("POST "+adminapi.PathWholeConfiguration, f.replace)
+	mux.HandleFunc("POST "+adminapi.PathReplaceConfiguration, f.replace)
 	mux.HandleFunc("GET "+adminapi.PathInForce, f.inForce)
 	mux.HandleFunc("GET "+adminapi.PathEvents, f.nextEvents)
 	mux.HandleFunc("GET "+adminapi.PathEvacuations, f.evacuations)
--- a/internal/tool/replace.go
+++ b/internal/tool/replace.go
@@ -78,7 +78,7 @@
 // replace sends a complete configuration and waits until it is in force.
 func (i *invocation) replace(replacement *blackboard.ReplaceConfiguration, wait time.Duration) error {
 	var reply adminapi.ReplaceReply
-	if err := i.admin.post(i.ctx, adminapi.PathWholeConfiguration, replacement, &reply, ""); err != nil {
+	if err := i.admin.post(i.ctx, adminapi.PathReplaceConfiguration, replacement, &reply, ""); err != nil {
 		return errors.Trace(err)
 	}
 	waited := i.awaitInForce(wait, reply.Revision)
