--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -38,18 +38,18 @@
 	c := checker{d}
 	c.checkName("vm", s.VM)
 	c.checkName("data_centre", s.DataCentre)
-	if !s.Entry.Enabled && !s.Control.Enabled && !c.Has("entry.enabled") && !c.Has("control.enabled") {
-		c.Fault("", "no role is enabled", allowedRole)
+	if !s.Entry.Enabled && !s.Control.Enabled && !c.HasFault("entry.enabled") && !c.HasFault("control.enabled") {
+		c.AddFault("", "no role is enabled", allowedRole)
 	}
 	s.checkEntry(c)
 	s.checkControl(c)
 	s.checkPeers(c)
 	s.checkAdapter(c)
-	if n := s.Log.RequestLinesPerSecond; n < 0 && !c.Has("log.request_lines_per_second") {
-		c.Fault("log.request_lines_per_second", strconv.Itoa(n), "0 or more; 0 means no limit")
+	if n := s.Log.RequestLinesPerSecond; n < 0 && !c.HasFault("log.request_lines_per_second") {
+		c.AddFault("log.request_lines_per_second", strconv.Itoa(n), "0 or more; 0 means no limit")
 	}
-	if level := s.Log.Level; !c.Has("log.level") && !slices.Contains(logLevels, level) {
-		c.Fault("log.level", quoted(level), strings.Join(logLevels, ", "))
+	if level := s.Log.Level; !c.HasFault("log.level") && !slices.Contains(logLevels, level) {
+		c.AddFault("log.level", quoted(level), strings.Join(logLevels, ", "))
 	}
 }
 
@@ -58,8 +58,8 @@
 
 func (s *Settings) checkAdapter(c checker) {
 	a := s.Adapter
-	if !c.Has("adapter.kind") && !slices.Contains(adapterKinds, a.Kind) {
-		c.Fault("adapter.kind", quoted(a.Kind), "platform, or left out")
+	if !c.HasFault("adapter.kind") && !slices.Contains(adapterKinds, a.Kind) {
+		c.AddFault("adapter.kind", quoted(a.Kind), "platform, or left out")
 	}
 	for key, value := range map[string]string{"callers": a.Callers, "ready": a.Ready, "control": a.Control} {
 		if value != "" {
@@ -86,8 +86,8 @@
 	c.checkRange("entry.drain_ms", e.DrainMillis, 0, hourMillis)
 	c.checkRange("entry.balancer_ms", e.BalancerMillis, 0, minuteMillis)
 	c.checkRange("entry.ramp_ms", e.RampMillis, 1, minuteMillis)
-	if !c.Has("entry.retry_ratio") && (e.RetryRatio < 0 || e.RetryRatio > 1) {
-		c.Fault("entry.retry_ratio", quoted(strconv.FormatFloat(e.RetryRatio, 'g', -1, 64)), "0 to 1")
+	if !c.HasFault("entry.retry_ratio") && (e.RetryRatio < 0 || e.RetryRatio > 1) {
+		c.AddFault("entry.retry_ratio", quoted(strconv.FormatFloat(e.RetryRatio, 'g', -1, 64)), "0 to 1")
 	}
 	c.checkMinimum("entry.retry_slack", e.RetrySlack, 0)
 	c.checkRange("entry.evacuate_ms", e.EvacuateMillis, 0, hourMillis)
@@ -98,16 +98,16 @@
 func (s *Settings) checkControl(c checker) {
 	k := s.Control
 	if k.Enabled {
-		if k.DataFolder == "" && !c.Has("control.data_folder") {
-			c.Fault("control.data_folder", "is missing", "a folder on a disk that keeps its data when the process ends")
+		if k.DataFolder == "" && !c.HasFault("control.data_folder") {
+			c.AddFault("control.data_folder", "is missing", "a folder on a disk that keeps its data when the process ends")
 		}
 		c.checkAddress("admin.listen", s.Admin.Listen)
 		if !s.Peers.Open {
 			c.requireTokenUnlessLoopback("admin.token_file", s.Admin.TokenFile, s.Admin.Listen)
 		}
 	}
-	if !c.Has("control.voters") && k.Voters != 1 && k.Voters != 3 && k.Voters != 5 {
-		c.Fault("control.voters", quoted(strconv.Itoa(k.Voters)), "1, 3 or 5")
+	if !c.HasFault("control.voters") && k.Voters != 1 && k.Voters != 3 && k.Voters != 5 {
+		c.AddFault("control.voters", quoted(strconv.Itoa(k.Voters)), "1, 3 or 5")
 	}
 	c.checkRange("control.min_disks", int64(k.MinDisks), 0, int64(k.Voters/2+1))
 	c.checkRange("control.replace_after_ms", k.ReplaceAfterMillis, 1, hourMillis)
@@ -130,15 +130,15 @@
 	if !p.Open {
 		c.requireTokenUnlessLoopback("peers.token_file", p.TokenFile, p.Listen)
 	}
-	if len(p.Control) == 0 && !c.Has("peers.control") {
-		c.Fault("peers.control", "is missing", "the peer address of each control process, as IP:port")
+	if len(p.Control) == 0 && !c.HasFault("peers.control") {
+		c.AddFault("peers.control", "is missing", "the peer address of each control process, as IP:port")
 	}
 	seen := map[string]bool{}
 	for i, address := range p.Control {
 		key := "peers.control[" + strconv.Itoa(i) + "]"
 		c.checkAddress(key, address)
 		if address != "" && seen[address] {
-			c.Fault(key, quoted(address)+" is listed twice", "each address once")
+			c.AddFault(key, quoted(address)+" is listed twice", "each address once")
 		}
 		seen[address] = true
 	}
@@ -146,22 +146,22 @@
 
 func (c checker) checkName(key, value string) {
 	switch {
-	case c.Has(key):
+	case c.HasFault(key):
 	case value == "":
-		c.Fault(key, "is missing", allowedName)
+		c.AddFault(key, "is missing", allowedName)
 	case !namePattern.MatchString(value):
-		c.Fault(key, quoted(value), allowedName)
+		c.AddFault(key, quoted(value), allowedName)
 	}
 }
 
 func (c checker) checkAddress(key, value string) {
 	switch {
-	case c.Has(key):
+	case c.HasFault(key):
 	case value == "":
-		c.Fault(key, "is missing", allowedAddress)
+		c.AddFault(key, "is missing", allowedAddress)
 	default:
 		if _, err := netip.ParseAddrPort(value); err != nil {
-			c.Fault(key, quoted(value), allowedAddress)
+			c.AddFault(key, quoted(value), allowedAddress)
 		}
 	}
 }
@@ -170,41 +170,41 @@
 // listener may use all interfaces (0.0.0.0), but no process can connect to that
 // address.
 func (c checker) checkAdvertised(key, value, listenKey string) {
-	if c.Has(key) || c.Has(listenKey) {
+	if c.HasFault(key) || c.HasFault(listenKey) {
 		return
 	}
 	address, err := netip.ParseAddrPort(value)
 	switch {
 	case value == "":
 	case err != nil:
-		c.Fault(key, quoted(value), allowedAddress)
+		c.AddFault(key, quoted(value), allowedAddress)
 	case address.Addr().IsUnspecified():
-		c.Fault(key, quoted(value)+" can't be reached by other processes", "the IP:port at which other processes reach "+listenKey)
+		c.AddFault(key, quoted(value)+" can't be reached by other processes", "the IP:port at which other processes reach "+listenKey)
 	}
 }
 
 // requireTokenUnlessLoopback requires a token file where other machines can connect.
 func (c checker) requireTokenUnlessLoopback(key, file, listen string) {
 	address, err := netip.ParseAddrPort(listen)
-	if c.Has(key) || file != "" || err != nil || address.Addr().IsLoopback() {
+	if c.HasFault(key) || file != "" || err != nil || address.Addr().IsLoopback() {
 		return
 	}
-	c.Fault(key, "is missing", "a file with the secret; only a loopback address needs none")
+	c.AddFault(key, "is missing", "a file with the secret; only a loopback address needs none")
 }
 
 func (c checker) checkRange(key string, value, low, high int64) {
-	if c.Has(key) || (value >= low && value <= high) {
+	if c.HasFault(key) || (value >= low && value <= high) {
 		return
 	}
-	c.Fault(key, quoted(strconv.FormatInt(value, 10)),
+	c.AddFault(key, quoted(strconv.FormatInt(value, 10)),
 		strconv.FormatInt(low, 10)+" to "+strconv.FormatInt(high, 10))
 }
 
 func (c checker) checkMinimum(key string, value, low float64) {
-	if c.Has(key) || value >= low {
+	if c.HasFault(key) || value >= low {
 		return
 	}
-	c.Fault(key, quoted(strconv.FormatFloat(value, 'g', -1, 64)), strconv.FormatFloat(low, 'g', -1, 64)+" or more")
+	c.AddFault(key, quoted(strconv.FormatFloat(value, 'g', -1, 64)), strconv.FormatFloat(low, 'g', -1, 64)+" or more")
 }
 
 func quoted(value string) string { return "\"" + strings.ToValidUTF8(value, "?") + "\"" }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -22,7 +22,7 @@
 		return nil, Faults{{File: path, Message: fileErrorText(err), Allowed: "a readable settings file"}}
 	}
 	s, document := decode(path, data)
-	if !document.SyntaxBroken() {
+	if !document.HasSyntaxError() {
 		s.checkTokenFiles(document)
 	}
 	if faults := document.Faults(); len(faults) > 0 {
@@ -45,7 +45,7 @@
 func decode(name string, data []byte) (*Settings, *tomlfile.Document) {
 	s := defaults()
 	document := tomlfile.Decode(name, data, s)
-	if document.SyntaxBroken() {
+	if document.HasSyntaxError() {
 		return s, document
 	}
 	s.fillDerived(filepath.Dir(name))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -136,7 +136,7 @@
 	s := Dev(t.TempDir())
 	document := tomlfile.Decode("dev", nil, &Settings{})
 	s.check(document)
-	assert.NilError(t, document.Faults().OrNil())
+	assert.NilError(t, document.Faults().ErrorOrNil())
 	assert.Equal(t, s.Admin.Listen, DevAdmin)
 	assert.Equal(t, s.Control.Voters, 1)
 }
--- a/internal/settings/token.go
+++ b/internal/settings/token.go
@@ -55,11 +55,11 @@
 		{"peers.token_file", s.Peers.TokenFile},
 	}
 	for _, f := range files {
-		if f.path == "" || d.Has(f.key) {
+		if f.path == "" || d.HasFault(f.key) {
 			continue
 		}
 		if _, err := ReadToken(f.path); err != nil {
-			d.Fault(f.key, f.path+": "+fileErrorText(err), allowedTokenFile)
+			d.AddFault(f.key, f.path+": "+fileErrorText(err), allowedTokenFile)
 		}
 	}
 }
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -46,18 +46,18 @@
 	return fault
 }
 
-// Fault adds a fault at the position of key, or of its nearest enclosing table if
+// AddFault adds a fault at the position of key, or of its nearest enclosing table if
 // the key is absent.
-func (d *Document) Fault(key, message, allowed string) {
+func (d *Document) AddFault(key, message, allowed string) {
 	at := d.positions.lookup(key)
 	d.faults = append(d.faults, Fault{
 		File: d.file, Line: at.line, Column: at.column, Key: key, Message: message, Allowed: allowed,
 	})
 }
 
-// Has reports whether the document already has a fault for exactly this key. Checks
+// HasFault reports whether the document already has a fault for exactly this key. Checks
 // use it so that a value of a wrong type is not also reported as missing.
-func (d *Document) Has(key string) bool {
+func (d *Document) HasFault(key string) bool {
 	for _, f := range d.faults {
 		if f.Key == key {
 			return true
@@ -66,9 +66,9 @@
 	return false
 }
 
-// SyntaxBroken reports whether the document has a syntax error, so that none of its
+// HasSyntaxError reports whether the document has a syntax error, so that none of its
 // values was decoded.
-func (d *Document) SyntaxBroken() bool {
+func (d *Document) HasSyntaxError() bool {
 	return len(d.faults) == 1 && d.faults[0].Allowed == "valid TOML"
 }
 
@@ -84,7 +84,7 @@
 	for _, key := range sortedKeys(tree) {
 		field, known := fields[key]
 		if !known {
-			d.Fault(joinKey(table, key), "unknown key", strings.Join(sortedKeys(fields), ", "))
+			d.AddFault(joinKey(table, key), "unknown key", strings.Join(sortedKeys(fields), ", "))
 			continue
 		}
 		d.fill(joinKey(table, key), field, tree[key])
@@ -118,7 +118,7 @@
 			return
 		}
 	}
-	d.Fault(key, "wrong type", kindName(to.Type()))
+	d.AddFault(key, "wrong type", kindName(to.Type()))
 }
 
 func (d *Document) fillSlice(key string, to reflect.Value, list []any) {
--- a/internal/tomlfile/fault.go
+++ b/internal/tomlfile/fault.go
@@ -43,7 +43,7 @@
 	return b.String()
 }
 
-// Faults holds all faults of one document. Only a non-empty list is an error; see OrNil.
+// Faults holds all faults of one document. Only a non-empty list is an error; see ErrorOrNil.
 type Faults []Fault
 
 // Error returns one line per fault.
@@ -55,8 +55,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// OrNil returns f as an error, or nil if there is no fault.
-func (f Faults) OrNil() error {
+// ErrorOrNil returns f as an error, or nil if there is no fault.
+func (f Faults) ErrorOrNil() error {
 	if len(f) == 0 {
 		return nil
 	}
--- a/internal/tool/connection.go
+++ b/internal/tool/connection.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return file, usagef("%v", err)
 	}
-	return file, tomlfile.Decode(path, data, &file).Faults().OrNil()
+	return file, tomlfile.Decode(path, data, &file).Faults().ErrorOrNil()
 }
 
 // firstOf returns the first value that is not empty, or "".
--- a/internal/tool/document.go
+++ b/internal/tool/document.go
@@ -56,17 +56,17 @@
 		return nil, usagef("%v", err)
 	}
 	d := parseDocument(path, data)
-	if !d.source.SyntaxBroken() {
+	if !d.source.HasSyntaxError() {
 		d.resolveKeys(filepath.Dir(path))
 	}
-	return d, d.source.Faults().OrNil()
+	return d, d.source.Faults().ErrorOrNil()
 }
 
 // parseDocument checks a document without reading its key files.
 func parseDocument(path string, data []byte) *loadedDocument {
 	d := &loadedDocument{}
 	d.source = tomlfile.Decode(path, data, &d.document)
-	if d.source.SyntaxBroken() {
+	if d.source.HasSyntaxError() {
 		return d
 	}
 	d.checkWorkspaces()
@@ -97,7 +97,7 @@
 		}
 		key, err := settings.ReadToken(path)
 		if err != nil {
-			source.Fault(elementKey("workspace", i, "key_file"), err.Error(),
+			source.AddFault(elementKey("workspace", i, "key_file"), err.Error(),
 				"a file with the workspace's key, readable by its owner or group only")
 			continue
 		}
@@ -133,19 +133,19 @@
 func (n *nameChecker) check(i int, name string) {
 	key := elementKey(n.array, i, "name")
 	switch {
-	case n.d.source.Has(key):
+	case n.d.source.HasFault(key):
 	case !namePattern.MatchString(name):
-		n.d.source.Fault(key, strconv.Quote(name), allowedName)
+		n.d.source.AddFault(key, strconv.Quote(name), allowedName)
 	case n.seen[name]:
-		n.d.source.Fault(key, strconv.Quote(name)+" occurs more than once", allowedName)
+		n.d.source.AddFault(key, strconv.Quote(name)+" occurs more than once", allowedName)
 	}
 	n.seen[name] = true
 }
 
 // atLeast adds a fault when value is less than low and the key has no fault yet.
 func (d *loadedDocument) atLeast(key string, value int64, low int64) {
-	if value < low && !d.source.Has(key) {
-		d.source.Fault(key, strconv.FormatInt(value, 10), strconv.FormatInt(low, 10)+" or more")
+	if value < low && !d.source.HasFault(key) {
+		d.source.AddFault(key, strconv.FormatInt(value, 10), strconv.FormatInt(low, 10)+" or more")
 	}
 }
 
@@ -156,13 +156,13 @@
 		key := func(name string) string { return elementKey("workspace", i, name) }
 		switch {
 		case (w.KeyFile == "") == (w.KeySHA256 == ""):
-			d.source.Fault(key("key_file"), "one key is needed", "either key_file or key_sha256")
+			d.source.AddFault(key("key_file"), "one key is needed", "either key_file or key_sha256")
 		case w.KeySHA256 != "" && !hashPattern.MatchString(w.KeySHA256):
-			d.source.Fault(key("key_sha256"), strconv.Quote(w.KeySHA256), allowedHash)
+			d.source.AddFault(key("key_sha256"), strconv.Quote(w.KeySHA256), allowedHash)
 		}
 		for k, hash := range w.MoreKeysSHA256 {
 			if !hashPattern.MatchString(hash) {
-				d.source.Fault(key("more_keys_sha256["+strconv.Itoa(k)+"]"), strconv.Quote(hash), allowedHash)
+				d.source.AddFault(key("more_keys_sha256["+strconv.Itoa(k)+"]"), strconv.Quote(hash), allowedHash)
 			}
 		}
 		d.atLeast(key("share"), int64(w.Share), 0)
@@ -183,8 +183,8 @@
 	for i, g := range d.Groups {
 		n.check(i, g.Name)
 		key := func(name string) string { return elementKey("group", i, name) }
-		if g.Model == "" && !d.source.Has(key("model")) {
-			d.source.Fault(key("model"), "is missing", "the model's name as callers send it")
+		if g.Model == "" && !d.source.HasFault(key("model")) {
+			d.source.AddFault(key("model"), "is missing", "the model's name as callers send it")
 		}
 		d.atLeast(key("replicas"), int64(g.Replicas), 0)
 		d.atLeast(key("vms_per_replica"), int64(g.VMsPerReplica), 1)
@@ -201,10 +201,10 @@
 			d.atLeast(key("group_replicas."+group), int64(p.GroupReplicas[group]), 0)
 		}
 		if p.DowntimeWeight < 0 {
-			d.source.Fault(key("downtime_weight"), strconv.FormatFloat(p.DowntimeWeight, 'g', -1, 64), "0 or more; 0 means 1")
+			d.source.AddFault(key("downtime_weight"), strconv.FormatFloat(p.DowntimeWeight, 'g', -1, 64), "0 or more; 0 means 1")
 		}
 		if p.StrandedWeight < 0 {
-			d.source.Fault(key("stranded_weight"), strconv.FormatFloat(p.StrandedWeight, 'g', -1, 64), "0 or more; 0 means 1")
+			d.source.AddFault(key("stranded_weight"), strconv.FormatFloat(p.StrandedWeight, 'g', -1, 64), "0 or more; 0 means 1")
 		}
 	}
 }
@@ -220,7 +220,7 @@
 		checkNamesExist(d, elementKey("preset", i, "group_replicas"), p.GroupReplicas, merged.Groups)
 	}
 	if _, ok := merged.Presets[d.ActivePreset]; d.ActivePreset != "" && !ok {
-		d.source.Fault("active_preset", strconv.Quote(d.ActivePreset)+" is unknown", "the name of a preset")
+		d.source.AddFault("active_preset", strconv.Quote(d.ActivePreset)+" is unknown", "the name of a preset")
 	}
 }
 
@@ -228,7 +228,7 @@
 func checkNamesExist[V any](d *loadedDocument, key string, references map[string]int, known map[string]V) {
 	for _, name := range sortedKeys(references) {
 		if _, ok := known[name]; !ok {
-			d.source.Fault(key+"."+name, "is unknown", "a name in the document or the configuration")
+			d.source.AddFault(key+"."+name, "is unknown", "a name in the document or the configuration")
 		}
 	}
 }
--- a/internal/tool/examples_test.go
+++ b/internal/tool/examples_test.go
@@ -22,7 +22,7 @@
 		data, err := os.ReadFile(path)
 		assert.NilError(t, err)
 		d := parseDocument(path, data)
-		assert.NilError(t, d.source.Faults().OrNil())
+		assert.NilError(t, d.source.Faults().ErrorOrNil())
 		_, err = makePlan(blackboard.Configuration{}, d, false)
 		assert.NilError(t, err)
 		assert.Assert(t, d.ActivePreset != "")
--- a/internal/tool/load.go
+++ b/internal/tool/load.go
@@ -193,12 +193,12 @@
 		}
 		key, err := settings.ReadToken(path)
 		if err != nil {
-			d.Fault(elementKey("flow", n, "key_file"), err.Error(), "a file with the workspace's key, readable by its owner or group only")
+			d.AddFault(elementKey("flow", n, "key_file"), err.Error(), "a file with the workspace's key, readable by its owner or group only")
 			continue
 		}
 		f.Flows = append(f.Flows, flow.withDefaults().loadgenFlow(key))
 	}
-	return d.Faults().OrNil()
+	return d.Faults().ErrorOrNil()
 }
 
 // withDefaults returns the flow with each zero field set to its default.
--- a/internal/tool/plan.go
+++ b/internal/tool/plan.go
@@ -54,7 +54,7 @@
 		})
 	}
 	d.checkReferences(merge(current, *c))
-	return p, d.source.Faults().OrNil()
+	return p, d.source.Faults().ErrorOrNil()
 }
 
 func nameOfWorkspace(w blackboard.Workspace) string { return w.Name }
--- a/internal/tool/replace.go
+++ b/internal/tool/replace.go
@@ -59,10 +59,10 @@
 	}
 	var d replacementDocument
 	source := tomlfile.Decode(path, data, &d)
-	if !source.SyntaxBroken() {
+	if !source.HasSyntaxError() {
 		resolveKeys(source, d.Workspaces, filepath.Dir(path))
 	}
-	if err := source.Faults().OrNil(); err != nil {
+	if err := source.Faults().ErrorOrNil(); err != nil {
 		return nil, err
 	}
 	replacement := &blackboard.ReplaceConfiguration{Version: d.Version, Routes: d.Routes, Services: d.Services, Limits: d.Limits}
