--- a/test/process/random_run_test.go
+++ b/test/process/random_run_test.go
@@ -22,7 +22,7 @@
 func TestRandomRunWithRateLimits(t *testing.T) {
 	t.Parallel()
 	report := checkRun(t, workload.Options{Seed: 2, Duration: 15 * time.Second, Callers: 8, RateLimits: true})
-	assert.Assert(t, report.RateLimits > 0)
+	assert.Assert(t, report.RateLimitsRecorded > 0)
 }
 
 // Repeats seeds that once failed, each with its cause. Here they run for a shorter time than in
@@ -37,7 +37,7 @@
 		{306, "no leader for a minute: the soak deleted the data of a second control VM before the first voted again"},
 	} {
 		t.Run(c.cause, func(t *testing.T) {
-			checkRun(t, workload.Options{Seed: c.seed, Duration: 6 * time.Second, Callers: 4, Overlap: 3, Groups: 4})
+			checkRun(t, workload.Options{Seed: c.seed, Duration: 6 * time.Second, Callers: 4, ConcurrentFaults: 3, Groups: 4})
 		})
 	}
 }
@@ -46,8 +46,8 @@
 	t.Helper()
 	report := workload.Run(t, o)
 	t.Logf("%d works, %d sends: %d whole, %d not run, %d unknown, %d lost; %d runs; faults %q",
-		report.Works, report.Sends, report.Whole, report.NotRun, report.Unknown, report.Lost, report.Runs, report.Faults)
+		report.Works, report.Sends, report.Complete, report.NotRun, report.Unknown, report.Unanswered, report.Runs, report.Faults)
 	assert.Equal(t, len(report.Violations), 0, "%q", report.Violations)
-	assert.Assert(t, report.Whole > 0)
+	assert.Assert(t, report.Complete > 0)
 	return report
 }
--- a/test/soak/main.go
+++ b/test/soak/main.go
@@ -30,7 +30,7 @@
 	status := 0
 	for i := range *runs {
 		o := workload.Options{
-			Seed: *seed + uint64(i), Duration: *duration, Callers: *callers, Overlap: *overlap, Groups: *groups, RateLimits: *limits,
+			Seed: *seed + uint64(i), Duration: *duration, Callers: *callers, ConcurrentFaults: *overlap, Groups: *groups, RateLimits: *limits,
 		}
 		if !runOnce(o, *showLogs) {
 			status = 1
@@ -45,8 +45,8 @@
 	t := &runner{showLogs: showLogs}
 	report := t.run(func() workload.Report { return workload.Run(t, o) })
 	fmt.Printf("seed %d: %d works, %d sends: %d whole, %d not run, %d unknown, %d lost; %d runs; %d faults; %d rate limits taken in; %d violations\n",
-		o.Seed, report.Works, report.Sends, report.Whole, report.NotRun, report.Unknown, report.Lost,
-		report.Runs, len(report.Faults), report.RateLimits, len(report.Violations))
+		o.Seed, report.Works, report.Sends, report.Complete, report.NotRun, report.Unknown, report.Unanswered,
+		report.Runs, len(report.Faults), report.RateLimitsRecorded, len(report.Violations))
 	for _, v := range report.Violations {
 		fmt.Println("  violation:", v)
 	}
--- a/test/workload/callers.go
+++ b/test/workload/callers.go
@@ -91,7 +91,7 @@
 
 func send(ctx context.Context, entry *harness.Node, w *Work) Send {
 	s := Send{Entry: entry.Spec.Name, At: time.Now()}
-	if w.Call {
+	if w.IsServiceCall {
 		s.Reply = harness.CallService(ctx, entry.Entry, w.serviceRequest())
 	} else {
 		s.Reply = harness.Complete(ctx, entry.Entry, w.completion())
--- a/test/workload/check.go
+++ b/test/workload/check.go
@@ -44,7 +44,7 @@
 
 func (c *checker) addViolation(w *Work, format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("%q (key %q, non-idempotent %t, call %t): ",
-		w.Name, w.Key, w.NonIdempotent, w.Call)+fmt.Sprintf(format, args...))
+		w.Name, w.Key, w.NonIdempotent, w.IsServiceCall)+fmt.Sprintf(format, args...))
 }
 
 // checkAnswers checks that no answer is truncated, duplicated or of another work, that no answer
@@ -65,7 +65,7 @@
 		if first == nil {
 			first = &w.Sends[i]
 		}
-		if w.Call && w.NonIdempotent && string(first.Reply.Body) != string(s.Reply.Body) {
+		if w.IsServiceCall && w.NonIdempotent && string(first.Reply.Body) != string(s.Reply.Body) {
 			c.addViolation(w, "two different answers: %s and %s", first.Reply.Body, s.Reply.Body)
 		}
 	}
--- a/test/workload/faults.go
+++ b/test/workload/faults.go
@@ -43,11 +43,11 @@
 // newFaultInjectors divides the processes among the injectors.
 func newFaultInjectors(t harness.T, c *harness.Cluster, engines, services []*harness.Standin, o Options) []*faultInjector {
 	exclusive := &sync.RWMutex{}
-	all := make([]*faultInjector, o.Overlap)
+	all := make([]*faultInjector, o.ConcurrentFaults)
 	for i := range all {
 		all[i] = &faultInjector{
 			t: t, cluster: c, random: rand.New(rand.NewPCG(o.Seed, uint64(i))), exclusive: exclusive, name: strconv.Itoa(i),
-			nodes: everyNth(c.Nodes, i, o.Overlap), engines: everyNth(engines, i, o.Overlap), services: everyNth(services, i, o.Overlap),
+			nodes: everyNth(c.Nodes, i, o.ConcurrentFaults), engines: everyNth(engines, i, o.ConcurrentFaults), services: everyNth(services, i, o.ConcurrentFaults),
 		}
 	}
 	return all
--- a/test/workload/run.go
+++ b/test/workload/run.go
@@ -18,18 +18,18 @@
 	// Duration is how long faults and new works go on.
 	Duration time.Duration
 	Callers  int
-	// Overlap is the number of faults and planned stops that go on at the same time, each on its
+	// ConcurrentFaults is the number of faults and planned stops that go on at the same time, each on its
 	// own processes; 0 means one.
-	Overlap int
+	ConcurrentFaults int
 	// Groups is the number of serving groups; 0 means three.
 	Groups int
-	// RateLimits makes backend servers state rate limits in addition to the faults.
+	// RateLimitsRecorded makes backend servers state rate limits in addition to the faults.
 	RateLimits bool
 }
 
 func (o Options) withDefaults() Options {
-	if o.Overlap == 0 {
-		o.Overlap = 1
+	if o.ConcurrentFaults == 0 {
+		o.ConcurrentFaults = 1
 	}
 	if o.Groups == 0 {
 		o.Groups = defaultGroups
@@ -41,15 +41,15 @@
 type Report struct {
 	Works      int
 	Sends      int
-	Whole      int
+	Complete   int
 	NotRun     int
 	Unknown    int
-	Lost       int
+	Unanswered int
 	Runs       int
 	Faults     []string
 	Violations []string
-	// RateLimits counts the rate limits that nodes recorded in their logs.
-	RateLimits int
+	// RateLimitsRecorded counts the rate limits that nodes recorded in their logs.
+	RateLimitsRecorded int
 }
 
 // The size of the system in a random run.
@@ -85,7 +85,7 @@
 	runs := c.Runs()
 	report := summarise(callers.works, runs, injectors)
 	for _, n := range c.Nodes {
-		report.RateLimits += strings.Count(n.Log(), "event=rate_limit_named")
+		report.RateLimitsRecorded += strings.Count(n.Log(), "event=rate_limit_named")
 	}
 	report.Violations = append(Check(callers.works, runs), findPanics(c)...)
 	return report
@@ -142,9 +142,9 @@
 			r.Sends++
 			switch {
 			case s.Reply.Whole:
-				r.Whole++
+				r.Complete++
 			case s.Reply.Refusal == nil:
-				r.Lost++
+				r.Unanswered++
 			case s.Reply.Refusal.Ran == "no":
 				r.NotRun++
 			default:
--- a/test/workload/work.go
+++ b/test/workload/work.go
@@ -24,12 +24,12 @@
 	// Key is the idempotency key, or empty.
 	Key           string
 	NonIdempotent bool
-	// Call is true if the work is a call of the plain service.
-	Call      bool
-	Method    string
-	MaxTokens int
-	Stream    bool
-	Sends     []Send
+	// IsServiceCall is true if the work is a call of the plain service.
+	IsServiceCall bool
+	Method        string
+	MaxTokens     int
+	Stream        bool
+	Sends         []Send
 }
 
 // Send is one send of a work and the reply to it.
@@ -42,7 +42,7 @@
 
 // identity returns the name under which backend servers record the work.
 func (w *Work) identity() string {
-	if w.Call {
+	if w.IsServiceCall {
 		return standin.BodyHash([]byte(w.Name))
 	}
 	return w.Name
@@ -68,7 +68,7 @@
 
 // isCorrect reports whether a reply is the complete answer to this work.
 func (w *Work) isCorrect(r harness.Reply) bool {
-	if !w.Call {
+	if !w.IsServiceCall {
 		return r.Right(w.completion())
 	}
 	echo, err := r.Echo()
@@ -90,7 +90,7 @@
 	w := &Work{
 		Name:          fmt.Sprintf("caller %d work %d", caller, number),
 		NonIdempotent: r.IntN(3) == 0,
-		Call:          r.IntN(2) == 0,
+		IsServiceCall: r.IntN(2) == 0,
 		Method:        http.MethodPut,
 		MaxTokens:     1 + r.IntN(30),
 		Stream:        r.IntN(2) == 0,
