--- a/internal/hearing/exchange_test.go
+++ b/internal/announcement/exchange_test.go
@@ -1,4 +1,4 @@
-package hearing
+package announcement
 
 import (
 	"bufio"
@@ -58,9 +58,9 @@
 	}
 }
 
-// process is one Hearing with its listener.
+// process is one Receiver with its listener.
 type process struct {
-	*Hearing
+	*Receiver
 	id            string
 	server        *httptest.Server
 	cancel        context.CancelFunc
@@ -97,13 +97,13 @@
 	list := make([]*process, n)
 	for i := range list {
 		p := &process{id: "n" + strconv.Itoa(i), done: make(chan struct{})}
-		p.Hearing = New(Options{
+		p.Receiver = New(Options{
 			Self: p.id, Board: func() *blackboard.Board { return board }, Dial: p.dial,
 			PeerToken: token, Logger: log.NewNopLogger(),
 		})
 		mux := http.NewServeMux()
 		mux.HandleFunc(PathExchange, p.ServeExchange)
-		p.server = httptest.NewServer(auth.Handler(token, mux))
+		p.server = httptest.NewServer(auth.RequireToken(token, mux))
 		board.Entries[p.id] = blackboard.Entry{ID: p.id, PeerAddress: p.server.Listener.Addr().String()}
 		list[i] = p
 	}
@@ -139,7 +139,7 @@
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		met := false
-		p.With(func(table *evidence.Table) { met = ok(table) })
+		p.WithTable(func(table *evidence.Table) { met = ok(table) })
 		if met {
 			return poll.Success()
 		}
@@ -155,7 +155,7 @@
 }
 
 func hasRecentDigest(id string) func(*evidence.Table) bool {
-	return func(table *evidence.Table) bool { return table.Witness(time.Now(), id, evidence.WitnessAge) }
+	return func(table *evidence.Table) bool { return table.HasRecentDigest(time.Now(), id, evidence.MaxDigestAge) }
 }
 
 func not(ok func(*evidence.Table) bool) func(*evidence.Table) bool {
--- a/internal/hearing/hearing.go
+++ b/internal/announcement/receiver.go
@@ -1,6 +1,6 @@
-// Package hearing receives the announcements of backend servers and exchanges them
+// Package announcement receives the announcements of backend servers and exchanges them
 // with the other entries.
-package hearing
+package announcement
 
 import (
 	"context"
@@ -25,7 +25,7 @@
 // maxAnnouncementBytes bounds the body of one announcement.
 const maxAnnouncementBytes = 64 << 10
 
-// Options configures a Hearing.
+// Options configures a Receiver.
 type Options struct {
 	// Self is the entry's id.
 	Self string
@@ -45,7 +45,7 @@
 	// Interval is the time between two announcements of a backend server; 0 means
 	// evidence.AnnounceInterval.
 	Interval time.Duration
-	// OnChange, if not nil, is called when an announcement passed to Announce
+	// OnChange, if not nil, is called when an announcement passed to ReceiveAnnouncement
 	// changes what is known of a group.
 	OnChange func()
 	// OnAnnouncement, if not nil, is called with each announcement that reaches
@@ -53,8 +53,8 @@
 	OnAnnouncement func(backend.Announcement)
 }
 
-// Hearing holds one process's evidence. It is safe for concurrent use.
-type Hearing struct {
+// Receiver holds one process's evidence. It is safe for concurrent use.
+type Receiver struct {
 	o Options
 
 	mu        sync.Mutex
@@ -65,10 +65,10 @@
 	limiter  *announceLimiter
 }
 
-// New returns a Hearing with an empty table.
-func New(o Options) *Hearing {
+// New returns a Receiver with an empty table.
+func New(o Options) *Receiver {
 	run := uint64(time.Now().UnixNano())
-	h := &Hearing{o: o, table: evidence.NewTable(o.Self, run), limiter: newAnnounceLimiter()}
+	h := &Receiver{o: o, table: evidence.NewTable(o.Self, run), limiter: newAnnounceLimiter()}
 	if o.Interval > 0 {
 		h.table.SetInterval(o.Interval)
 	}
@@ -76,16 +76,16 @@
 	return h
 }
 
-// With calls f with the table while holding its lock. f must not keep the table.
-func (h *Hearing) With(f func(*evidence.Table)) {
+// WithTable calls f with the table while holding its lock. f must not keep the table.
+func (h *Receiver) WithTable(f func(*evidence.Table)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(h.table)
 }
 
 // ServeHTTP receives one announcement of a backend server.
-func (h *Hearing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !auth.Allowed(r.Header, h.o.AnnounceToken) {
+func (h *Receiver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if !auth.HasToken(r.Header, h.o.AnnounceToken) {
 		failure.Write(w, failure.New(failure.TypeUnauthenticated, "the announce token is needed"))
 		return
 	}
@@ -144,9 +144,9 @@
 	return nil
 }
 
-// Announce receives an announcement that an adapter has decoded. While announcements
+// ReceiveAnnouncement receives an announcement that an adapter has decoded. While announcements
 // are spread over several processes, it pushes a change of a group to the peers at once.
-func (h *Hearing) Announce(a backend.Announcement) *failure.Error {
+func (h *Receiver) ReceiveAnnouncement(a backend.Announcement) *failure.Error {
 	if h.o.Lease() <= 0 {
 		return cutOffError()
 	}
@@ -166,8 +166,8 @@
 
 // changesGroup reports whether an announcement changes a state that the controllers
 // wait for, such as its group, epoch or phase.
-func (h *Hearing) changesGroup(a backend.Announcement) (changed bool) {
-	h.With(func(t *evidence.Table) {
+func (h *Receiver) changesGroup(a backend.Announcement) (changed bool) {
+	h.WithTable(func(t *evidence.Table) {
 		r, known := t.Get(a.ID)
 		if a.Kind == backend.KindService {
 			r, known = t.GetService(a.ID)
@@ -178,35 +178,35 @@
 	return changed
 }
 
-// Left records that a backend server has announced its departure, as decoded by an
+// RecordDeparture records that a backend server has announced its departure, as decoded by an
 // adapter. is reports whether the departure applies to an incarnation.
-func (h *Hearing) Left(is func(incarnation string) bool) *failure.Error {
+func (h *Receiver) RecordDeparture(is func(incarnation string) bool) *failure.Error {
 	if h.o.Lease() <= 0 {
 		return cutOffError()
 	}
 	known := false
-	h.With(func(t *evidence.Table) { known = t.Left(time.Now(), h.o.Self, is) })
+	h.WithTable(func(t *evidence.Table) { known = t.RecordDeparture(time.Now(), h.o.Self, is) })
 	if !known {
 		return failure.New(failure.TypeUnavailable, "no announcement of this backend server has arrived here; notify another process")
 	}
 	return nil
 }
 
-func (h *Hearing) record(a backend.Announcement) {
+func (h *Receiver) record(a backend.Announcement) {
 	h.mu.Lock()
-	h.table.Hear(time.Now(), h.o.Self, a)
+	h.table.Record(time.Now(), h.o.Self, a)
 	h.mu.Unlock()
 	if h.o.OnAnnouncement != nil {
 		h.o.OnAnnouncement(a)
 	}
 }
 
-func (h *Hearing) interval() (d time.Duration) {
-	h.With(func(t *evidence.Table) { d = t.Interval() })
+func (h *Receiver) interval() (d time.Duration) {
+	h.WithTable(func(t *evidence.Table) { d = t.Interval() })
 	return d
 }
 
-func (h *Hearing) entryAddresses() []string {
+func (h *Receiver) entryAddresses() []string {
 	var list []string
 	for _, e := range h.o.Board().Entries {
 		list = append(list, e.Address)
@@ -216,7 +216,7 @@
 
 // Run exchanges evidence with the other entries until the context ends. All
 // connections have ended when it returns.
-func (h *Hearing) Run(ctx context.Context) {
+func (h *Receiver) Run(ctx context.Context) {
 	h.exchange.start(ctx)
 	defer h.exchange.stop()
 	ticker := time.NewTicker(evidence.ObserveInterval)
@@ -234,6 +234,6 @@
 
 // tickTable makes the table observe the current time. Without it, a process without
 // peers would not call the table and would appear to have been paused.
-func (h *Hearing) tickTable() {
-	h.With(func(t *evidence.Table) { t.Digest(time.Now(), evidence.Cursor{}) })
+func (h *Receiver) tickTable() {
+	h.WithTable(func(t *evidence.Table) { t.Digest(time.Now(), evidence.Cursor{}) })
 }
--- a/internal/hearing/receivers.go
+++ b/internal/announcement/receivers.go
@@ -1,4 +1,4 @@
-package hearing
+package announcement
 
 import (
 	"hash/fnv"
@@ -32,16 +32,16 @@
 	entries  []blackboard.Entry
 }
 
-// Home returns the peer address of the process that a backend server should announce
+// ReceiverFor returns the peer address of the process that a backend server should announce
 // itself to. leader is the peer address of the current leader, "" if none is known.
 //
 // Load: thousands of backend servers announce themselves each second. The leader lacks the
 // processor time and the file descriptors to receive them all beside its orders and watches.
 // Above maxAtLeader they are divided among the receiving processes other than the leader
-// whose last digest is at most evidence.WitnessAge old. Rendezvous hashing of the server id
+// whose last digest is at most evidence.MaxDigestAge old. Rendezvous hashing of the server id
 // assigns them, so the loss of a process moves only the servers assigned to it. The
 // receiving process pushes their announcements to its peers at once, see exchange.push.
-func (h *Hearing) Home(id, leader string) string {
+func (h *Receiver) ReceiverFor(id, leader string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -58,13 +58,13 @@
 }
 
 // refreshReceivers rebuilds the receiver list. The caller must hold h.mu.
-func (h *Hearing) refreshReceivers(now time.Time) {
+func (h *Receiver) refreshReceivers(now time.Time) {
 	h.receivers.refreshedAt = now
-	known := h.table.Known()
+	known := h.table.Len()
 	h.receivers.isSpread = known > maxAtLeader || (h.receivers.isSpread && known > returnToLeader)
 	h.receivers.entries = h.receivers.entries[:0]
 	for id, e := range receivingEntries(h.o.Board().Entries) {
-		if id == h.o.Self || h.table.Witness(now, id, evidence.WitnessAge) {
+		if id == h.o.Self || h.table.HasRecentDigest(now, id, evidence.MaxDigestAge) {
 			h.receivers.entries = append(h.receivers.entries, e)
 		}
 	}
@@ -100,7 +100,7 @@
 }
 
 // isSpread reports whether announcements are divided among several processes.
-func (h *Hearing) isSpread() bool {
+func (h *Receiver) isSpread() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.receivers.isSpread
--- a/internal/hearing/receivers_test.go
+++ b/internal/announcement/receivers_test.go
@@ -1,4 +1,4 @@
-package hearing
+package announcement
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 
 // controlVM returns a process that receives announcements, as do four others of the 105
 // entries on its board. Its table holds the given number of backend servers.
-func controlVM(servers int) *Hearing {
+func controlVM(servers int) *Receiver {
 	board := blackboard.New()
 	for n := range 5 {
 		id := fmt.Sprint("core-", n)
@@ -30,22 +30,22 @@
 		Logger: log.NewNopLogger(),
 	})
 	now := time.Now()
-	h.With(func(t *evidence.Table) {
+	h.WithTable(func(t *evidence.Table) {
 		for n := range 5 {
 			t.Merge(now, fmt.Sprint("core-", n), nil)
 		}
 		for n := range servers {
-			t.Hear(now, "core-0", backend.Announcement{ID: fmt.Sprint("vm-", n), Kind: backend.KindEngine, Incarnation: "a", Sequence: 1})
+			t.Record(now, "core-0", backend.Announcement{ID: fmt.Sprint("vm-", n), Kind: backend.KindEngine, Incarnation: "a", Sequence: 1})
 		}
 	})
 	return h
 }
 
-// countReceivers returns how many of the backend servers Home assigns to each address.
-func countReceivers(h *Hearing, servers int) map[string]int {
+// countReceivers returns how many of the backend servers ReceiverFor assigns to each address.
+func countReceivers(h *Receiver, servers int) map[string]int {
 	count := make(map[string]int)
 	for n := range servers {
-		count[h.Home(fmt.Sprint("vm-", n), "core-3")]++
+		count[h.ReceiverFor(fmt.Sprint("vm-", n), "core-3")]++
 	}
 	return count
 }
@@ -63,14 +63,14 @@
 func TestManyBackendServersAreSpreadOverReceivers(t *testing.T) {
 	const servers = 3000
 	h := controlVM(servers)
-	assert.Assert(t, h.Home("vm-0", "core-3") != "core-3")
+	assert.Assert(t, h.ReceiverFor("vm-0", "core-3") != "core-3")
 	h.mu.Lock()
 	h.receivers.refreshedAt = time.Now().Add(time.Minute)
 	h.mu.Unlock()
 	before := make(map[string]string)
 	for n := range servers {
 		id := fmt.Sprint("vm-", n)
-		before[id] = h.Home(id, "core-3")
+		before[id] = h.ReceiverFor(id, "core-3")
 	}
 	homes := countReceivers(h, servers)
 	assert.Equal(t, len(homes), 4)
@@ -79,17 +79,17 @@
 		assert.Assert(t, n > servers/4*8/10 && n < servers/4*12/10, "%s receives %d", home, n)
 	}
 
-	h.With(func(t *evidence.Table) {
+	h.WithTable(func(t *evidence.Table) {
 		for n := range 4 {
-			t.Merge(time.Now().Add(2*evidence.WitnessAge), fmt.Sprint("core-", n), nil)
+			t.Merge(time.Now().Add(2*evidence.MaxDigestAge), fmt.Sprint("core-", n), nil)
 		}
 	})
 	h.mu.Lock()
-	h.refreshReceivers(time.Now().Add(2 * evidence.WitnessAge))
+	h.refreshReceivers(time.Now().Add(2 * evidence.MaxDigestAge))
 	h.receivers.refreshedAt = time.Now().Add(time.Minute)
 	h.mu.Unlock()
 	for id, home := range before {
-		now := h.Home(id, "core-3")
+		now := h.ReceiverFor(id, "core-3")
 		assert.Assert(t, now != "core-4")
 		assert.Assert(t, home == "core-4" || now == home, "%s moved from %s to %s", id, home, now)
 	}
--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -27,16 +27,16 @@
 	Suspects  map[string]Suspect         `json:"suspects"`
 	// Quarantines are keyed by pool: a model or a plain service.
 	Quarantines map[string]Quarantine `json:"quarantines"`
-	// Waits maps a route to the timeout of its callers' first attempts, in milliseconds.
-	Waits map[string]int64 `json:"waits,omitempty"`
+	// CallerTimeouts maps a route to the timeout of its callers' first attempts, in milliseconds.
+	CallerTimeouts map[string]int64 `json:"waits,omitempty"`
 	// RateLimits are the limits that backend servers state, keyed by incarnation.
 	RateLimits map[string]RateLimit `json:"rate_limits,omitempty"`
 	// Evacuations are keyed by data centre, ColdServers by incarnation.
 	Evacuations map[string]Evacuation `json:"evacuations,omitempty"`
 	ColdServers map[string]ColdServer `json:"cold_servers,omitempty"`
-	// CallersMillis is the time of the first request of any caller, by the clock of the entry
+	// FirstRequestMillis is the time of the first request of any caller, by the clock of the entry
 	// that received it. It is 0 before the first request.
-	CallersMillis int64 `json:"callers_ms,omitempty"`
+	FirstRequestMillis int64 `json:"callers_ms,omitempty"`
 	// TermBase is added to the consensus term in fencing tokens. Found sets TermBase and the
 	// first epoch from the clock. If all control disks are lost and the cluster is founded
 	// again, engines therefore accept its orders as newer than those of the previous cluster.
@@ -65,7 +65,7 @@
 	b.Entries = orEmpty(b.Entries)
 	b.Suspects = orEmpty(b.Suspects)
 	b.Quarantines = orEmpty(b.Quarantines)
-	b.Waits = orEmpty(b.Waits)
+	b.CallerTimeouts = orEmpty(b.CallerTimeouts)
 	b.RateLimits = orEmpty(b.RateLimits)
 	b.Evacuations = orEmpty(b.Evacuations)
 	b.ColdServers = orEmpty(b.ColdServers)
@@ -107,9 +107,9 @@
 	return b, nil
 }
 
-// DecodeWhole returns the board of a complete snapshot. It returns ErrInconsistent if the
+// DecodeComplete returns the board of a complete snapshot. It returns ErrInconsistent if the
 // snapshot breaks an invariant, which an entry copy may do because it omits VMs.
-func DecodeWhole(snapshot []byte) (*Board, error) {
+func DecodeComplete(snapshot []byte) (*Board, error) {
 	b, err := Decode(snapshot)
 	if err != nil {
 		return nil, errors.Trace(err)
--- a/internal/blackboard/evacuation_test.go
+++ b/internal/blackboard/evacuation_test.go
@@ -27,7 +27,7 @@
 		id, name := fmt.Sprint("vm-", dataCentre), fmt.Sprint("m-", i)
 		apply(&PutVM{VM: VM{ID: id, Incarnation: id + "@1", DataCentre: dataCentre, FabricDomain: dataCentre, Pool: "pool"}})
 		member := GroupMember{VM: id, Incarnation: id + "@1"}
-		apply(&FormGroup{Group: Group{ID: name, Spec: "m", Model: "m", FabricDomain: dataCentre, DataCentre: dataCentre, Members: []GroupMember{member}, Opens: true}})
+		apply(&FormGroup{Group: Group{ID: name, Spec: "m", Model: "m", FabricDomain: dataCentre, DataCentre: dataCentre, Members: []GroupMember{member}, RequiresOpenHead: true}})
 		for _, step := range [][2]GroupState{{Forming, Loading}, {Loading, Serving}} {
 			apply(&SetGroupState{Group: name, Epoch: b.Groups[name].Epoch, From: step[0], To: step[1]})
 		}
@@ -88,8 +88,8 @@
 	assert.NilError(t, err)
 	evacuated, _, change, err := before.ApplyChange(data)
 	assert.NilError(t, err)
-	assert.Assert(t, change.Concerns())
-	data, err = Encode(&NoteCold{Incarnation: "vm-east@1", Service: "pool"})
+	assert.Assert(t, change.AffectsEntries())
+	data, err = Encode(&MarkCold{Incarnation: "vm-east@1", Service: "pool"})
 	assert.NilError(t, err)
 	marked, _, cold, err := evacuated.ApplyChange(data)
 	assert.NilError(t, err)
--- a/internal/blackboard/patch.go
+++ b/internal/blackboard/patch.go
@@ -19,8 +19,8 @@
 	versionChanged, otherConfigChanged, callersChanged bool
 }
 
-// Concerns reports whether the change affects an entry copy beyond its revision.
-func (c Change) Concerns() bool {
+// AffectsEntries reports whether the change affects an entry copy beyond its revision.
+func (c Change) AffectsEntries() bool {
 	rows := len(c.groups) + len(c.leavingVMs) + len(c.services) + len(c.entries) + len(c.suspects) + len(c.quarantines) + len(c.waits) +
 		len(c.rateLimits) + len(c.evacuations) + len(c.coldServers)
 	return rows > 0 || c.versionChanged || c.otherConfigChanged || c.callersChanged
@@ -34,11 +34,11 @@
 		entries:        changedRows(before.Entries, d.Entries),
 		suspects:       changedRows(before.Suspects, d.Suspects),
 		quarantines:    changedRows(before.Quarantines, d.Quarantines),
-		waits:          changedRows(before.Waits, d.Waits),
+		waits:          changedRows(before.CallerTimeouts, d.CallerTimeouts),
 		rateLimits:     changedRows(before.RateLimits, d.RateLimits),
 		evacuations:    changedRows(before.Evacuations, d.Evacuations),
 		coldServers:    changedRows(before.ColdServers, d.ColdServers),
-		callersChanged: before.CallersMillis != d.CallersMillis,
+		callersChanged: before.FirstRequestMillis != d.FirstRequestMillis,
 	}
 	for id := range d.writtenGroups {
 		_, had := groupForEntries(before.Groups[id])
@@ -96,18 +96,18 @@
 	Revision  uint64 `json:"revision"`
 	ClusterID string `json:"cluster_id"`
 
-	Groups      Rows[Group]           `json:"groups,omitzero"`
-	Leaving     Rows[VM]              `json:"leaving,omitzero"`
-	Services    Rows[ServiceInstance] `json:"services,omitzero"`
-	Entries     Rows[Entry]           `json:"entries,omitzero"`
-	Suspects    Rows[Suspect]         `json:"suspects,omitzero"`
-	Quarantines Rows[Quarantine]      `json:"quarantines,omitzero"`
-	Waits       Rows[int64]           `json:"waits,omitzero"`
-	RateLimits  Rows[RateLimit]       `json:"rate_limits,omitzero"`
-	Evacuations Rows[Evacuation]      `json:"evacuations,omitzero"`
-	ColdServers Rows[ColdServer]      `json:"cold_servers,omitzero"`
-	// CallersMillis is the value of Board.CallersMillis.
-	CallersMillis int64 `json:"callers_ms,omitempty"`
+	Groups         Rows[Group]           `json:"groups,omitzero"`
+	Leaving        Rows[VM]              `json:"leaving,omitzero"`
+	Services       Rows[ServiceInstance] `json:"services,omitzero"`
+	Entries        Rows[Entry]           `json:"entries,omitzero"`
+	Suspects       Rows[Suspect]         `json:"suspects,omitzero"`
+	Quarantines    Rows[Quarantine]      `json:"quarantines,omitzero"`
+	CallerTimeouts Rows[int64]           `json:"waits,omitzero"`
+	RateLimits     Rows[RateLimit]       `json:"rate_limits,omitzero"`
+	Evacuations    Rows[Evacuation]      `json:"evacuations,omitzero"`
+	ColdServers    Rows[ColdServer]      `json:"cold_servers,omitzero"`
+	// FirstRequestMillis is the value of Board.FirstRequestMillis.
+	FirstRequestMillis int64 `json:"callers_ms,omitempty"`
 
 	// Version is set if ReplaceConfiguration changed the configuration. Config is set instead if
 	// other commands changed it.
@@ -166,14 +166,14 @@
 // PatchFor returns the encoded Patch that brings an entry copy that lacks the given changes to
 // the board's revision.
 func (b *Board) PatchFor(changes []Change) ([]byte, error) {
-	p := &Patch{Revision: b.Revision, ClusterID: b.ClusterID, CallersMillis: b.CallersMillis}
+	p := &Patch{Revision: b.Revision, ClusterID: b.ClusterID, FirstRequestMillis: b.FirstRequestMillis}
 	p.Groups = b.groupRows(unionNames(changes, func(c Change) []string { return c.groups }))
 	p.Leaving = b.leavingVMRows(unionNames(changes, func(c Change) []string { return c.leavingVMs }))
 	p.Services = selectRows(b.Services, unionNames(changes, func(c Change) []string { return c.services }))
 	p.Entries = selectRows(b.Entries, unionNames(changes, func(c Change) []string { return c.entries }))
 	p.Suspects = selectRows(b.Suspects, unionNames(changes, func(c Change) []string { return c.suspects }))
 	p.Quarantines = selectRows(b.Quarantines, unionNames(changes, func(c Change) []string { return c.quarantines }))
-	p.Waits = selectRows(b.Waits, unionNames(changes, func(c Change) []string { return c.waits }))
+	p.CallerTimeouts = selectRows(b.CallerTimeouts, unionNames(changes, func(c Change) []string { return c.waits }))
 	p.RateLimits = selectRows(b.RateLimits, unionNames(changes, func(c Change) []string { return c.rateLimits }))
 	p.Evacuations = selectRows(b.Evacuations, unionNames(changes, func(c Change) []string { return c.evacuations }))
 	p.ColdServers = selectRows(b.ColdServers, unionNames(changes, func(c Change) []string { return c.coldServers }))
@@ -244,9 +244,9 @@
 	d.Groups, d.VMs = p.Groups.applyTo(d.Groups), p.Leaving.applyTo(d.VMs)
 	d.Services, d.Entries = p.Services.applyTo(d.Services), p.Entries.applyTo(d.Entries)
 	d.Suspects, d.Quarantines = p.Suspects.applyTo(d.Suspects), p.Quarantines.applyTo(d.Quarantines)
-	d.Waits, d.RateLimits = p.Waits.applyTo(d.Waits), p.RateLimits.applyTo(d.RateLimits)
+	d.CallerTimeouts, d.RateLimits = p.CallerTimeouts.applyTo(d.CallerTimeouts), p.RateLimits.applyTo(d.RateLimits)
 	d.Evacuations, d.ColdServers = p.Evacuations.applyTo(d.Evacuations), p.ColdServers.applyTo(d.ColdServers)
-	d.CallersMillis = p.CallersMillis
+	d.FirstRequestMillis = p.FirstRequestMillis
 	if p.Config != nil {
 		d.Config = p.Config.clone()
 	}
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -54,7 +54,7 @@
 	if s.o.Renewer != nil {
 		go s.renewLoop(ctx)
 	}
-	ticker := time.NewTicker(s.o.Step)
+	ticker := time.NewTicker(s.o.StepInterval)
 	defer ticker.Stop()
 	var o *leadership
 	for {
@@ -71,7 +71,7 @@
 			continue
 		}
 		if o == nil || o.term != term {
-			o = &leadership{term: term, memory: controller.NewMemory(time.Now(), s.o.OrderLease)}
+			o = &leadership{term: term, memory: controller.NewMemory(time.Now(), s.o.MaxOrderLease)}
 		}
 		s.reportReplicaChanges(o)
 		began := o.runTime
@@ -162,13 +162,13 @@
 	now := time.Now()
 	view := controller.View{Timing: s.o.Timing, LeaseUntil: now.Add(s.o.Consensus.LeaseRemaining())}
 	view.Board = s.o.Machine.Board()
-	view.Stalled = s.stalledGroups(now, view.Board)
+	view.ConfirmedStalls = s.stalledGroups(now, view.Board)
 	view.Term = view.Board.TermBase + o.term
 	if view.Board.ClusterID == "" {
 		return false
 	}
 	var actions controller.Actions
-	s.o.Evidence.With(func(t *evidence.Table) {
+	s.o.Evidence.WithTable(func(t *evidence.Table) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		view.Evidence, view.Memory = t, o.memory
@@ -255,7 +255,7 @@
 		"term", p.Order.Token.Term, "epoch", p.Order.Token.Epoch, "accepted", reply.Accepted, "err", errText(err))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.memory.Answered(time.Now(), p, reply, err)
+	o.memory.RecordAnswer(time.Now(), p, reply, err)
 }
 
 func errText(err error) string {
@@ -268,7 +268,7 @@
 // measure adds the time since the last step to group downtime and stranded accelerator time.
 func (s *Server) measure(view controller.View, now time.Time) {
 	var at adminapi.Measures
-	s.o.Evidence.With(func(t *evidence.Table) { at = controller.Measures(view.Board, t, now) })
+	s.o.Evidence.WithTable(func(t *evidence.Table) { at = controller.CurrentMeasures(view.Board, t, now) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.meter.last.IsZero() {
@@ -308,13 +308,13 @@
 }
 
 func (s *Server) expireRecords(ctx context.Context, now time.Time) error {
-	command, err := record.Encode(record.Command{Expire: &record.Expire{NowMillis: now.UnixMilli()}})
+	command, err := record.EncodeCommand(record.Command{Expire: &record.Expire{NowMillis: now.UnixMilli()}})
 	if err != nil {
 		return errors.Trace(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	_, err = s.o.Consensus.Propose(ctx, Wrap(noderpc.Machine_MACHINE_RECORDS, command))
+	_, err = s.o.Consensus.Propose(ctx, LogCommand(noderpc.Machine_MACHINE_RECORDS, command))
 	return errors.Trace(err)
 }
 
@@ -329,7 +329,7 @@
 	var old []blackboard.Command
 	for fingerprint, suspect := range board.Suspects {
 		lifetime := suspectLifetime
-		if suspect.Convicted() {
+		if suspect.IsAttributed() {
 			lifetime = attributedLifetime
 		}
 		if now.Sub(time.UnixMilli(suspect.LastMillis)) > lifetime {
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -17,12 +17,12 @@
 	apply := func(c blackboard.Command) {
 		encoded, err := blackboard.Encode(c)
 		assert.NilError(t, err)
-		m.Apply(1, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
+		m.Apply(1, LogCommand(noderpc.Machine_MACHINE_BOARD, encoded))
 	}
 	apply(&blackboard.Found{ClusterID: "c"})
 	for i := range 2000 {
 		apply(&blackboard.PutEntry{Entry: blackboard.Entry{ID: fmt.Sprint("e", i)}})
-		snapshot, commands, board, err := m.Encoded()
+		snapshot, commands, board, err := m.EntrySnapshot()
 		assert.NilError(t, err)
 		if i%97 != 0 {
 			continue
--- a/internal/control/relay_test.go
+++ b/internal/control/relay_test.go
@@ -62,7 +62,7 @@
 	m := NewMachine()
 	w.follower = NewServer(Options{
 		Machine: m, Consensus: &followingConsensus{immediateConsensus: immediateConsensus{machine: m, voters: 3}, leader: "m0"},
-		Logger: log.NewNopLogger(), Lease: time.Second, Step: time.Minute, Renewer: w.renewer,
+		Logger: log.NewNopLogger(), EntryLease: time.Second, StepInterval: time.Minute, Renewer: w.renewer,
 	})
 	w.apply(t, &blackboard.Found{ClusterID: "c"})
 	w.apply(t, &blackboard.PutEntry{Entry: blackboard.Entry{ID: "e"}})
@@ -78,7 +78,7 @@
 	t.Helper()
 	encoded, err := blackboard.Encode(c)
 	assert.NilError(t, err)
-	w.follower.o.Machine.Apply(1, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
+	w.follower.o.Machine.Apply(1, LogCommand(noderpc.Machine_MACHINE_BOARD, encoded))
 }
 
 // both applies a command on the leader and on the follower.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -34,8 +34,8 @@
 // Evidence gives the leader what the entry on the same VM knows about backend servers, from
 // their own announcements and from peers.
 type Evidence interface {
-	// With calls f with the table. No other goroutine changes the table during the call.
-	With(f func(*evidence.Table))
+	// WithTable calls f with the table. No other goroutine changes the table during the call.
+	WithTable(f func(*evidence.Table))
 }
 
 // OrderSender sends orders to engines.
@@ -50,13 +50,13 @@
 	Evidence  Evidence
 	Orders    OrderSender
 	Logger    log.Logger
-	// Lease is how long an entry may serve without a message from the leader.
-	Lease time.Duration
-	// Step is the time between two runs of the controllers.
-	Step time.Duration
-	// OrderLease is the longest lease of an earlier leader. A new leader sends no order until
+	// EntryLease is how long an entry may serve without a message from the leader.
+	EntryLease time.Duration
+	// StepInterval is the time between two runs of the controllers.
+	StepInterval time.Duration
+	// MaxOrderLease is the longest lease of an earlier leader. A new leader sends no order until
 	// that time has passed.
-	OrderLease time.Duration
+	MaxOrderLease time.Duration
 	// Timing overrides the default times of the controllers.
 	Timing controller.Timing
 	// MinDisks is how many disks must hold a change before it is acknowledged. With 0, a
@@ -85,7 +85,7 @@
 	events     *eventLog
 	meter      meter
 	// stalls holds the entries' reports of groups without progress.
-	stalls *controller.Stalls
+	stalls *controller.StallReports
 	// woken triggers a step before the next tick.
 	woken chan struct{}
 	// sampled is the time of the last metrics sample; only Run uses it.
@@ -95,8 +95,8 @@
 // NewServer returns a server. Run starts its work.
 func NewServer(o Options) *Server {
 	return &Server{
-		o: o, woken: make(chan struct{}, 1), stalls: controller.NewStalls(), events: newEventLog(), relay: newRelay(),
-		leases: newLeases(o.Lease, clock.Now()), rateLimits: make(rateLimitAges),
+		o: o, woken: make(chan struct{}, 1), stalls: controller.NewStallReports(), events: newEventLog(), relay: newRelay(),
+		leases: newLeases(o.EntryLease, clock.Now()), rateLimits: make(rateLimitAges),
 	}
 }
 
@@ -123,7 +123,7 @@
 		return
 	}
 	s.term = term
-	s.leases = newLeases(s.o.Lease, clock.Now())
+	s.leases = newLeases(s.o.EntryLease, clock.Now())
 	s.events.reset(s.o.VM)
 	s.meter = meter{}
 	_ = level.Info(s.o.Logger).Log("event", "leading", "term", term)
@@ -135,7 +135,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	data, err := s.o.Consensus.Propose(ctx, Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
+	data, err := s.o.Consensus.Propose(ctx, LogCommand(noderpc.Machine_MACHINE_BOARD, encoded))
 	if err != nil {
 		return errors.Trace(toFailure(err))
 	}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -94,7 +94,7 @@
 	wait := min(time.Duration(r.WaitMs)*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	needsUpdate, changed := s.o.Machine.News(r.HaveRevision)
+	needsUpdate, changed := s.o.Machine.NeedsUpdate(r.HaveRevision)
 	if needsUpdate {
 		return true
 	}
@@ -115,7 +115,7 @@
 // While the leader's lease runs, there is no newer leader and so no newer configuration.
 func (s *Server) answerWatch(r *noderpc.WatchRequest) (*noderpc.WatchReply, error) {
 	s.grantLease(r.EntryId)
-	reply, err := s.replyTo(r, 0, s.o.Lease)
+	reply, err := s.replyTo(r, 0, s.o.EntryLease)
 	if err != nil {
 		return nil, err
 	}
@@ -141,7 +141,7 @@
 		reply.Commands = [][]byte{patch}
 	}
 	if !ok {
-		snapshot, commands, current, err := s.o.Machine.Encoded()
+		snapshot, commands, current, err := s.o.Machine.EntrySnapshot()
 		if err != nil {
 			return nil, rpcError(err)
 		}
@@ -169,7 +169,7 @@
 	if !r.Board || reply.Revision == 0 {
 		return reply, nil
 	}
-	snapshot, commands, board, err := s.o.Machine.Encoded()
+	snapshot, commands, board, err := s.o.Machine.EntrySnapshot()
 	if err != nil {
 		return nil, rpcError(err)
 	}
@@ -204,7 +204,7 @@
 	if r.ClusterId != board.ClusterID {
 		return nil, rpcError(failure.New(failure.TypeConflict, "the entry follows another cluster").WithRan(failure.RanNo))
 	}
-	result, err := s.proposeDurably(ctx, Wrap(r.Machine, r.Command))
+	result, err := s.proposeDurably(ctx, LogCommand(r.Machine, r.Command))
 	if err != nil {
 		return nil, rpcError(err)
 	}
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 	m := NewMachine()
 	c := &immediateConsensus{machine: m, voters: voters}
-	s := NewServer(Options{Machine: m, Consensus: c, Logger: log.NewNopLogger(), Lease: time.Second, MinDisks: minDisks})
+	s := NewServer(Options{Machine: m, Consensus: c, Logger: log.NewNopLogger(), EntryLease: time.Second, MinDisks: minDisks})
 	var verdict blackboard.Verdict
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.Found{ClusterID: "c"}, &verdict))
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.PutEntry{Entry: blackboard.Entry{ID: "e"}}, &verdict))
@@ -128,7 +128,7 @@
 			consensus.after = c.after
 			encoded, err := blackboard.Encode(wholeConfiguration(4))
 			assert.NilError(t, err)
-			_, err = s.proposeDurably(context.Background(), Wrap(noderpc.Machine_MACHINE_BOARD, encoded))
+			_, err = s.proposeDurably(context.Background(), LogCommand(noderpc.Machine_MACHINE_BOARD, encoded))
 			if c.want == "" {
 				assert.NilError(t, err)
 				return
@@ -180,20 +180,20 @@
 	s, _ := leadingServer(t, 0, 1)
 	m := s.o.Machine
 	have := m.Board().Revision
-	needsUpdate, changed := m.News(have)
+	needsUpdate, changed := m.NeedsUpdate(have)
 	assert.Assert(t, !needsUpdate)
 	var verdict blackboard.Verdict
 	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.PutVM{VM: blackboard.VM{ID: "v", Incarnation: "a"}}, &verdict))
 	assert.Assert(t, m.Board().Revision > have)
-	needsUpdate, _ = m.News(have)
+	needsUpdate, _ = m.NeedsUpdate(have)
 	assert.Assert(t, !needsUpdate)
 	select {
 	case <-changed:
 		t.Fatal("the watch ended for the row of a VM")
 	default:
 	}
-	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.NoteCallers{NowMillis: 7}, &verdict))
-	needsUpdate, _ = m.News(have)
+	assert.NilError(t, s.commitBoard(context.Background(), &blackboard.RecordFirstRequest{NowMillis: 7}, &verdict))
+	needsUpdate, _ = m.NeedsUpdate(have)
 	assert.Assert(t, needsUpdate)
 	<-changed
 }
--- a/internal/controller/breaking.go
+++ b/internal/controller/breaking.go
@@ -90,7 +90,7 @@
 
 func groupFaults(v View, now time.Time, g blackboard.Group) []fault {
 	var faults []fault
-	if at, stalled := v.Stalled[StalledGroup{g.ID, g.Epoch}]; stalled && g.Opens && now.Sub(at) < stallValidity {
+	if at, stalled := v.ConfirmedStalls[GroupEpoch{g.ID, g.Epoch}]; stalled && g.RequiresOpenHead && now.Sub(at) < stallValidity {
 		faults = append(faults, fault{"no entry gets answers", 0})
 	}
 	if g.State == blackboard.Loading && v.Memory.timeInState(g, now) > loadTimeout {
@@ -113,20 +113,20 @@
 		return "restarted", 0
 	}
 	if vm.Liveness == blackboard.Dead {
-		if g.Opens && g.State == blackboard.Serving {
+		if g.RequiresOpenHead && g.State == blackboard.Serving {
 			return "is dead", silentMemberLimit
 		}
 		return "is dead", 0
 	}
 	r, hasReport := v.Evidence.Get(m.VM)
-	if !hasReport || now.Sub(r.HeardAt) > v.Evidence.RoutableAge() {
+	if !hasReport || now.Sub(r.ReceivedAt) > v.Evidence.RoutableAge() {
 		return "", 0
 	}
 	if r.Incarnation != m.Incarnation {
 		if supersedes(r, vm.StartedMillis) {
 			return "restarted", 0
 		}
-		return "restarted", v.timing().Fault
+		return "restarted", v.timing().FaultTimeout
 	}
 	return reportedFault(v, now, g, r)
 }
@@ -145,15 +145,15 @@
 			return lostFault(v, now, r.Unreachable[0])
 		}
 		if !inEpoch {
-			return "left the epoch", v.timing().Fault
+			return "left the epoch", v.timing().FaultTimeout
 		}
 		if !isServicePhase(g, r) {
-			return "is " + string(r.Phase), v.timing().Fault
+			return "is " + string(r.Phase), v.timing().FaultTimeout
 		}
 	case blackboard.Loading:
 		// The time counts from the order, because a member's order is sent late when many are
 		// due.
-		if !inEpoch && v.Memory.sinceLoadOrder(r.ID, groupEpoch{g.ID, g.Epoch}, now) > v.timing().Start {
+		if !inEpoch && v.Memory.sinceLoadOrder(r.ID, groupEpoch{g.ID, g.Epoch}, now) > v.timing().StartTimeout {
 			v.Memory.avoidAfterFailedLoad(g, r.ID, now)
 			return "does not begin to load", 0
 		}
@@ -164,10 +164,10 @@
 // isServicePhase reports whether a member's phase is normal for a group in service. The head of a
 // draining group may have closed.
 func isServicePhase(g blackboard.Group, r evidence.Report) bool {
-	if g.Opens && g.State == blackboard.Draining {
+	if g.RequiresOpenHead && g.State == blackboard.Draining {
 		return true
 	}
-	return g.Ready(blackboard.GroupMember{VM: r.ID}, string(r.Phase))
+	return g.IsMemberReady(blackboard.GroupMember{VM: r.ID}, string(r.Phase))
 }
 
 // avoidAfterFailedLoad keeps a VM out of new groups for some time when its load failed. A VM that
@@ -181,7 +181,7 @@
 
 func lostFault(v View, now time.Time, lost string) (text string, timeout time.Duration) {
 	r, hasReport := v.Evidence.Get(lost)
-	if hasReport && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge() {
+	if hasReport && now.Sub(r.ReceivedAt) <= v.Evidence.RoutableAge() {
 		return "has lost " + lost + ", which is heard", faultTimeout
 	}
 	return "has lost " + lost + ", which is silent", lostMemberTimeout
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -164,7 +164,7 @@
 				continue
 			}
 			counts[g.Spec]++
-			if g.Opens && wantedGroups(v, g.Spec) > 0 {
+			if g.RequiresOpenHead && wantedGroups(v, g.Spec) > 0 {
 				// The groups that a pool has formed beyond its share continue to serve: the
 				// shrinking of a pool is no reason to break up a working group.
 				continue
@@ -216,6 +216,6 @@
 	if r.Load == nil || r.Load.Running > 0 || r.Load.Queued > 0 {
 		return false
 	}
-	made := r.HeardAt.Add(-time.Duration(r.Load.AtMillis) * time.Millisecond)
+	made := r.ReceivedAt.Add(-time.Duration(r.Load.AgeMillis) * time.Millisecond)
 	return made.After(drainedFrom.Add(evidence.RoutableAge))
 }
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -54,7 +54,7 @@
 
 // updateLiveness derives alive, paused, dead or straggler from the evidence.
 func updateLiveness(v View, now time.Time, a *Actions) {
-	dead := v.Memory.deadThreshold(hasMassSilence(v, now), now, v.timing().Dead)
+	dead := v.Memory.deadThreshold(hasMassSilence(v, now), now, v.timing().DeadAfter)
 	for _, id := range v.vmIDs() {
 		vm := v.Board.VMs[id]
 		r, hasReport := v.Evidence.Get(id)
@@ -92,7 +92,7 @@
 		if hasReport && r.Incarnation != s.Incarnation {
 			continue
 		}
-		to := nextLiveness(v, now, s.Liveness, r, hasReport, v.timing().Dead)
+		to := nextLiveness(v, now, s.Liveness, r, hasReport, v.timing().DeadAfter)
 		if to == blackboard.Dead && silence(v, now, r, hasReport) > removeServiceAfter {
 			v.Evidence.Forget(backend.KindService, id)
 			a.command(&blackboard.RemoveService{ID: id, Incarnation: s.Incarnation})
@@ -106,14 +106,14 @@
 }
 
 // silence returns how long a backend server has been silent while a majority of entries would
-// have forwarded its announcements; see evidence.Table.Covered.
+// have forwarded its announcements; see evidence.Table.HasMajority.
 func silence(v View, now time.Time, r evidence.Report, hasReport bool) time.Duration {
-	from := v.Memory.coveredSince
+	from := v.Memory.majoritySince
 	if from.IsZero() {
 		return 0
 	}
-	if hasReport && r.HeardAt.After(from) {
-		from = r.HeardAt
+	if hasReport && r.ReceivedAt.After(from) {
+		from = r.ReceivedAt
 	}
 	return now.Sub(from)
 }
@@ -151,7 +151,7 @@
 		}
 		living++
 		r, hasReport := v.Evidence.Get(id)
-		if silence(v, now, r, hasReport) > v.timing().Paused {
+		if silence(v, now, r, hasReport) > v.timing().PausedAfter {
 			silent++
 		}
 	}
@@ -161,18 +161,18 @@
 func nextLiveness(
 	v View, now time.Time, current blackboard.Liveness, r evidence.Report, hasReport bool, dead time.Duration,
 ) blackboard.Liveness {
-	if hasReport && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge() {
+	if hasReport && now.Sub(r.ReceivedAt) <= v.Evidence.RoutableAge() {
 		return livenessByGap(current, r, v.Evidence.Interval())
 	}
 	scale := time.Duration(1)
-	if hasReport && !v.Evidence.Witness(now, r.Source, evidence.WitnessAge) {
+	if hasReport && !v.Evidence.HasRecentDigest(now, r.Source, evidence.MaxDigestAge) {
 		scale = silentSourceFactor
 	}
 	silent := silence(v, now, r, hasReport)
 	switch {
 	case current == blackboard.Dead || silent > dead*scale:
 		return blackboard.Dead
-	case silent > v.timing().Paused*scale:
+	case silent > v.timing().PausedAfter*scale:
 		return blackboard.Paused
 	}
 	return current
@@ -197,10 +197,10 @@
 	if vm.Flaps == 0 {
 		return true
 	}
-	most := v.timing().SettleMost
+	most := v.timing().MaxRejoinWait
 	need := most
 	if vm.Flaps < 6 {
-		need = min(most, v.timing().Settle<<vm.Flaps)
+		need = min(most, v.timing().RejoinWait<<vm.Flaps)
 	}
 	age := now.UnixMilli() - vm.SinceMillis
 	return age < 0 || age >= need.Milliseconds()
--- a/internal/controller/measures.go
+++ b/internal/controller/measures.go
@@ -8,7 +8,7 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// Measures returns the present values of the two measures, groups down and stranded accelerators;
+// CurrentMeasures returns the present values of the two measures, groups down and stranded accelerators;
 // the caller adds them up over time.
 //
 // A wanted replica is down unless a group of its spec is routable by the evidence of this
@@ -17,13 +17,13 @@
 // accelerators are those of VMs that are neither paused nor dead and whose group does not work.
 // While this process does not receive evidence from a majority of the entries, its evidence
 // is insufficient and it uses the blackboard instead.
-func Measures(board *blackboard.Board, table *evidence.Table, now time.Time) adminapi.Measures {
+func CurrentMeasures(board *blackboard.Board, table *evidence.Table, now time.Time) adminapi.Measures {
 	var m adminapi.Measures
-	covered := table.Covered(now, board)
+	hasMajority := table.HasMajority(now, board)
 	working := make(map[string]bool)
 	serving := make(map[string]int)
 	for id, g := range board.Groups {
-		if !isWorking(board, table, now, g, covered) {
+		if !isWorking(board, table, now, g, hasMajority) {
 			continue
 		}
 		working[id] = true
@@ -45,11 +45,11 @@
 	return m
 }
 
-func isWorking(board *blackboard.Board, table *evidence.Table, now time.Time, g blackboard.Group, covered bool) bool {
+func isWorking(board *blackboard.Board, table *evidence.Table, now time.Time, g blackboard.Group, hasMajority bool) bool {
 	if g.State == blackboard.Draining {
 		return true
 	}
-	if !covered {
+	if !hasMajority {
 		return g.State.Routable()
 	}
 	ok, _ := table.Routable(now, board, g.ID)
--- a/internal/controller/memory.go
+++ b/internal/controller/memory.go
@@ -14,9 +14,9 @@
 	// ordersFrom is the time from which this leader may send orders: the lease of any earlier
 	// leader has certainly ended.
 	ordersFrom time.Time
-	// coveredSince is the time since which evidence from a majority of the entries has arrived
+	// majoritySince is the time since which evidence from a majority of the entries has arrived
 	// without a break; zero while it does not arrive.
-	coveredSince time.Time
+	majoritySince time.Time
 	// massSilenceAt is when most VMs were last silent at the same time.
 	massSilenceAt time.Time
 	orders        map[string]*orderRecord
@@ -111,9 +111,9 @@
 	}
 }
 
-// Answered records the outcome of a planned order. An error does not show whether the engine
+// RecordAnswer records the outcome of a planned order. An error does not show whether the engine
 // carried out the order.
-func (m *Memory) Answered(now time.Time, o PlannedOrder, reply backend.OrderReply, err error) {
+func (m *Memory) RecordAnswer(now time.Time, o PlannedOrder, reply backend.OrderReply, err error) {
 	m.window.recordAnswer(o.VM)
 	r, ok := m.orders[o.VM]
 	if !ok || err != nil || !reply.Accepted {
@@ -146,12 +146,12 @@
 
 // updateCoverage tracks since when the silence of backend servers is meaningful.
 func (m *Memory) updateCoverage(v View, now time.Time) {
-	if !v.Evidence.Covered(now, v.Board) {
-		m.coveredSince = time.Time{}
+	if !v.Evidence.HasMajority(now, v.Board) {
+		m.majoritySince = time.Time{}
 		return
 	}
-	if m.coveredSince.IsZero() {
-		m.coveredSince = now
+	if m.majoritySince.IsZero() {
+		m.majoritySince = now
 	}
 }
 
--- a/internal/controller/opening_sim_test.go
+++ b/internal/controller/opening_sim_test.go
@@ -322,7 +322,7 @@
 		delay = 1500 * time.Millisecond
 	default:
 		delay = w.load
-		if w.board.CallersMillis != 0 {
+		if w.board.FirstRequestMillis != 0 {
 			w.fetched = append(w.fetched, w.now)
 			delay = max(w.load, w.busyLoad)
 		}
@@ -353,7 +353,7 @@
 		w.delayed = append(w.delayed, delayedAnnouncement{w.now.Add(time.Duration(w.r.IntN(9000)) * time.Millisecond), a})
 		return
 	}
-	w.table.Hear(w.now, "e", a)
+	w.table.Record(w.now, "e", a)
 }
 
 // delayedAnnouncement is an announcement in transit.
@@ -370,7 +370,7 @@
 			left = append(left, l)
 			continue
 		}
-		w.table.Hear(w.now, "e", l.a)
+		w.table.Record(w.now, "e", l.a)
 	}
 	w.delayed = left
 }
@@ -380,9 +380,9 @@
 	w.letCallersCome()
 	w.table.Digest(w.now, evidence.Cursor{})
 	actions := Run(View{
-		Board: w.board, Evidence: w.table, Memory: w.memory, Term: w.term, LeaseUntil: w.now.Add(2 * time.Second), Stalled: w.stalled(),
-		Timing: Timing{Paused: 3 * time.Second, Dead: 3 * time.Second, Fault: 300 * time.Millisecond, Start: 6 * time.Second,
-			Resend: 700 * time.Millisecond, Settle: 250 * time.Millisecond, SettleMost: 8 * time.Second, Stall: simStall},
+		Board: w.board, Evidence: w.table, Memory: w.memory, Term: w.term, LeaseUntil: w.now.Add(2 * time.Second), ConfirmedStalls: w.stalled(),
+		Timing: Timing{PausedAfter: 3 * time.Second, DeadAfter: 3 * time.Second, FaultTimeout: 300 * time.Millisecond, StartTimeout: 6 * time.Second,
+			ResendAfter: 700 * time.Millisecond, RejoinWait: 250 * time.Millisecond, MaxRejoinWait: 8 * time.Second, Stall: simStall},
 	}, w.now)
 	for _, c := range actions.Commands {
 		w.apply(c)
@@ -394,16 +394,16 @@
 
 // letCallersCome records callers on the board once they have arrived.
 func (w *poolWorld) letCallersCome() {
-	if w.board.CallersMillis != 0 || (w.callersAt.IsZero() && len(w.serving()) == 0) || w.now.Before(w.callersAt) {
+	if w.board.FirstRequestMillis != 0 || (w.callersAt.IsZero() && len(w.serving()) == 0) || w.now.Before(w.callersAt) {
 		return
 	}
-	w.apply(&blackboard.NoteCallers{NowMillis: w.now.UnixMilli()})
+	w.apply(&blackboard.RecordFirstRequest{NowMillis: w.now.UnixMilli()})
 }
 
 // stalled returns the stalls that entries would report: heads that have stalled for some time,
 // and now and then a head that has not.
-func (w *poolWorld) stalled() map[StalledGroup]time.Time {
-	out := make(map[StalledGroup]time.Time)
+func (w *poolWorld) stalled() map[GroupEpoch]time.Time {
+	out := make(map[GroupEpoch]time.Time)
 	if w.unused {
 		return out
 	}
@@ -413,7 +413,7 @@
 		}
 		truly := !e.lostAt.IsZero() && w.now.Sub(e.lostAt) > 350*time.Millisecond
 		if truly || (w.faulty && w.r.IntN(4000) == 0) {
-			out[StalledGroup{e.group, e.epoch}] = w.now
+			out[GroupEpoch{e.group, e.epoch}] = w.now
 		}
 	}
 	return out
@@ -458,7 +458,7 @@
 			}
 			accepted := w.take(e, o.plan.Order)
 			if o.answered {
-				o.from.Answered(w.now, o.plan, backend.OrderReply{Accepted: accepted}, nil)
+				o.from.RecordAnswer(w.now, o.plan, backend.OrderReply{Accepted: accepted}, nil)
 			}
 		}
 	}
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -128,8 +128,8 @@
 			domains[vm.FabricDomain] = d
 		}
 		row := packingVM(v, vm)
-		if row.Away {
-			row.Returns = h.returnRate(livenessAge(now, vm))
+		if row.Absent {
+			row.ReturnsPerSecond = h.returnRate(livenessAge(now, vm))
 		}
 		d.VMs = append(d.VMs, row)
 	}
@@ -156,7 +156,7 @@
 		loading = loadingModel(v, vm)
 	}
 	return packing.VM{
-		ID: vm.ID, Grouped: grouped, Away: vm.Liveness != blackboard.Alive,
+		ID: vm.ID, InGroup: grouped, Absent: vm.Liveness != blackboard.Alive,
 		Loaded: v.Memory.modelOf(vm), Staged: vm.Weights, Loading: loading,
 	}
 }
@@ -175,7 +175,7 @@
 
 // planPool plans the layouts of the domains of one pool.
 func planPool(
-	v View, now time.Time, pool string, byName map[string]*packing.Domain, forecast packing.Outlook, previous map[string]packing.Layout,
+	v View, now time.Time, pool string, byName map[string]*packing.Domain, forecast packing.Forecast, previous map[string]packing.Layout,
 ) {
 	models := poolModels(v, pool)
 	if len(models) == 0 {
@@ -188,10 +188,10 @@
 		d := byName[name]
 		all += len(d.VMs)
 		if before, ok := previous[name]; ok {
-			d.Before = before.Groups
+			d.PreviousGroups = before.Groups
 			known = true
 		}
-		if !starting || d.Before != nil || !v.isGathering(name, len(d.VMs), now) {
+		if !starting || d.PreviousGroups != nil || !v.isGathering(name, len(d.VMs), now) {
 			domains = append(domains, *d)
 		}
 	}
@@ -214,7 +214,7 @@
 		}
 		m := packing.Model{Name: name, Size: spec.VMsPerReplica, Share: spec.Share}
 		if e != nil {
-			m.Load, m.Warm = loadTimes(e, spec.Model)
+			m.StoreLoad, m.StagedLoad = loadTimes(e, spec.Model)
 		}
 		models = append(models, m)
 	}
@@ -262,7 +262,7 @@
 }
 
 // logLayouts logs each layout of a pool's domains that has changed.
-func logLayouts(v View, a *Actions, domains map[string]*packing.Domain, o packing.Outlook, previous map[string]packing.Layout) {
+func logLayouts(v View, a *Actions, domains map[string]*packing.Domain, o packing.Forecast, previous map[string]packing.Layout) {
 	for _, domain := range sortedKeys(domains) {
 		now, before := layoutText(v.Memory.layouts[domain]), layoutText(previous[domain])
 		if now == before {
@@ -270,7 +270,7 @@
 		}
 		a.decide(Decision{Kind: "pack", Subject: domain, Choice: now, RunnerUp: before, Reason: fmt.Sprintf(
 			"highest worth with %d VMs; forecast: %.2f of the VMs away, a VM lives %.0f s, %.3f new VMs per second and domain",
-			len(domains[domain].VMs), o.Away, o.Life.Seconds(), o.Newcomers)})
+			len(domains[domain].VMs), o.AbsentFraction, o.MeanLifetime.Seconds(), o.NewVMsPerSecond)})
 	}
 }
 
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -17,7 +17,7 @@
 		return true
 	}
 	g, ok := v.Board.Groups[vm.Group]
-	return ok && g.Epoch == vm.Epoch && g.Opens && g.State == blackboard.Serving
+	return ok && g.Epoch == vm.Epoch && g.RequiresOpenHead && g.State == blackboard.Serving
 }
 
 // engineSpec returns the engine parameters of the pool from which a spec forms its groups.
@@ -70,9 +70,9 @@
 		if vm.Pool == "" || !vm.Free() || vm.Leaving || vm.Liveness != blackboard.Alive {
 			continue
 		}
-		model := v.Memory.layouts[vm.FabricDomain].Hold[id]
+		model := v.Memory.layouts[vm.FabricDomain].ModelByVM[id]
 		r, hasReport := v.Evidence.Get(id)
-		fresh := hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.HeardAt) <= v.Evidence.RoutableAge()
+		fresh := hasReport && r.Incarnation == vm.Incarnation && now.Sub(r.ReceivedAt) <= v.Evidence.RoutableAge()
 		switch {
 		case model == "" || !fresh:
 		case isJoining(r), v.Memory.modelOf(vm) == model:
@@ -95,7 +95,7 @@
 	if e == nil {
 		return
 	}
-	if o := v.Memory.orders[s.vm.ID]; o != nil && now.Sub(o.sentAt) < v.timing().Resend {
+	if o := v.Memory.orders[s.vm.ID]; o != nil && now.Sub(o.sentAt) < v.timing().ResendAfter {
 		return
 	}
 	if s.fetches && !v.Memory.storeOf(s.vm.Pool).hasCapacity(e) {
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -28,7 +28,7 @@
 	}
 	now := time.Now()
 	out, err := s.requestClaim(j, record.Command{Claim: &record.Claim{
-		Key: j.key, Body: j.fingerprint, Entry: s.o.ID, Attempt: j.id,
+		Key: j.key, BodyHash: j.fingerprint, Entry: s.o.ID, Attempt: j.id,
 		DeadlineMillis: j.deadline.Add(claimGrace).UnixMilli(), NowMillis: now.UnixMilli(),
 	}})
 	s.o.Metrics.Claim(time.Since(now))
@@ -70,11 +70,11 @@
 	case out.Granted:
 		j.claimed = true
 		return nil
-	case out.Full:
+	case out.TableFull:
 		return failure.New(failure.TypeOverloaded, "no capacity for another at-most-once record").
 			WithRan(failure.RanNo).WithRetryAfter(staleRetryAfter)
-	case out.Reused:
-		return failure.New(failure.TypeKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
+	case out.KeyReused:
+		return failure.New(failure.TypeIdempotencyKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
 	case out.State == record.Claimed:
 		return failure.New(failure.TypeInProgress, "the request runs on another entry").
 			WithRan(failure.RanUnknown).WithRetryAfter(time.Second)
@@ -114,7 +114,7 @@
 
 func (s *Server) commitRecord(ctx context.Context, c record.Command) (record.Outcome, error) {
 	var out record.Outcome
-	encoded, err := record.Encode(c)
+	encoded, err := record.EncodeCommand(c)
 	if err != nil {
 		return out, errors.Trace(err)
 	}
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -121,7 +121,7 @@
 func (d *dispatcher) setRateLimit(now time.Time, incarnation string, cause placement.Cause, limit *placement.RateLimit) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	share := d.picker.LimitRate(now, incarnation, cause, limit)
+	share := d.picker.SetRateLimit(now, incarnation, cause, limit)
 	d.dispatchWaiting(now)
 	return share
 }
@@ -228,14 +228,14 @@
 		// A pool that has not failed over within this time is not about to.
 		return nil, noBackendServer()
 	}
-	slots, limited := d.picker.Places(now, j.placeBy(now), j.model, j.homes)
+	slots, limited := d.picker.SendCapacity(now, j.placeBy(now), j.model, j.homes)
 	if limited && slots == 0 {
 		return nil, rateLimitRefusal()
 	}
 	decision := d.queue.Offer(now, admission.Request{
 		ID: j.id, Workspace: j.workspace, Class: j.class, Model: j.model, Homes: j.homesName(), IdempotencyKey: j.key,
 		Tokens: j.tokens(), Arrived: j.arrived, Deadline: j.deadline, RetryBudget: j.retryBudget(),
-		OnTimeUntil: d.onTimeUntil(j), Places: slots,
+		OnTimeUntil: d.onTimeUntil(j), MaxPlaceable: slots,
 	})
 	d.refuseEvicted(decision.Evicted)
 	if decision.Refusal != nil {
@@ -280,7 +280,7 @@
 	}
 	for {
 		r, expired, ok := d.queue.Next(now, func(r admission.Request) bool {
-			return d.gateOf(r.Model).Room(now) && d.picker.HasRoom(now, d.waiting[r.ID].job.placementRequest(r.Reserve))
+			return d.gateOf(r.Model).HasCapacity(now) && d.picker.HasCapacity(now, d.waiting[r.ID].job.placementRequest(r.Reserve))
 		})
 		d.refuseEvicted(expired)
 		if !ok {
@@ -309,7 +309,7 @@
 		return grant{}, false
 	}
 	g := grant{attempt: j.nextAttempt(), route: d.routes[c.ID]}
-	d.picker.Started(now, g.attempt, c.ID, j.tokens())
+	d.picker.RecordStart(now, g.attempt, c.ID, j.tokens())
 	if j.isGated() {
 		d.gateOf(j.model).Sent()
 		d.awaitingFirstEvent[g.attempt] = j.model
@@ -341,7 +341,7 @@
 		d.mu.Lock()
 		now := time.Now()
 		g, ok := d.pickTarget(now, j)
-		opensAt, isTemporary, throttled := d.picker.Throttled(now, j.placementRequest(j.reserve))
+		opensAt, isTemporary, throttled := d.picker.RateLimitedUntil(now, j.placementRequest(j.reserve))
 		changed := d.changed
 		d.mu.Unlock()
 		if ok {
@@ -372,7 +372,7 @@
 func (d *dispatcher) noteIsolated(now time.Time, target string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picker.Sent(now, target)
+	d.picker.RecordSend(now, target)
 }
 
 // leastBusy returns the target of a pool that reports the fewest requests, among those that lie
@@ -383,7 +383,7 @@
 	now := time.Now()
 	best, found := route{}, false
 	for _, r := range d.routes {
-		if r.pool != pool || !allowsRegion(homes, r.region) || d.picker.Shut(now, r.target) {
+		if r.pool != pool || !allowsRegion(homes, r.region) || d.picker.IsRateLimited(now, r.target) {
 			continue
 		}
 		if !found || r.requestCount < best.requestCount || (r.requestCount == best.requestCount && r.target < best.target) {
@@ -409,7 +409,7 @@
 func (d *dispatcher) progress(attempt string, tokens int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picker.Progress(time.Now(), attempt, tokens)
+	d.picker.RecordProgress(time.Now(), attempt, tokens)
 }
 
 func (d *dispatcher) attemptEnded(attempt string, r placement.Result) {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -16,8 +16,8 @@
 	"github.com/citronstep/citronstep/internal/placement"
 )
 
-// Forwarded is a caller's HTTP request for a route, as an ingress has decoded it.
-type Forwarded struct {
+// ForwardRequest is a caller's HTTP request for a route, as an ingress has decoded it.
+type ForwardRequest struct {
 	// ID is the caller's own id of this send.
 	ID string
 	// Key is the workspace key; empty if the request carries none.
@@ -42,7 +42,7 @@
 
 // forwarding is the state that only jobs of forwarded requests have.
 type forwarding struct {
-	request Forwarded
+	request ForwardRequest
 	route   blackboard.Route
 	w       http.ResponseWriter
 	tokens  int
@@ -78,7 +78,7 @@
 // Forward answers a request of a route. It returns a failure if nothing has been written to w.
 // It panics with http.ErrAbortHandler if an answer that has begun can't be completed, so that
 // no caller takes it for a complete one.
-func (s *Server) Forward(ctx context.Context, w http.ResponseWriter, f Forwarded) *failure.Error {
+func (s *Server) Forward(ctx context.Context, w http.ResponseWriter, f ForwardRequest) *failure.Error {
 	s.awaitConfiguration(ctx)
 	j, e := s.resolveForward(f)
 	if e == nil {
@@ -98,7 +98,7 @@
 }
 
 // resolveForward finds the route and the workspace of a request and returns its job.
-func (s *Server) resolveForward(f Forwarded) (*job, *failure.Error) {
+func (s *Server) resolveForward(f ForwardRequest) (*job, *failure.Error) {
 	if e := s.mayAdmit(); e != nil {
 		return nil, e
 	}
@@ -138,7 +138,7 @@
 	return "", failure.New(failure.TypeUnauthenticated, "unknown workspace key").WithRan(failure.RanNo)
 }
 
-func (s *Server) newForwardJob(table *routingTable, route blackboard.Route, workspace string, f Forwarded) *job {
+func (s *Server) newForwardJob(table *routingTable, route blackboard.Route, workspace string, f ForwardRequest) *job {
 	now := time.Now()
 	wait := time.Duration(route.TimeoutMillis) * time.Millisecond
 	if f.Timeout > 0 {
@@ -172,7 +172,7 @@
 }
 
 // engineTokens estimates the work of a request for an engine, in tokens.
-func engineTokens(e *blackboard.EngineSpec, f Forwarded) int {
+func engineTokens(e *blackboard.EngineSpec, f ForwardRequest) int {
 	prompt, answer := f.PromptTokens, f.AnswerTokens
 	if prompt == 0 {
 		prompt = e.UsualPrompt
@@ -257,7 +257,7 @@
 	out, e := s.relayAttempt(j, g, &result, began)
 	result.OK = out == outcomeComplete
 	result.Cancelled = out == outcomeJobEnded
-	result.Took = time.Since(began)
+	result.Duration = time.Since(began)
 	s.dispatcher.attemptEnded(g.attempt, result)
 	if out != outcomeComplete {
 		text := ""
@@ -305,10 +305,10 @@
 	case j.ctx.Err() != nil:
 		return outcomeJobEnded, nil
 	case w.stalled():
-		s.o.Client.Retire(g.route.address)
-		return outcomeBroken, failure.New(failure.TypeStalled, "the stream made no progress in time")
+		s.o.Client.RetireConnections(g.route.address)
+		return outcomeBroken, failure.New(failure.TypeBackendStalled, "the stream made no progress in time")
 	case w.ctx.Err() != nil:
-		return outcomeBroken, failure.New(failure.TypeStalled, errGroupLost.Error())
+		return outcomeBroken, failure.New(failure.TypeBackendStalled, errGroupLost.Error())
 	}
 	return s.classifyServiceError(j, err)
 }
@@ -319,7 +319,7 @@
 		ID: f.request.ID, Address: g.route.address, Incarnation: g.route.incarnation,
 		Method: f.request.Method, Path: f.request.Target, Host: f.request.Host, Header: f.request.Header, Body: f.request.Body,
 		Workspace: j.workspace, TimeLeft: time.Until(j.deadline), Rank: engineRank(f.priority, j.deadlinePriority(time.Now())),
-		Resume: f.resume, ResumeAfter: f.last, Fresh: j.nonIdempotent,
+		Resume: f.resume, ResumeAfter: f.last, NewConnection: j.nonIdempotent,
 	}
 }
 
@@ -343,7 +343,7 @@
 // backend server echoes and its proof tell such answers apart.
 func (j *job) checkAnswer(m *memoryBudget, a *backend.ForwardAnswer) (outcome, *failure.Error, bool) {
 	switch {
-	case a.Foreign:
+	case a.IsOtherRequest:
 		return outcomeBroken, failure.New(failure.TypeBackendFailed, "the backend server sent another request's answer"), true
 	case a.NotRun:
 		e := failure.New(failure.TypeOverloaded, "the backend server did not take the request, status "+strconv.Itoa(a.Status))
--- a/internal/entry/isolation_test.go
+++ b/internal/entry/isolation_test.go
@@ -18,9 +18,9 @@
 	board atomic.Pointer[blackboard.Board]
 }
 
-func (f *changingBoard) Board() *blackboard.Board { return f.board.Load() }
-func (f *changingBoard) Lease() time.Duration     { return time.Minute }
-func (f *changingBoard) Granted() time.Duration   { return time.Second }
+func (f *changingBoard) Board() *blackboard.Board      { return f.board.Load() }
+func (f *changingBoard) LeaseRemaining() time.Duration { return time.Minute }
+func (f *changingBoard) LeaseLength() time.Duration    { return time.Second }
 
 // unreachableControl is a committer that reaches no control process.
 type unreachableControl struct{}
@@ -43,7 +43,7 @@
 	s.o.Follower, s.o.Control = follower, unreachableControl{}
 	after := blackboard.New()
 	after.Suspects["body"] = blackboard.Suspect{Fingerprint: "body", Crashes: 2, Alone: 1, Incarnations: []string{"a", "b"}}
-	assert.Assert(t, after.Suspects["body"].Convicted())
+	assert.Assert(t, after.Suspects["body"].IsAttributed())
 
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(300*time.Millisecond))
 	defer cancel()
@@ -56,6 +56,6 @@
 	})
 	assert.Equal(t, sent, 0)
 	assert.Assert(t, e != nil)
-	assert.Equal(t, e.Type, failure.TypePoisoned)
+	assert.Equal(t, e.Type, failure.TypeRequestCrashesBackend)
 	assert.Equal(t, e.Ran, failure.RanNo)
 }
--- a/internal/entry/key_home.go
+++ b/internal/entry/key_home.go
@@ -44,7 +44,7 @@
 		j.begun = j.begun || reply.Begun
 		switch {
 		case reply.Reused:
-			return false, failure.New(failure.TypeKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
+			return false, failure.New(failure.TypeIdempotencyKeyReused, "the idempotency key belongs to another request").WithRan(failure.RanNo)
 		case reply.Holder == s.o.ID:
 			j.isHolder = true
 			return false, nil
@@ -108,14 +108,14 @@
 	})
 }
 
-// ErrNoHome is returned when no entry is registered.
-const ErrNoHome = errors.ConstError("no entry is registered")
+// ErrNoEntries is returned when no entry is registered.
+const ErrNoEntries = errors.ConstError("no entry is registered")
 
 func (s *Server) homeClient(key string) (noderpc.Entries, error) {
 	entries := s.o.Follower.Board().Entries
 	id := homeOf(key, entries)
 	if id == "" {
-		return nil, errors.Trace(ErrNoHome)
+		return nil, errors.Trace(ErrNoEntries)
 	}
 	return s.entryClient(id, entries[id]), nil
 }
@@ -147,11 +147,11 @@
 	return &noderpc.ReleaseReply{}, nil
 }
 
-// Home returns the service that this entry offers its peers as the home of keys.
-func (s *Server) Home() HomeService { return localHome{s} }
+// KeyHome returns the service that this entry offers its peers as the home of keys.
+func (s *Server) KeyHome() KeyHomeService { return localHome{s} }
 
-// HomeService is the part of the entries' protocol that homes serve.
-type HomeService interface {
+// KeyHomeService is the part of the entries' protocol that homes serve.
+type KeyHomeService interface {
 	Hold(context.Context, *noderpc.HoldRequest) (*noderpc.HoldReply, error)
 	Release(context.Context, *noderpc.ReleaseRequest) (*noderpc.ReleaseReply, error)
 	LendRetry(context.Context, *noderpc.LendRetryRequest) (*noderpc.LendRetryReply, error)
--- a/internal/entry/rate_limits.go
+++ b/internal/entry/rate_limits.go
@@ -128,10 +128,10 @@
 }
 
 // dueReports returns the limits that the board should show and does not.
-func (l *rateLimits) dueReports(now time.Time) []blackboard.NoteRateLimit {
+func (l *rateLimits) dueReports(now time.Time) []blackboard.RecordRateLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var notes []blackboard.NoteRateLimit
+	var notes []blackboard.RecordRateLimit
 	for incarnation, limit := range l.known {
 		if !limit.fromAnswer || now.Sub(l.reportedAt[incarnation]) < limitReportInterval {
 			continue
@@ -143,12 +143,12 @@
 			delete(l.reportedAt, incarnation)
 			continue
 		case limit.perSecond == nil:
-		case onBoard && row.Near(*limit.perSecond) && limit.learnedAt.UnixMilli()-row.HeardMillis < limitConfirmInterval.Milliseconds():
+		case onBoard && row.Near(*limit.perSecond) && limit.learnedAt.UnixMilli()-row.ReceivedMillis < limitConfirmInterval.Milliseconds():
 			continue
 		}
-		note := blackboard.NoteRateLimit{Incarnation: incarnation}
+		note := blackboard.RecordRateLimit{Incarnation: incarnation}
 		if limit.perSecond != nil {
-			note.Limit = &blackboard.RateLimit{PerSecond: *limit.perSecond, HeardMillis: limit.learnedAt.UnixMilli()}
+			note.Limit = &blackboard.RateLimit{PerSecond: *limit.perSecond, ReceivedMillis: limit.learnedAt.UnixMilli()}
 		}
 		l.reportedAt[incarnation] = now
 		notes = append(notes, note)
@@ -179,7 +179,7 @@
 // observeForwarded records the rate limit in the answer to a forwarded request. An answer
 // without a valid proof may lack the limit for any reason.
 func (s *Server) observeForwarded(r route, a *backend.ForwardAnswer, sent time.Time) {
-	genuine := !a.Foreign && (a.Proven || a.NotRun)
+	genuine := !a.IsOtherRequest && (a.Proven || a.NotRun)
 	if a.OtherServer || (!genuine && a.RateLimit == nil) {
 		return
 	}
@@ -189,7 +189,7 @@
 // observeRefusal records the rate limit in the answer to a failed call.
 func (s *Server) observeRefusal(r route, err error, sent time.Time) {
 	var call *backend.CallError
-	if errors.As(err, &call) && (call.RateLimit != nil || call.Sent == backend.SentRefused) {
+	if errors.As(err, &call) && (call.RateLimit != nil || call.Stage == backend.StageRefused) {
 		s.observeRateLimit(r, call.RateLimit, sent)
 	}
 }
@@ -211,7 +211,7 @@
 
 // applyRateLimit puts a changed limit into effect on this entry.
 func (s *Server) applyRateLimit(c limitChange, source string) {
-	share := s.dispatcher.setRateLimit(time.Now(), c.incarnation, placement.Named, c.limit())
+	share := s.dispatcher.setRateLimit(time.Now(), c.incarnation, placement.CauseNamed, c.limit())
 	event := "rate_limit_ended"
 	if c.perSecond != nil {
 		event = "rate_limit_named"
--- a/internal/entry/rate_limits_test.go
+++ b/internal/entry/rate_limits_test.go
@@ -21,7 +21,7 @@
 }
 
 func boardLimits(perSecond float64, heard time.Time) map[string]blackboard.RateLimit {
-	return map[string]blackboard.RateLimit{"i": {PerSecond: perSecond, HeardMillis: heard.UnixMilli()}}
+	return map[string]blackboard.RateLimit{"i": {PerSecond: perSecond, ReceivedMillis: heard.UnixMilli()}}
 }
 
 // Guards against a rate limit that ends because of an answer to a request sent before the limit
@@ -99,7 +99,7 @@
 }
 
 func (c limitingClient) Generate(context.Context, string, backend.Generation) (backend.TokenStream, error) {
-	return nil, &backend.CallError{Sent: backend.SentRefused, RateLimit: &c.perSecond, RetryAfter: time.Second}
+	return nil, &backend.CallError{Stage: backend.StageRefused, RateLimit: &c.perSecond, RetryAfter: time.Second}
 }
 
 // Guards against observing limits only in the answers to forwarded requests.
@@ -128,7 +128,7 @@
 	s, limit := configuredServer(t, &scriptedForwarder{}), placement.NamedLimit(0.5)
 	now := time.Now()
 	for _, incarnation := range []string{"i-a", "i-b", "i-c"} {
-		s.dispatcher.setRateLimit(now, incarnation, placement.Named, &limit)
+		s.dispatcher.setRateLimit(now, incarnation, placement.CauseNamed, &limit)
 	}
 	for _, target := range []string{"a", "b", "c"} {
 		s.dispatcher.noteIsolated(now, target)
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -120,7 +120,7 @@
 		regions: s.o.Regions,
 	}
 	s.progress.update(r.board)
-	s.o.Hearing.With(func(t *evidence.Table) {
+	s.o.Announcements.WithTable(func(t *evidence.Table) {
 		for id := range r.board.Groups {
 			r.addGroup(t, id)
 		}
@@ -206,7 +206,7 @@
 // whether it is.
 func (r *routeUpdate) closeIfQuarantined(pool, target string) bool {
 	q, ok := r.board.Quarantines[pool]
-	if !ok || q.Target != target || !q.Holds(r.now.UnixMilli()) {
+	if !ok || q.Target != target || !q.IsInForce(r.now.UnixMilli()) {
 		return false
 	}
 	r.closed[target] = "in quarantine for a suspect request of entry " + q.Entry
@@ -225,7 +225,7 @@
 		r.closed[id] = "instance is dead"
 		return
 	case r.usesBoardLiveness:
-	case !ok || report.Incarnation != i.Incarnation || r.now.Sub(report.HeardAt) > evidence.RoutableAge:
+	case !ok || report.Incarnation != i.Incarnation || r.now.Sub(report.ReceivedAt) > evidence.RoutableAge:
 		r.closed[id] = "instance has no fresh evidence"
 		return
 	}
@@ -257,7 +257,7 @@
 	return placement.Load{
 		Running: r.Load.Running, Queued: r.Load.Queued, TokensInFlight: r.Load.TokensInFlight,
 		TokensPerSecond: r.Load.TokensPerSecond,
-		At:              r.HeardAt.Add(-time.Duration(r.Load.AtMillis) * time.Millisecond),
+		At:              r.ReceivedAt.Add(-time.Duration(r.Load.AgeMillis) * time.Millisecond),
 	}
 }
 
--- a/internal/entry/routes_bench_test.go
+++ b/internal/entry/routes_bench_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/go-kit/log"
 
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/blackboard"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
@@ -28,9 +28,9 @@
 // deafServer returns an entry that receives no announcements and relies on its board.
 func deafServer(board *blackboard.Board) *Server {
 	follower := fixedBoard{board: board, lease: time.Minute}
-	receiver := hearing.New(hearing.Options{Self: "e", Board: follower.Board, Lease: follower.Lease, Logger: log.NewNopLogger()})
+	receiver := announcement.New(announcement.Options{Self: "e", Board: follower.Board, Lease: follower.LeaseRemaining, Logger: log.NewNopLogger()})
 	return NewServer(Options{
-		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1}, Follower: follower, Hearing: receiver,
+		ID: "e", Settings: settings.Entry{MaxOpen: 10, Deaf: true, RampMillis: 1}, Follower: follower, Announcements: receiver,
 		Logger: log.NewNopLogger(),
 	})
 }
@@ -44,7 +44,7 @@
 		for n := range groups {
 			g := blackboard.Group{
 				ID: fmt.Sprintf("%s-%d", model, n), Spec: model, Model: model, Epoch: uint64(n + 1), State: blackboard.Serving,
-				FabricDomain: fmt.Sprint("domain-", n%15), Opens: true,
+				FabricDomain: fmt.Sprint("domain-", n%15), RequiresOpenHead: true,
 			}
 			for i := range size {
 				g.Members = append(g.Members, blackboard.GroupMember{
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -107,7 +107,7 @@
 // crash. The request waits eight seconds for a turn in isolation and crashes a third backend
 // server. So the board is checked again after the wait.
 func (s *Server) mayAttempt(j *job) *failure.Error {
-	if s.o.Follower.Board().Suspects[j.fingerprint].Convicted() {
+	if s.o.Follower.Board().Suspects[j.fingerprint].IsAttributed() {
 		return crashRefusal()
 	}
 	return s.mayDispatch()
@@ -226,7 +226,7 @@
 // It is called right before each dispatch and not only at admission: since then a request may
 // have waited, or this process may have been frozen.
 func (s *Server) mayDispatch() *failure.Error {
-	if s.o.Follower.Lease() > 0 {
+	if s.o.Follower.LeaseRemaining() > 0 {
 		return nil
 	}
 	if s.o.Settings.ServeWithoutLease && s.o.Follower.Board().Config.Revision > 0 {
@@ -250,7 +250,7 @@
 	out, e := s.streamTokens(w, j, g, &result, began)
 	result.OK = out == outcomeComplete
 	result.Cancelled = out == outcomeJobEnded
-	result.Took = time.Since(began)
+	result.Duration = time.Since(began)
 	s.dispatcher.attemptEnded(g.attempt, result)
 	if out != outcomeComplete {
 		s.abandonAttempt(j, g, out, w.stalled(), e)
@@ -262,7 +262,7 @@
 // connections that have gone silent.
 func (s *Server) abandonAttempt(j *job, g grant, out outcome, stalled bool, e *failure.Error) {
 	if stalled {
-		s.o.Client.Retire(g.route.address)
+		s.o.Client.RetireConnections(g.route.address)
 	}
 	if out != outcomeNotStarted {
 		go s.cancelAttempt(g)
@@ -383,11 +383,11 @@
 		return outcomeJobEnded, nil
 	}
 	if w.stalled() {
-		return outcomeBroken, failure.New(failure.TypeStalled, "the backend server made no progress in time")
+		return outcomeBroken, failure.New(failure.TypeBackendStalled, "the backend server made no progress in time")
 	}
 	e := failure.New(failure.TypeBackendFailed, err.Error())
 	var call *backend.CallError
-	if errors.As(err, &call) && call.Sent != backend.SentUnknown {
+	if errors.As(err, &call) && call.Stage != backend.StageUnknown {
 		return outcomeNotStarted, e
 	}
 	return outcomeBroken, e
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -19,10 +19,10 @@
 	"github.com/labstack/echo/v4"
 
 	"github.com/citronstep/citronstep/internal/admission"
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/backend"
 	"github.com/citronstep/citronstep/internal/blackboard"
 	"github.com/citronstep/citronstep/internal/failure"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/metrics"
 	"github.com/citronstep/citronstep/internal/placement"
 	"github.com/citronstep/citronstep/internal/requestlog"
@@ -33,9 +33,9 @@
 // Follower provides the newest board and the lease to serve under it.
 type Follower interface {
 	Board() *blackboard.Board
-	Lease() time.Duration
-	// Granted returns the length of the leases that the leader grants.
-	Granted() time.Duration
+	LeaseRemaining() time.Duration
+	// LeaseLength returns the length of the leases that the leader grants.
+	LeaseLength() time.Duration
 }
 
 // Committer writes commands through the leader of the control processes.
@@ -48,13 +48,13 @@
 	ID         string
 	DataCentre string
 	// Regions holds the region of each data centre.
-	Regions  map[string]string
-	Settings settings.Entry
-	Follower Follower
-	Hearing  *hearing.Hearing
-	Client   backend.Client
-	Control  Committer
-	Logger   log.Logger
+	Regions       map[string]string
+	Settings      settings.Entry
+	Follower      Follower
+	Announcements *announcement.Receiver
+	Client        backend.Client
+	Control       Committer
+	Logger        log.Logger
 	// RequestLinesPerSecond limits the log lines about requests; 0 is no limit.
 	RequestLinesPerSecond int
 	Metrics               *metrics.Entry
@@ -62,12 +62,12 @@
 	Peers *http.Client
 	// Forwarder forwards the requests of routes; nil if the entry serves none.
 	Forwarder backend.Forwarder
-	// Suspects reports groups without progress to the leader; nil if there are no reports.
-	Suspects Suspecter
+	// StallReporter reports groups without progress to the leader; nil if there are no reports.
+	StallReporter StallReporter
 }
 
-// Suspecter reports groups without progress to the leader.
-type Suspecter interface {
+// StallReporter reports groups without progress to the leader.
+type StallReporter interface {
 	Suspect(ctx context.Context, r *noderpc.SuspectRequest) error
 }
 
@@ -161,8 +161,8 @@
 // Run keeps the routes up to date until the context ends.
 func (s *Server) Run(ctx context.Context) { s.keepRoutes(ctx) }
 
-// BoardChanged applies a new board to the policy and the routes.
-func (s *Server) BoardChanged(b *blackboard.Board) {
+// ApplyBoard applies a new board to the policy and the routes.
+func (s *Server) ApplyBoard(b *blackboard.Board) {
 	s.updateEntries(b)
 	s.waitEstimates.loadBoard(b)
 	if b.Config.Revision != s.policyRevision {
@@ -196,8 +196,8 @@
 	s.holders.assumeBegun(time.Now())
 }
 
-// Announced processes the parts of an announcement other than liveness.
-func (s *Server) Announced(a backend.Announcement) { s.cacheEvents(a) }
+// HandleAnnouncement processes the parts of an announcement other than liveness.
+func (s *Server) HandleAnnouncement(a backend.Announcement) { s.cacheEvents(a) }
 
 // Handler returns the callers' API.
 func (s *Server) Handler() http.Handler {
@@ -211,7 +211,7 @@
 	e.Any("/services/:name/*", s.serveService)
 	e.GET("/ready", s.serveReady)
 	e.GET("/live", func(c echo.Context) error { return c.String(http.StatusOK, "live\n") })
-	e.POST(backend.PathAnnounce, echo.WrapHandler(s.o.Hearing))
+	e.POST(backend.PathAnnounce, echo.WrapHandler(s.o.Announcements))
 	return e
 }
 
@@ -253,17 +253,17 @@
 
 // serveReady answers the load balancer's readiness probe.
 func (s *Server) serveReady(c echo.Context) error {
-	if e := s.Ready(); e != nil {
+	if e := s.NotReadyReason(); e != nil {
 		return e
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// Leaving reports whether the entry has asked its load balancer to stop sending.
-func (s *Server) Leaving() bool { return s.leaving.Load() }
+// IsLeaving reports whether the entry has asked its load balancer to stop sending.
+func (s *Server) IsLeaving() bool { return s.leaving.Load() }
 
-// Ready returns why the load balancer should not send callers here, or nil.
-func (s *Server) Ready() *failure.Error {
+// NotReadyReason returns why the load balancer should not send callers here, or nil.
+func (s *Server) NotReadyReason() *failure.Error {
 	if s.leaving.Load() {
 		return failure.New(failure.TypeDraining, "this entry is stopping")
 	}
@@ -340,12 +340,12 @@
 	}
 }
 
-// Sample sets the gauges of the entry role.
-func (s *Server) Sample() {
+// SetGauges sets the gauges of the entry role.
+func (s *Server) SetGauges() {
 	open, _ := s.jobs.counts()
 	routes, waiting := s.dispatcher.counts()
 	s.o.Metrics.Sample(metrics.EntrySample{
-		Open: open, Waiting: waiting, Routes: routes, Lease: s.o.Follower.Lease(),
+		Open: open, Waiting: waiting, Routes: routes, Lease: s.o.Follower.LeaseRemaining(),
 		ConfigRevision: s.o.Follower.Board().Config.Revision, RateLimited: s.rateLimits.count(),
 	})
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -143,7 +143,7 @@
 	began := time.Now()
 	out, e := s.call(j, g)
 	s.dispatcher.attemptEnded(g.attempt, placement.Result{
-		OK: out == outcomeComplete, Cancelled: out == outcomeJobEnded, Took: time.Since(began), FirstToken: time.Since(began), Tokens: 1,
+		OK: out == outcomeComplete, Cancelled: out == outcomeJobEnded, Duration: time.Since(began), FirstToken: time.Since(began), Tokens: 1,
 	})
 	return out, e
 }
@@ -151,7 +151,7 @@
 func (s *Server) call(j *job, g grant) (outcome, *failure.Error) {
 	sc := j.service
 	sc.call.Attempt = g.attempt
-	sc.call.Fresh = j.nonIdempotent
+	sc.call.NewConnection = j.nonIdempotent
 	began := time.Now()
 	answer, err := s.o.Client.Call(j.ctx, g.route.address, sc.call)
 	if err != nil {
@@ -177,7 +177,7 @@
 	}
 	e := failure.New(failure.TypeBackendFailed, err.Error())
 	var call *backend.CallError
-	if errors.As(err, &call) && call.Sent != backend.SentUnknown {
+	if errors.As(err, &call) && call.Stage != backend.StageUnknown {
 		return outcomeNotStarted, e
 	}
 	return outcomeBroken, e
--- a/internal/entry/stream_writer_test.go
+++ b/internal/entry/stream_writer_test.go
@@ -78,7 +78,7 @@
 	ended = make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = s.Forward(context.Background(), caller, Forwarded{ID: "id", Host: "h", Method: http.MethodPost, Path: "/stream/x"})
+		_ = s.Forward(context.Background(), caller, ForwardRequest{ID: "id", Host: "h", Method: http.MethodPost, Path: "/stream/x"})
 	}()
 	return ended
 }
@@ -134,7 +134,7 @@
 	s.memory.forceReserve(1)
 	done := make(chan string)
 	go func() {
-		w, _, _ := send(s, Forwarded{Path: "/many/x"})
+		w, _, _ := send(s, ForwardRequest{Path: "/many/x"})
 		done <- w.Body.String()
 	}()
 	select {
@@ -152,16 +152,16 @@
 func TestRequestBodiesShareMemoryLimit(t *testing.T) {
 	s := configuredServer(t, &scriptedForwarder{})
 	s.memory = newMemoryBudget(1000)
-	first := s.HoldBody(strings.NewReader(strings.Repeat("a", 800)))
+	first := s.LimitBody(strings.NewReader(strings.Repeat("a", 800)))
 	_, err := io.ReadAll(first)
 	assert.NilError(t, err)
-	second := s.HoldBody(strings.NewReader(strings.Repeat("b", 800)))
+	second := s.LimitBody(strings.NewReader(strings.Repeat("b", 800)))
 	_, err = io.ReadAll(second)
-	assert.Assert(t, IsMemory(err))
+	assert.Assert(t, IsMemoryLimit(err))
 	second.Release()
 	first.Release()
 	assert.Equal(t, s.memory.reserved(), int64(0))
-	third := s.HoldBody(strings.NewReader(strings.Repeat("c", 800)))
+	third := s.LimitBody(strings.NewReader(strings.Repeat("c", 800)))
 	_, err = io.ReadAll(third)
 	assert.NilError(t, err)
 }
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -54,14 +54,14 @@
 // attempt was sent to, and whether all members have announced themselves after a time.
 func (s *Server) checkMembers(r route, after time.Time) (changed, alive bool) {
 	alive = true
-	s.o.Hearing.With(func(t *evidence.Table) {
+	s.o.Announcements.WithTable(func(t *evidence.Table) {
 		for id, incarnation := range r.members {
 			report, ok := t.Get(id)
 			if r.group == "" {
 				report, ok = t.GetService(id)
 			}
 			changed = changed || (ok && report.Incarnation != incarnation)
-			alive = alive && ok && report.HeardAt.After(after)
+			alive = alive && ok && report.ReceivedAt.After(after)
 		}
 	})
 	return changed, alive
@@ -83,7 +83,7 @@
 	if j.nonIdempotent {
 		ctx = context.Background()
 	}
-	return s.hasCrashed(ctx, r, cut) && s.reportCrash(j, r, alone).Convicted()
+	return s.hasCrashed(ctx, r, cut) && s.reportCrash(j, r, alone).IsAttributed()
 }
 
 // reportCrash counts a crash against the job and returns the request's crash counts.
@@ -118,7 +118,7 @@
 
 // crashRefusal returns the final failure of a request that crashes backend servers.
 func crashRefusal() *failure.Error {
-	return failure.New(failure.TypePoisoned,
+	return failure.New(failure.TypeRequestCrashesBackend,
 		"this request crashed the backend servers that ran it and will not be run again").WithRan(failure.RanUnknown)
 }
 
--- a/internal/entry/wait_estimates.go
+++ b/internal/entry/wait_estimates.go
@@ -15,7 +15,7 @@
 // on the board for processes that restart. It is safe for concurrent use.
 type waitEstimates struct {
 	mu        sync.Mutex
-	estimates *admission.Waits
+	estimates *admission.CallerTimeouts
 	// checkedAt is when this entry last compared its estimates with the board.
 	checkedAt time.Time
 }
@@ -23,27 +23,27 @@
 // newWaitEstimates returns estimates that are first compared with the board an interval after
 // from. That time differs between entries, so that the first entry to report spares the others.
 func newWaitEstimates(from time.Time) *waitEstimates {
-	return &waitEstimates{estimates: admission.NewWaits(), checkedAt: from}
+	return &waitEstimates{estimates: admission.NewCallerTimeouts(), checkedAt: from}
 }
 
 // sentBefore returns the least time that must have passed since the caller first sent its
 // request.
-func (c *waitEstimates) sentBefore(now time.Time, route string, f Forwarded) time.Duration {
+func (c *waitEstimates) sentBefore(now time.Time, route string, f ForwardRequest) time.Duration {
 	if f.Timeout <= 0 || f.Resume {
 		// A resumed stream began earlier, so its remaining time tells nothing about its start.
 		return 0
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.estimates.Asked(now, route, f.Timeout)
+	return c.estimates.Observe(now, route, f.Timeout)
 }
 
 // loadBoard takes over the estimates that the board holds.
 func (c *waitEstimates) loadBoard(b *blackboard.Board) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for route, ms := range b.Waits {
-		c.estimates.Learn(route, time.Duration(ms)*time.Millisecond)
+	for route, ms := range b.CallerTimeouts {
+		c.estimates.Adopt(route, time.Duration(ms)*time.Millisecond)
 	}
 }
 
@@ -62,9 +62,9 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, boardTimeout)
 		defer cancel()
-		err := s.commitBoard(ctx, &blackboard.NoteWait{Route: route, LeastMillis: least.Milliseconds()}, nil)
+		err := s.commitBoard(ctx, &blackboard.RecordCallerTimeout{Route: route, LeastMillis: least.Milliseconds()}, nil)
 		_ = level.Info(s.o.Logger).Log("event", "wait_estimate_reported", "route", route, "least_ms", least.Milliseconds(),
-			"known_ms", board.Waits[route], "err", errText(err))
+			"known_ms", board.CallerTimeouts[route], "err", errText(err))
 	}()
 }
 
@@ -78,8 +78,8 @@
 	}
 	c.checkedAt = now
 	for name := range b.Config.Routes {
-		known := time.Duration(b.Waits[name]) * time.Millisecond
-		if least, ok := c.estimates.Share(name, known); ok {
+		known := time.Duration(b.CallerTimeouts[name]) * time.Millisecond
+		if least, ok := c.estimates.EstimateToShare(name, known); ok {
 			return name, least
 		}
 	}
--- a/internal/evidence/query.go
+++ b/internal/evidence/query.go
@@ -41,12 +41,12 @@
 			all = append(all, r.report)
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return sortsBefore(all[i].Heard, all[j].Heard) })
+	sort.Slice(all, func(i, j int) bool { return sortsBefore(all[i].DigestLine, all[j].DigestLine) })
 	return all
 }
 
-// Known returns the number of backend servers in the table.
-func (t *Table) Known() int { return len(t.records) }
+// Len returns the number of backend servers in the table.
+func (t *Table) Len() int { return len(t.records) }
 
 // Forget drops the record of a backend server, such as one that has been removed.
 func (t *Table) Forget(kind backend.Kind, id string) {
@@ -63,12 +63,12 @@
 	if r.Group != group || r.Epoch != epoch {
 		return false
 	}
-	return now.Sub(r.HeardAt) <= maxAge
+	return now.Sub(r.ReceivedAt) <= maxAge
 }
 
-// Witnesses returns the number of processes whose last digest is at most maxAge old,
+// RecentPeerCount returns the number of processes whose last digest is at most maxAge old,
 // this process included.
-func (t *Table) Witnesses(now time.Time, maxAge time.Duration) int {
+func (t *Table) RecentPeerCount(now time.Time, maxAge time.Duration) int {
 	n := 0
 	for _, at := range t.digestTimes {
 		if now.Sub(at) <= maxAge {
@@ -78,29 +78,29 @@
 	return n
 }
 
-// Witness reports whether the last digest of a process is at most maxAge old.
-func (t *Table) Witness(now time.Time, source string, maxAge time.Duration) bool {
+// HasRecentDigest reports whether the last digest of a process is at most maxAge old.
+func (t *Table) HasRecentDigest(now time.Time, source string, maxAge time.Duration) bool {
 	at, ok := t.digestTimes[source]
 	return ok && now.Sub(at) <= maxAge
 }
 
-// Covered reports whether the last digests of a majority of the registered entries
-// are at most WitnessAge old. Only then is the silence of a backend server
+// HasMajority reports whether the last digests of a majority of the registered entries
+// are at most MaxDigestAge old. Only then is the silence of a backend server
 // significant. Entries that receive no announcements don't count.
 //
 // Failure: a partitioned process receives no announcements and would report all
-// backend servers dead. On the minority side of a partition Covered returns false,
+// backend servers dead. On the minority side of a partition HasMajority returns false,
 // so the process draws no conclusion. A backend server that no entry of a majority
 // receives is not routable for most entries, so giving it up costs little even if it
 // is alive.
-func (t *Table) Covered(now time.Time, board *blackboard.Board) bool {
+func (t *Table) HasMajority(now time.Time, board *blackboard.Board) bool {
 	heard, all := 0, 0
 	for id, e := range board.Entries {
 		if e.Deaf {
 			continue
 		}
 		all++
-		if t.Witness(now, id, WitnessAge) {
+		if t.HasRecentDigest(now, id, MaxDigestAge) {
 			heard++
 		}
 	}
@@ -137,7 +137,7 @@
 	}
 	r, _ := t.Get(m.VM)
 	switch {
-	case !g.Ready(m, string(r.Phase)):
+	case !g.IsMemberReady(m, string(r.Phase)):
 		return "is " + string(r.Phase)
 	case len(r.Unreachable) > 0:
 		return "has lost " + r.Unreachable[0]
@@ -156,13 +156,13 @@
 		slices.Equal(d.Weights, o.Weights)
 }
 
-func sortsBefore(a, b Heard) bool {
+func sortsBefore(a, b DigestLine) bool {
 	if a.Kind != b.Kind {
 		return a.Kind < b.Kind
 	}
 	return a.ID < b.ID
 }
 
-func sortDigest(digest []Heard) {
+func sortDigest(digest []DigestLine) {
 	sort.Slice(digest, func(i, j int) bool { return sortsBefore(digest[i], digest[j]) })
 }
--- a/internal/evidence/wire/session.go
+++ b/internal/evidence/wire/session.go
@@ -55,13 +55,13 @@
 // NewSession returns a session whose dictionaries are empty.
 func NewSession() *Session { return &Session{encoder: newLineEncoder()} }
 
-// CanDate reports whether the peer could date lines that are sent now. This requires
+// HasReceived reports whether the peer could date lines that are sent now. This requires
 // an echo, so at least one frame of the peer must have arrived.
-func (s *Session) CanDate() bool { return s.received > 0 }
+func (s *Session) HasReceived() bool { return s.received > 0 }
 
 // Frames returns the bytes of one or more frames that carry these lines and are made
 // at now.
-func (s *Session) Frames(now time.Time, lines []evidence.Heard) ([]byte, error) {
+func (s *Session) Frames(now time.Time, lines []evidence.DigestLine) ([]byte, error) {
 	var out []byte
 	for {
 		body, err := s.beginFrame(now)
@@ -109,7 +109,7 @@
 	// Made is a lower bound, by the receiver's clock, for the time at which the peer
 	// made the frame. It is zero if the peer had received no frame yet.
 	Made  time.Time
-	Lines []evidence.Heard
+	Lines []evidence.DigestLine
 }
 
 type frame struct {
--- a/internal/node/adapter.go
+++ b/internal/node/adapter.go
@@ -7,12 +7,12 @@
 	"github.com/go-kit/log"
 	"github.com/juju/errors"
 
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/backend"
 	"github.com/citronstep/citronstep/internal/control"
 	"github.com/citronstep/citronstep/internal/controlclient"
 	"github.com/citronstep/citronstep/internal/controller"
 	"github.com/citronstep/citronstep/internal/entry"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/settings"
 )
 
@@ -23,23 +23,23 @@
 	Orders func(*backend.HTTPClient) control.OrderSender
 	// Forwarder returns the forwarder of callers' requests.
 	Forwarder func(*backend.HTTPClient) backend.Forwarder
-	// Edges returns the servers that the process runs beside its own APIs.
-	Edges func(Parts) []Edge
+	// Servers returns the servers that the process runs beside its own APIs.
+	Servers func(Components) []AdapterServer
 }
 
-// Parts are the components of a node that an adapter's edges may use. Entry and Control
+// Components are the parts of a node that an adapter's servers may use. Entry and Control
 // are nil in a process without that role.
-type Parts struct {
-	Settings *settings.Settings
-	Entry    *entry.Server
-	Control  *control.Server
-	Hearing  *hearing.Hearing
-	Commits  *controlclient.Client
-	Logger   log.Logger
+type Components struct {
+	Settings      *settings.Settings
+	Entry         *entry.Server
+	Control       *control.Server
+	Announcements *announcement.Receiver
+	Commits       *controlclient.Client
+	Logger        log.Logger
 }
 
-// Edge is one HTTP server of an adapter.
-type Edge struct {
+// AdapterServer is one HTTP server of an adapter.
+type AdapterServer struct {
 	// Name is callers, ready or control. A graceful stop shuts them down in this order.
 	Name    string
 	Address string
@@ -47,13 +47,13 @@
 }
 
 func (n *Node) listenForAdapter() error {
-	if n.adapter.Edges == nil {
+	if n.adapter.Servers == nil {
 		return nil
 	}
-	parts := Parts{
-		Settings: n.settings, Entry: n.entry, Control: n.control, Hearing: n.hearing, Commits: n.commits, Logger: n.logger,
+	components := Components{
+		Settings: n.settings, Entry: n.entry, Control: n.control, Announcements: n.announcements, Commits: n.commits, Logger: n.logger,
 	}
-	for _, e := range n.adapter.Edges(parts) {
+	for _, e := range n.adapter.Servers(components) {
 		if err := n.listenAt(e.Name, e.Address, e.Handler); err != nil {
 			return errors.Trace(err)
 		}
@@ -83,13 +83,13 @@
 	if c.AnnounceMillis == settings.DefaultAnnounceMillis {
 		return t
 	}
-	t.Dead = millis(c.DeadMillis)
-	t.Paused = t.Dead
-	t.Fault = quickFaultDelay
-	t.Start = quickStartTimeout
-	t.Resend = quickResendDelay
-	t.Settle = quickSettle
-	t.SettleMost = quickMaxSettle
+	t.DeadAfter = millis(c.DeadMillis)
+	t.PausedAfter = t.DeadAfter
+	t.FaultTimeout = quickFaultDelay
+	t.StartTimeout = quickStartTimeout
+	t.ResendAfter = quickResendDelay
+	t.RejoinWait = quickSettle
+	t.MaxRejoinWait = quickMaxSettle
 	return t
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,6 +15,7 @@
 	"github.com/juju/errors"
 	"golang.org/x/sync/errgroup"
 
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/auth"
 	"github.com/citronstep/citronstep/internal/backend"
 	"github.com/citronstep/citronstep/internal/blackboard"
@@ -22,7 +23,6 @@
 	"github.com/citronstep/citronstep/internal/controlclient"
 	"github.com/citronstep/citronstep/internal/entry"
 	"github.com/citronstep/citronstep/internal/follow"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/metrics"
 	"github.com/citronstep/citronstep/internal/raft"
 	"github.com/citronstep/citronstep/internal/replica"
@@ -49,16 +49,16 @@
 	// orderClient carries orders to engines.
 	orderClient *backend.HTTPClient
 
-	replica  *replica.Node
-	machine  *control.Machine
-	control  *control.Server
-	hearing  *hearing.Hearing
-	follower *follow.Follower
-	entry    *entry.Server
-	servers  []*namedServer
-	adapter  Adapter
-	commits  *controlclient.Client
-	metrics  *metrics.Metrics
+	replica       *replica.Node
+	machine       *control.Machine
+	control       *control.Server
+	announcements *announcement.Receiver
+	follower      *follow.Follower
+	entry         *entry.Server
+	servers       []*namedServer
+	adapter       Adapter
+	commits       *controlclient.Client
+	metrics       *metrics.Metrics
 }
 
 // tokens holds the secrets from the token files that the settings name.
@@ -76,11 +76,11 @@
 // New creates a node and opens its listeners and its data folder. The caller must call
 // Close to release them.
 func New(s *settings.Settings, logger log.Logger) (*Node, error) {
-	return NewAdapted(s, logger, Adapter{})
+	return NewWithAdapter(s, logger, Adapter{})
 }
 
-// NewAdapted creates a node that uses an adapter for its platform's protocols.
-func NewAdapted(s *settings.Settings, logger log.Logger, a Adapter) (*Node, error) {
+// NewWithAdapter creates a node that uses an adapter for its platform's protocols.
+func NewWithAdapter(s *settings.Settings, logger log.Logger, a Adapter) (*Node, error) {
 	n := &Node{settings: s, logger: logger, adapter: a}
 	steps := []func() error{n.readTokens, n.makeMetrics, n.makeClients, n.openConsensus, n.makeServers, n.listen}
 	for _, step := range steps {
@@ -132,7 +132,7 @@
 		case <-ticker.C:
 			n.metrics.SampleInvariants()
 			if n.entry != nil {
-				n.entry.Sample()
+				n.entry.SetGauges()
 			}
 		case <-ctx.Done():
 			return
@@ -200,7 +200,7 @@
 	o.Machine = n.machine
 	o.Logger = log.With(n.logger, "part", "replica")
 	o.Secret = n.tokens.peers
-	o.LocalAddr = n.localAddr()
+	o.SourceAddress = n.localAddr()
 	r, err := n.openReplica(o)
 	if err != nil {
 		return errors.Trace(err)
@@ -222,7 +222,7 @@
 
 // Recover starts a new cluster from the state in the data folder of a stopped control
 // process. See replica.Recover for the data that may be lost.
-func Recover(s *settings.Settings) (replica.Recovered, error) {
+func Recover(s *settings.Settings) (replica.RecoveryResult, error) {
 	recovered, err := replica.Recover(replicaOptions(s))
 	return recovered, errors.Trace(err)
 }
@@ -239,30 +239,30 @@
 	client := controlclient.New(n.settings.Peers.Control, n.peerClient)
 	n.follower = follow.New(follow.Options{
 		Watcher: client, Entry: self, Logger: log.With(n.logger, "part", "follow"), OnChange: n.onBoardChange,
-		OnControl: client.Learn, StartWithoutLease: e.ServeWithoutLease,
+		OnControlAddresses: client.SetMembers, StartWithoutLease: e.ServeWithoutLease,
 	})
 	n.commits = client
-	n.hearing = hearing.New(hearing.Options{
-		Self: n.settings.VM, Board: n.follower.Board, Lease: n.follower.Lease, Dial: n.dialer.DialContext,
+	n.announcements = announcement.New(announcement.Options{
+		Self: n.settings.VM, Board: n.follower.Board, Lease: n.follower.LeaseRemaining, Dial: n.dialer.DialContext,
 		PeerToken: n.tokens.peers, AnnounceToken: n.tokens.announce,
 		Logger: log.With(n.logger, "part", "hearing"), OnAnnouncement: n.onAnnouncement,
 		Interval: millis(n.settings.Control.AnnounceMillis), OnChange: n.onEvidenceChange,
 	})
 	if e.Enabled {
 		n.entry = entry.NewServer(entry.Options{
-			ID: n.settings.VM, DataCentre: n.settings.DataCentre, Regions: n.settings.Regions, Settings: e, Follower: n.follower, Hearing: n.hearing,
+			ID: n.settings.VM, DataCentre: n.settings.DataCentre, Regions: n.settings.Regions, Settings: e, Follower: n.follower, Announcements: n.announcements,
 			Client: n.backendClient, Control: client, Logger: n.decisionLogger("entry"), RequestLinesPerSecond: n.settings.Log.RequestLinesPerSecond, Metrics: n.metrics.Entry(), Peers: &http.Client{Transport: n.peerClient.Transport},
-			Forwarder: n.forwarder(), Suspects: client,
+			Forwarder: n.forwarder(), StallReporter: client,
 		})
 	}
 	if n.replica != nil {
 		c := n.settings.Control
 		n.control = control.NewServer(control.Options{
-			Machine: n.machine, Consensus: n.replica, Evidence: n.hearing, Orders: n.orderSender(),
+			Machine: n.machine, Consensus: n.replica, Evidence: n.announcements, Orders: n.orderSender(),
 			MinDisks: c.MinDisks, Timing: n.timing(), Renewer: client, DataCentres: slices.Sorted(maps.Keys(n.settings.Regions)),
-			Logger: n.decisionLogger("control"), VM: n.settings.VM, Step: n.controllerStep(), Metrics: n.metrics.Control(),
-			Lease:      time.Duration(c.ConfigLeaseMillis) * time.Millisecond,
-			OrderLease: time.Duration(c.TickMillis*int64(c.ElectionTicks)) * time.Millisecond,
+			Logger: n.decisionLogger("control"), VM: n.settings.VM, StepInterval: n.controllerStep(), Metrics: n.metrics.Control(),
+			EntryLease:    time.Duration(c.ConfigLeaseMillis) * time.Millisecond,
+			MaxOrderLease: time.Duration(c.TickMillis*int64(c.ElectionTicks)) * time.Millisecond,
 		})
 	}
 	return nil
@@ -282,7 +282,7 @@
 
 func (n *Node) onBoardChange(b *blackboard.Board) {
 	if n.entry != nil {
-		n.entry.BoardChanged(b)
+		n.entry.ApplyBoard(b)
 	}
 }
 
@@ -296,7 +296,7 @@
 
 func (n *Node) onAnnouncement(a backend.Announcement) {
 	if n.entry != nil {
-		n.entry.Announced(a)
+		n.entry.HandleAnnouncement(a)
 	}
 }
 
@@ -317,7 +317,7 @@
 	}
 	n.goLoop(ctx, g, n.sampleLoop)
 	n.goLoop(ctx, g, n.follower.Run)
-	n.goLoop(ctx, g, n.hearing.Run)
+	n.goLoop(ctx, g, n.announcements.Run)
 	if n.entry != nil {
 		n.goLoop(ctx, g, n.entry.Run)
 	}
@@ -339,7 +339,7 @@
 // Reload applies the settings that may change while the process runs: the addresses of
 // the control processes.
 func (n *Node) Reload(s *settings.Settings) {
-	n.commits.Reseed(s.Peers.Control)
+	n.commits.SetSeeds(s.Peers.Control)
 	if n.replica != nil {
 		n.replica.SetPeers(s.Peers.Control)
 	}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -11,10 +11,10 @@
 	"github.com/juju/errors"
 	"github.com/twitchtv/twirp"
 
+	"github.com/citronstep/citronstep/internal/announcement"
 	"github.com/citronstep/citronstep/internal/auth"
 	"github.com/citronstep/citronstep/internal/control"
 	"github.com/citronstep/citronstep/internal/entry"
-	"github.com/citronstep/citronstep/internal/hearing"
 	"github.com/citronstep/citronstep/internal/metrics"
 	"github.com/citronstep/citronstep/internal/replica"
 	"github.com/citronstep/citronstep/internal/rpc/noderpc"
@@ -49,7 +49,7 @@
 // control process.
 func (n *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(metrics.Path, auth.Handler(n.tokens.admin, n.metrics.Handler()))
+	mux.Handle(metrics.Path, auth.RequireToken(n.tokens.admin, n.metrics.Handler()))
 	if n.control != nil {
 		forward := &control.Forwarder{Client: &http.Client{Transport: n.peerClient.Transport}, Token: n.tokens.peers}
 		mux.Handle("/admin/v1/", n.control.AdminHandler(n.tokens.admin, forward))
@@ -75,7 +75,7 @@
 	mux := http.NewServeMux()
 	entries := noderpc.NewEntriesServer(n.entriesService())
 	mux.Handle(entries.PathPrefix(), entries)
-	mux.HandleFunc(hearing.PathExchange, n.hearing.ServeExchange)
+	mux.HandleFunc(announcement.PathExchange, n.announcements.ServeExchange)
 	mux.Handle(metrics.Path, n.metrics.Handler())
 	mux.HandleFunc("/debug/pprof/", pprof.Index)
 	mux.HandleFunc("/debug/pprof/profile", pprof.Profile)
@@ -87,7 +87,7 @@
 		mux.Handle(board.PathPrefix(), board)
 		mux.Handle("/admin/v1/", n.control.AdminHandler("", nil))
 	}
-	guarded := auth.Handler(n.tokens.peers, mux)
+	guarded := auth.RequireToken(n.tokens.peers, mux)
 	if n.replica == nil {
 		return guarded
 	}
@@ -102,7 +102,7 @@
 	if n.entry == nil {
 		return noEntryRole{}
 	}
-	return n.entry.Home()
+	return n.entry.KeyHome()
 }
 
 // noEntryRole implements noderpc.Entries on a process without the entry role. It refuses
--- a/internal/placement/cold_test.go
+++ b/internal/placement/cold_test.go
@@ -45,7 +45,7 @@
 		p.SetTargets(start, list)
 		for _, target := range list[:5] {
 			if i >= unaware {
-				p.LimitRate(start, target.Server, Cold, &limit)
+				p.SetRateLimit(start, target.Server, CauseCold, &limit)
 			}
 		}
 		w.pickers = append(w.pickers, p)
@@ -59,8 +59,8 @@
 	for n := 0; next < end; n++ {
 		p, now := w.pickers[w.random.IntN(len(w.pickers))], at(next)
 		if c, ok := p.Pick(now, Request{Model: "m", Tokens: 100}); ok {
-			p.Started(now, fmt.Sprint(n), c.ID, 100)
-			p.Finished(now, fmt.Sprint(n), Result{OK: true, Took: time.Millisecond})
+			p.RecordStart(now, fmt.Sprint(n), c.ID, 100)
+			p.RecordFinish(now, fmt.Sprint(n), Result{OK: true, Duration: time.Millisecond})
 			w.arrivals[c.ID] = append(w.arrivals[c.ID], next)
 			w.sent++
 		}
@@ -115,7 +115,7 @@
 		w := newColdPool(entries, 0)
 		for _, p := range w.pickers {
 			for i := 5; i < 10; i++ {
-				p.Started(start, fmt.Sprint("standing-", i), fmt.Sprintf("g%03d", i), 1<<20)
+				p.RecordStart(start, fmt.Sprint("standing-", i), fmt.Sprintf("g%03d", i), 1<<20)
 			}
 		}
 		w.run(520, 8*time.Second)
@@ -134,12 +134,12 @@
 	list[0].Server = "s"
 	p.SetTargets(start, list)
 	named, cold := NamedLimit(1), ColdLimit(10, 20)
-	p.LimitRate(start, "s", Named, &named)
-	both := p.LimitRate(start, "s", Cold, &cold)
+	p.SetRateLimit(start, "s", CauseNamed, &named)
+	both := p.SetRateLimit(start, "s", CauseCold, &cold)
 	assert.Equal(t, both, 1.0)
-	assert.Equal(t, p.LimitRate(start, "s", Named, nil), 10.0)
-	assert.Equal(t, p.LimitRate(start, "s", Cold, nil), 0.0)
-	assert.Assert(t, !p.Shut(start, "g000"))
+	assert.Equal(t, p.SetRateLimit(start, "s", CauseNamed, nil), 10.0)
+	assert.Equal(t, p.SetRateLimit(start, "s", CauseCold, nil), 0.0)
+	assert.Assert(t, !p.IsRateLimited(start, "g000"))
 }
 
 // Guards against requests that are refused at once while all backend servers are cold, a state
@@ -150,10 +150,10 @@
 	list[0].Server = "s"
 	p.SetTargets(start, list)
 	cold := ColdLimit(1, 2)
-	p.LimitRate(start, "s", Cold, &cold)
-	p.Started(start, "a", "g000", 1)
-	_, limited := p.Places(start, at(time.Second), "m", nil)
+	p.SetRateLimit(start, "s", CauseCold, &cold)
+	p.RecordStart(start, "a", "g000", 1)
+	_, limited := p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Assert(t, !limited)
-	_, isTemporary, throttled := p.Throttled(start, Request{Model: "m"})
+	_, isTemporary, throttled := p.RateLimitedUntil(start, Request{Model: "m"})
 	assert.Assert(t, throttled && isTemporary)
 }
--- a/internal/placement/packing/packing.go
+++ b/internal/placement/packing/packing.go
@@ -52,20 +52,20 @@
 	Size int
 	// Share is the model's share of the pool's work; shares need not add up to 1.
 	Share float64
-	// Load is the time to load weights from the store; Warm is the time to load them from the
+	// StoreLoad is the time to load weights from the store; StagedLoad is the time to load them from the
 	// VM's own host.
-	Load, Warm time.Duration
+	StoreLoad, StagedLoad time.Duration
 }
 
 // VM is a VM that is available, or that may return.
 type VM struct {
 	ID string
-	// Grouped is true if the VM belongs to an existing group.
-	Grouped bool
-	// Away is true if the VM can't receive orders now. Returns is the rate, in returns a
+	// InGroup is true if the VM belongs to an existing group.
+	InGroup bool
+	// Absent is true if the VM can't receive orders now. ReturnsPerSecond is the rate, in returns a
 	// second, of VMs that have been absent for the same time.
-	Away    bool
-	Returns float64
+	Absent           bool
+	ReturnsPerSecond float64
 	// Loaded is the model in the VM's accelerators, Staged lists the models on its host, and
 	// Loading is the model that it is loading.
 	Loaded  string
@@ -82,23 +82,23 @@
 	VMs        []VM
 	// Groups is the number of existing groups by model.
 	Groups map[string]int
-	// Before is the previously chosen number of groups by model; nil if there is no previous
+	// PreviousGroups is the previously chosen number of groups by model; nil if there is no previous
 	// choice.
-	Before map[string]int
+	PreviousGroups map[string]int
 }
 
 // Layout is the desired state of a domain.
 type Layout struct {
 	// Groups is the desired number of groups by model, existing groups included.
 	Groups map[string]int
-	// Hold is the model that each ungrouped VM should hold, by VM id.
-	Hold map[string]string
+	// ModelByVM is the model that each ungrouped VM should hold, by VM id.
+	ModelByVM map[string]string
 }
 
 // Plan returns the layout of each domain, by name. starting is true while the pool serves
 // nobody yet, when loads cost next to nothing.
-func Plan(models []Model, domains []Domain, outlook Outlook, starting bool) map[string]Layout {
-	p := newPlan(models, outlook, starting)
+func Plan(models []Model, domains []Domain, forecast Forecast, starting bool) map[string]Layout {
+	p := newPlan(models, forecast, starting)
 	for _, d := range domains {
 		p.addDomain(d)
 	}
@@ -106,7 +106,7 @@
 	out := make(map[string]Layout, len(domains))
 	for i, d := range domains {
 		groups := p.domains[i].groups()
-		out[d.Name] = Layout{Groups: p.groupsByModel(groups), Hold: assignModels(models, d, groups)}
+		out[d.Name] = Layout{Groups: p.groupsByModel(groups), ModelByVM: assignModels(models, d, groups)}
 	}
 	return out
 }
@@ -114,7 +114,7 @@
 // plan is the state of one run. Slices of group counts have one element for each model.
 type plan struct {
 	models   []Model
-	outlook  Outlook
+	forecast Forecast
 	starting bool
 	domains  []domainState
 	// sums are the effective groups of each model over all domains; dataCentres has the same
@@ -127,9 +127,9 @@
 	kindIDs map[string]int
 }
 
-func newPlan(models []Model, outlook Outlook, starting bool) *plan {
+func newPlan(models []Model, forecast Forecast, starting bool) *plan {
 	return &plan{
-		models: models, outlook: outlook, starting: starting,
+		models: models, forecast: forecast, starting: starting,
 		sums: make([]float64, len(models)), expectations: make(map[expectationKey]float64), kindIDs: make(map[string]int),
 	}
 }
@@ -169,11 +169,11 @@
 // still allow it. Without a previous choice it takes the option of greatest worth beside the
 // domains added before.
 func (p *plan) addDomain(d Domain) {
-	ds := domainState{options: p.options(d), hasPrevious: d.Before != nil, dataCentre: p.dataCentreIndex(d.DataCentre)}
+	ds := domainState{options: p.options(d), hasPrevious: d.PreviousGroups != nil, dataCentre: p.dataCentreIndex(d.DataCentre)}
 	ds.kind = p.kindOf(ds)
 	ds.chosen = p.bestOption(ds, -1)
 	if ds.hasPrevious {
-		ds.chosen = p.nearestOption(ds.options, d.Before)
+		ds.chosen = p.nearestOption(ds.options, d.PreviousGroups)
 	}
 	p.apply(ds, ds.chosen, 1)
 	p.domains = append(p.domains, ds)
@@ -367,8 +367,8 @@
 	lost := 0.0
 	for k := 1; k <= n; k++ {
 		missing := min(m.Size, short-(n-k)*m.Size)
-		initialWait := p.outlook.vmWait(d, missing) + ready.timeToLoad(m, k*m.Size)
-		lost += 1 - p.outlook.servedFraction(m.Size, initialWait)
+		initialWait := p.forecast.vmWait(d, missing) + ready.timeToLoad(m, k*m.Size)
+		lost += 1 - p.forecast.servedFraction(m.Size, initialWait)
 	}
 	return lost
 }
@@ -380,7 +380,7 @@
 	var r readiness
 	for _, vm := range d.VMs {
 		switch {
-		case vm.Grouped:
+		case vm.InGroup:
 		case vm.Loaded == m.Name:
 			r.loaded++
 		case slices.Contains(vm.Staged, m.Name):
@@ -400,9 +400,9 @@
 	case n <= r.loaded:
 		return 0
 	case n <= r.loaded+r.staged:
-		return m.Warm
+		return m.StagedLoad
 	case n <= r.loaded+r.staged+r.loading:
-		return m.Load / 2
+		return m.StoreLoad / 2
 	}
-	return m.Load
+	return m.StoreLoad
 }
--- a/internal/placement/packing/packing_test.go
+++ b/internal/placement/packing/packing_test.go
@@ -12,8 +12,8 @@
 
 func models(wide, narrow int, share float64) []Model {
 	return []Model{
-		{Name: "narrow", Size: narrow, Share: 1 - share, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
-		{Name: "wide", Size: wide, Share: share, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
+		{Name: "narrow", Size: narrow, Share: 1 - share, StoreLoad: 12 * time.Second, StagedLoad: 1100 * time.Millisecond},
+		{Name: "wide", Size: wide, Share: share, StoreLoad: 16 * time.Second, StagedLoad: 1600 * time.Millisecond},
 	}
 }
 
@@ -57,11 +57,11 @@
 		{37, 16, 4, 0.5, false, map[string]int{"wide": 6, "narrow": 27}},
 		{73, 32, 8, 0.5, false, map[string]int{"wide": 6, "narrow": 27}},
 	} {
-		layouts := Plan(models(c.wide, c.narrow, c.share), pool(6, c.each), Usual(), true)
+		layouts := Plan(models(c.wide, c.narrow, c.share), pool(6, c.each), DefaultForecast(), true)
 		assert.DeepEqual(t, total(layouts), c.want)
 		for domain, l := range layouts {
 			assert.Equal(t, len(l.Groups) == 2, c.mixed, "%d VMs: %s %v", c.each, domain, l.Groups)
-			assert.Equal(t, len(l.Hold), c.each)
+			assert.Equal(t, len(l.ModelByVM), c.each)
 		}
 	}
 }
@@ -78,12 +78,12 @@
 		for i := range domains {
 			domains[i].DataCentre = fmt.Sprint("dc-", i%centres)
 		}
-		got := newPlan(ms, Usual(), starting)
+		got := newPlan(ms, DefaultForecast(), starting)
 		for _, d := range domains {
 			got.addDomain(d)
 		}
 		got.improve()
-		exhaustive := newPlan(ms, Usual(), starting)
+		exhaustive := newPlan(ms, DefaultForecast(), starting)
 		best := search(exhaustive, domains)
 		worth := got.worth(emptyDomain(len(ms)), 0)
 		assert.Assert(t, worth > best-0.02, "worth %.4f, best %.4f, %d domains of %d, sizes %d and %d",
@@ -114,10 +114,10 @@
 // domainWithSpares returns a domain of eleven VMs with one group of each model and one spare VM that
 // holds each model.
 func domainWithSpares() Domain {
-	d := Domain{Name: "d", Groups: map[string]int{"wide": 1, "narrow": 1}, Before: map[string]int{"wide": 1, "narrow": 1}}
+	d := Domain{Name: "d", Groups: map[string]int{"wide": 1, "narrow": 1}, PreviousGroups: map[string]int{"wide": 1, "narrow": 1}}
 	add := func(n int, model string, grouped bool) {
 		for range n {
-			d.VMs = append(d.VMs, VM{ID: fmt.Sprintf("vm-%02d", len(d.VMs)), Grouped: grouped, Loaded: model, Staged: []string{model}})
+			d.VMs = append(d.VMs, VM{ID: fmt.Sprintf("vm-%02d", len(d.VMs)), InGroup: grouped, Loaded: model, Staged: []string{model}})
 		}
 	}
 	add(6, "wide", true)
@@ -134,14 +134,14 @@
 	d := domainWithSpares()
 	d.Groups["wide"] = 0
 	for i := range 6 {
-		d.VMs[i].Grouped = false
+		d.VMs[i].InGroup = false
 	}
-	d.VMs[5].Away, d.VMs[5].Loaded = true, ""
-	l := Plan(models(6, 3, 0.67), []Domain{d}, Usual(), false)["d"]
+	d.VMs[5].Absent, d.VMs[5].Loaded = true, ""
+	l := Plan(models(6, 3, 0.67), []Domain{d}, DefaultForecast(), false)["d"]
 	assert.DeepEqual(t, l.Groups, map[string]int{"wide": 1, "narrow": 1})
 	for _, vm := range d.VMs {
-		if !vm.Grouped {
-			assert.Equal(t, l.Hold[vm.ID], vm.Staged[0], "%s", vm.ID)
+		if !vm.InGroup {
+			assert.Equal(t, l.ModelByVM[vm.ID], vm.Staged[0], "%s", vm.ID)
 		}
 	}
 }
@@ -154,21 +154,21 @@
 	d.Groups["wide"] = 0
 	d.VMs = d.VMs[2:]
 	for i := range 4 {
-		d.VMs[i].Grouped = false
+		d.VMs[i].InGroup = false
 	}
 	others := pool(5, 11)
 	for i := range others {
 		others[i].Groups = map[string]int{"wide": 1, "narrow": 1}
-		others[i].Before = map[string]int{"wide": 1, "narrow": 1}
+		others[i].PreviousGroups = map[string]int{"wide": 1, "narrow": 1}
 		for k := range 9 {
-			others[i].VMs[k].Grouped = true
+			others[i].VMs[k].InGroup = true
 		}
 	}
 	assert.Equal(t, len(d.VMs), 9)
 	d.VMs = d.VMs[:8]
-	l := Plan(models(6, 3, 0.67), append(others, d), Usual(), false)["d"]
+	l := Plan(models(6, 3, 0.67), append(others, d), DefaultForecast(), false)["d"]
 	assert.DeepEqual(t, l.Groups, map[string]int{"narrow": 2})
-	assert.Equal(t, len(l.Hold), 5)
+	assert.Equal(t, len(l.ModelByVM), 5)
 }
 
 // Guards against layouts that change without need: the same VMs give the same layouts, and a
@@ -179,18 +179,18 @@
 	for i := range domains {
 		domains[i].VMs = pool(1, 27)[0].VMs
 	}
-	first := Plan(ms, domains, Usual(), true)
+	first := Plan(ms, domains, DefaultForecast(), true)
 	r := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
 		for i := range domains {
 			assert.Equal(t, len(first[domains[i].Name].Groups), 1)
-			domains[i].Before = first[domains[i].Name].Groups
+			domains[i].PreviousGroups = first[domains[i].Name].Groups
 			domains[i].VMs = pool(1, 24+r.IntN(4))[0].VMs
 			for k := range domains[i].VMs {
-				domains[i].VMs[k].Loaded = first[domains[i].Name].Hold["00-00"]
+				domains[i].VMs[k].Loaded = first[domains[i].Name].ModelByVM["00-00"]
 			}
 		}
-		for name, l := range Plan(ms, domains, Usual(), false) {
+		for name, l := range Plan(ms, domains, DefaultForecast(), false) {
 			assert.DeepEqual(t, l.Groups, first[name].Groups)
 		}
 	}
@@ -203,7 +203,7 @@
 		b.Run(fmt.Sprintf("%d-VMs", c.domains*c.each), func(b *testing.B) {
 			ms, domains := models(c.wide, c.narrow, 0.5), pool(c.domains, c.each)
 			for b.Loop() {
-				Plan(ms, domains, Usual(), true)
+				Plan(ms, domains, DefaultForecast(), true)
 			}
 		})
 	}
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -35,19 +35,19 @@
 
 // The causes.
 const (
-	// Named is the cause of a limit that the backend server itself names.
-	Named Cause = iota
-	// Cold is the cause of a limit on a backend server that has just started and is within its
+	// CauseNamed is the cause of a limit that the backend server itself names.
+	CauseNamed Cause = iota
+	// CauseCold is the cause of a limit on a backend server that has just started and is within its
 	// slow-start period. This limit ends by itself.
-	Cold
+	CauseCold
 	causeCount
 )
 
 // RateLimit is how many requests a backend server accepts from all entries together.
 type RateLimit struct {
-	// PerSecond is the total rate, in requests a second. Sharing is how many entries share it.
-	PerSecond float64
-	Sharing   int
+	// PerSecond is the total rate, in requests a second. SharingEntries is how many entries share it.
+	PerSecond      float64
+	SharingEntries int
 	// Window is how far back requests count against the limit when it is put in force.
 	Window time.Duration
 }
@@ -56,7 +56,7 @@
 func NamedLimit(perSecond float64) RateLimit {
 	perSecond = max(perSecond, minRate)
 	const maxExtraSharing = 1 << 20
-	return RateLimit{PerSecond: perSecond, Sharing: baseSharingEntries + int(min(perSecond, maxExtraSharing)), Window: namedWindow}
+	return RateLimit{PerSecond: perSecond, SharingEntries: baseSharingEntries + int(min(perSecond, maxExtraSharing)), Window: namedWindow}
 }
 
 // ColdLimit returns the limit of a cold backend server. perSecond is the rate that its service
@@ -67,7 +67,7 @@
 func ColdLimit(perSecond, allowed float64) RateLimit {
 	sharing := max(1, int(coldSharingFraction*allowed))
 	rate := min(perSecond, (1-coldMarginFraction)*allowed-float64(sharing))
-	return RateLimit{PerSecond: max(rate, minRate), Sharing: sharing, Window: coldWindow}
+	return RateLimit{PerSecond: max(rate, minRate), SharingEntries: sharing, Window: coldWindow}
 }
 
 // throttle paces the requests of this entry to a backend server that limits its rate.
@@ -101,7 +101,7 @@
 func (t *throttle) isBlocked(now time.Time) bool { return t != nil && now.Before(t.nextSend()) }
 
 // isTemporary reports whether the limit ends by itself within seconds.
-func (t *throttle) isTemporary() bool { return t.limits[Named] == nil }
+func (t *throttle) isTemporary() bool { return t.limits[CauseNamed] == nil }
 
 // capacity returns how many requests may be sent between now and until.
 func (t *throttle) capacity(now, until time.Time) int {
@@ -132,9 +132,9 @@
 	}
 }
 
-// LimitRate sets the limit of a backend server for a cause; nil removes it. It returns this
+// SetRateLimit sets the limit of a backend server for a cause; nil removes it. It returns this
 // entry's share of the tightest limit, in requests a second; 0 means no limit or no share.
-func (p *Picker) LimitRate(now time.Time, server string, cause Cause, limit *RateLimit) float64 {
+func (p *Picker) SetRateLimit(now time.Time, server string, cause Cause, limit *RateLimit) float64 {
 	t, known := p.throttles[server]
 	if !known {
 		if limit == nil {
@@ -235,17 +235,17 @@
 			rank++
 		}
 	}
-	sharing := min(max(len(p.entryHashes), rank+1), limit.Sharing)
+	sharing := min(max(len(p.entryHashes), rank+1), limit.SharingEntries)
 	if rank >= sharing {
 		return 0, 0
 	}
 	return limit.PerSecond / float64(sharing), float64(rank) / float64(sharing)
 }
 
-// Throttled reports whether the rate limits of their backend servers block all targets that a
+// RateLimitedUntil reports whether the rate limits of their backend servers block all targets that a
 // request may use, and when the first of them may receive a request again. isTemporary is true
 // if one of these limits ends by itself, perhaps sooner.
-func (p *Picker) Throttled(now time.Time, r Request) (nextSend time.Time, isTemporary, throttled bool) {
+func (p *Picker) RateLimitedUntil(now time.Time, r Request) (nextSend time.Time, isTemporary, throttled bool) {
 	pool := p.pools[r.Model]
 	if pool == nil {
 		return time.Time{}, false, false
@@ -265,10 +265,10 @@
 	return nextSend, isTemporary, !nextSend.IsZero()
 }
 
-// Places returns how many requests this entry may send to the backend servers of a model, in
+// SendCapacity returns how many requests this entry may send to the backend servers of a model, in
 // the given regions, from now until a time. limited is false if one of them has no rate limit,
 // or one that ends by itself.
-func (p *Picker) Places(now, until time.Time, model string, homes []string) (capacity int, limited bool) {
+func (p *Picker) SendCapacity(now, until time.Time, model string, homes []string) (capacity int, limited bool) {
 	pool := p.pools[model]
 	if pool == nil {
 		return 0, false
@@ -286,15 +286,15 @@
 	return capacity, limited
 }
 
-// Shut reports whether the rate limit of a target's backend server blocks requests of this
+// IsRateLimited reports whether the rate limit of a target's backend server blocks requests of this
 // entry now.
-func (p *Picker) Shut(now time.Time, id string) bool {
+func (p *Picker) IsRateLimited(now time.Time, id string) bool {
 	t := p.targets[id]
 	return t != nil && t.throttle.isBlocked(now)
 }
 
-// Sent records a request to a target that Pick did not choose.
-func (p *Picker) Sent(now time.Time, id string) {
+// RecordSend records a request to a target that Pick did not choose.
+func (p *Picker) RecordSend(now time.Time, id string) {
 	if t := p.targets[id]; t != nil {
 		t.throttle.recordSend(now)
 	}
--- a/internal/placement/throttle_test.go
+++ b/internal/placement/throttle_test.go
@@ -68,9 +68,9 @@
 	if after >= limitedAt+100*time.Millisecond && len(w.arrivals) > 0 && !w.known[entry] {
 		w.known[entry] = true
 		limit := NamedLimit(w.limit)
-		p.LimitRate(now, "s0", Named, &limit)
+		p.SetRateLimit(now, "s0", CauseNamed, &limit)
 	}
-	if !p.HasRoom(now, Request{Model: "m", Tokens: 100}) {
+	if !p.HasCapacity(now, Request{Model: "m", Tokens: 100}) {
 		w.refused++
 		return
 	}
@@ -79,8 +79,8 @@
 		w.refused++
 		return
 	}
-	p.Started(now, id, c.ID, 100)
-	p.Finished(now, id, Result{OK: true, Took: time.Millisecond})
+	p.RecordStart(now, id, c.ID, 100)
+	p.RecordFinish(now, id, Result{OK: true, Duration: time.Millisecond})
 	if p.targets[c.ID].Server == "s0" {
 		w.arrivals = append(w.arrivals, after)
 	}
@@ -142,13 +142,13 @@
 		p.SetTargets(start, list)
 	}
 	for i := range 10 {
-		busy.Started(start, fmt.Sprint(i), "g000", 1)
+		busy.RecordStart(start, fmt.Sprint(i), "g000", 1)
 	}
-	busy.LimitRate(at(time.Second), "s", Named, &limit)
-	idle.LimitRate(at(time.Second), "s", Named, &limit)
-	assert.Assert(t, !idle.Shut(at(time.Second), "g000"))
-	assert.Assert(t, busy.Shut(at(4900*time.Millisecond), "g000"))
-	assert.Assert(t, !busy.Shut(at(time.Second+namedWindow), "g000"))
+	busy.SetRateLimit(at(time.Second), "s", CauseNamed, &limit)
+	idle.SetRateLimit(at(time.Second), "s", CauseNamed, &limit)
+	assert.Assert(t, !idle.IsRateLimited(at(time.Second), "g000"))
+	assert.Assert(t, busy.IsRateLimited(at(4900*time.Millisecond), "g000"))
+	assert.Assert(t, !busy.IsRateLimited(at(time.Second+namedWindow), "g000"))
 }
 
 // Guards against a limit that is lost when another group forms behind the same head.
@@ -158,17 +158,17 @@
 	list[0].Server, list[1].Server = "s", "s"
 	p := newPicker(0)
 	p.SetTargets(start, list[:1])
-	p.LimitRate(start, "s", Named, &limit)
-	p.Started(start, "a", "g000", 1)
+	p.SetRateLimit(start, "s", CauseNamed, &limit)
+	p.RecordStart(start, "a", "g000", 1)
 	p.SetTargets(start, list[1:])
-	assert.Assert(t, p.Shut(at(900*time.Millisecond), "g001"))
-	assert.Assert(t, !p.Shut(at(time.Second), "g001"))
+	assert.Assert(t, p.IsRateLimited(at(900*time.Millisecond), "g001"))
+	assert.Assert(t, !p.IsRateLimited(at(time.Second), "g001"))
 
-	nextSend, _, throttled := p.Throttled(at(900*time.Millisecond), Request{Model: "m"})
+	nextSend, _, throttled := p.RateLimitedUntil(at(900*time.Millisecond), Request{Model: "m"})
 	assert.Assert(t, throttled)
 	assert.Equal(t, nextSend, at(time.Second))
-	p.LimitRate(start, "s", Named, nil)
-	assert.Assert(t, !p.Shut(start, "g001"))
+	p.SetRateLimit(start, "s", CauseNamed, nil)
+	assert.Assert(t, !p.IsRateLimited(start, "g001"))
 }
 
 // Guards against a burst of all entries that have each saved up one request.
@@ -195,17 +195,17 @@
 	list := groups(2)
 	list[0].Server, list[1].Server = "a", "b"
 	p.SetTargets(start, list)
-	p.LimitRate(start, "a", Named, &limit)
-	_, limited := p.Places(start, at(time.Second), "m", nil)
+	p.SetRateLimit(start, "a", CauseNamed, &limit)
+	_, limited := p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Assert(t, !limited, "b has no limit")
-	p.LimitRate(start, "b", Named, &limit)
-	capacity, limited := p.Places(start, at(time.Second), "m", nil)
+	p.SetRateLimit(start, "b", CauseNamed, &limit)
+	capacity, limited := p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Assert(t, limited)
 	assert.Equal(t, capacity, 6)
-	p.Started(start, "x", "g000", 1)
-	p.Started(start, "y", "g001", 1)
-	capacity, _ = p.Places(start, at(time.Second), "m", nil)
+	p.RecordStart(start, "x", "g000", 1)
+	p.RecordStart(start, "y", "g001", 1)
+	capacity, _ = p.SendCapacity(start, at(time.Second), "m", nil)
 	assert.Equal(t, capacity, 4)
-	capacity, _ = p.Places(start, at(100*time.Millisecond), "m", nil)
+	capacity, _ = p.SendCapacity(start, at(100*time.Millisecond), "m", nil)
 	assert.Equal(t, capacity, 0)
 }
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -69,9 +69,9 @@
 	Term  uint64
 }
 
-// Saved is the state that a node reads from its data folder when it starts. Base
+// PersistedState is the state that a node reads from its data folder when it starts. Base
 // is the position just before the first of Entries.
-type Saved struct {
+type PersistedState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Base      Position
@@ -115,8 +115,8 @@
 	Entries []Entry
 	Commit  uint64
 	Reject  bool
-	// Hint is the highest index at which a rejecting follower may match.
-	Hint uint64
+	// ConflictHint is the highest index at which a rejecting follower may match.
+	ConflictHint uint64
 	// Forced marks the election of a leadership transfer. The leader requested it,
 	// so voters ignore their vote promise.
 	Forced bool
@@ -146,8 +146,8 @@
 	Reads       []Read
 }
 
-// Empty reports whether there is no work.
-func (r Ready) Empty() bool {
+// IsEmpty reports whether there is no work.
+func (r Ready) IsEmpty() bool {
 	return !r.MustPersist && len(r.Messages) == 0 && len(r.Committed) == 0 && len(r.Reads) == 0
 }
 
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -39,21 +39,21 @@
 	// kept: the record becomes a tombstone at once, and a resend learns only that the
 	// request ran.
 	MaxAnswerBytes = 256 << 10
-	// MaxAnswersBytes is the size limit of all kept answers. Beyond it, the records
+	// MaxTotalAnswerBytes is the size limit of all kept answers. Beyond it, the records
 	// with the oldest answers become tombstones.
-	MaxAnswersBytes = 32 << 20
+	MaxTotalAnswerBytes = 32 << 20
 	// MaxRecords is the most records in the table. A full table refuses claims as
 	// not run. It does not drop a tombstone before the end of its lifetime.
 	//
 	// A snapshot of this many records is encoded in a fraction of the election
 	// timeout (docs/CAPACITY.md).
 	MaxRecords = 100_000
-	// WorkspaceParts limits one workspace to MaxRecords/WorkspaceParts records.
-	WorkspaceParts = 2
-	// MaxStepMillis is the most by which one Expire advances the table's clock. It is
+	// WorkspaceShareDivisor limits one workspace to MaxRecords/WorkspaceShareDivisor records.
+	WorkspaceShareDivisor = 2
+	// MaxClockStepMillis is the most by which one Expire advances the table's clock. It is
 	// twice the time between two Expires, so that the clock catches up after an
 	// outage.
-	MaxStepMillis = 10_000
+	MaxClockStepMillis = 10_000
 )
 
 // Answer is the answer that the caller received.
@@ -80,9 +80,9 @@
 type Record struct {
 	// Key is the workspace, a slash and the idempotency key.
 	Key string `json:"key"`
-	// Body is the hash of the request's body. A claim of the same key with another
+	// BodyHash is the hash of the request's body. A claim of the same key with another
 	// body is refused.
-	Body string `json:"body"`
+	BodyHash string `json:"body"`
 	// Entry is the identity of the entry that claimed the request.
 	Entry string `json:"entry"`
 	// Attempt is the identity of the attempt that holds the claim.
@@ -114,7 +114,7 @@
 	// clockMillis is the table's clock, in milliseconds, against which deadlines and
 	// lifetimes are checked. It is zero before the first Expire.
 	//
-	// Each Expire advances it by at most MaxStepMillis and never moves it back,
+	// Each Expire advances it by at most MaxClockStepMillis and never moves it back,
 	// whichever replica leads. This guards against a leader whose clock is a day
 	// ahead. With the leader's clock, every record would expire at once, and resent
 	// requests would run again.
@@ -140,7 +140,7 @@
 // table converts the time left until the deadline to its own clock.
 type Claim struct {
 	Key            string `json:"key"`
-	Body           string `json:"body"`
+	BodyHash       string `json:"body"`
 	Entry          string `json:"entry"`
 	Attempt        string `json:"attempt"`
 	DeadlineMillis int64  `json:"deadline_ms"`
@@ -174,11 +174,11 @@
 	// Granted is set if a Claim, Finish or Abandon took effect. After a Claim, this
 	// attempt and no other may send the request to a backend server.
 	Granted bool `json:"granted"`
-	// Full is set if the table or the workspace's part of it is full. Nothing was
+	// TableFull is set if the table or the workspace's part of it is full. Nothing was
 	// recorded.
-	Full bool `json:"full,omitempty"`
-	// Reused is set if the key was claimed with another body.
-	Reused bool `json:"reused,omitempty"`
+	TableFull bool `json:"full,omitempty"`
+	// KeyReused is set if the key was claimed with another body.
+	KeyReused bool `json:"reused,omitempty"`
 	// State is the record's state after a Claim or Finish.
 	State State `json:"state,omitempty"`
 	// Entry and Answer are those of a record that existed before a Claim.
@@ -186,11 +186,11 @@
 	Answer *Answer `json:"answer,omitempty"`
 }
 
-// ErrMalformed is returned by Decode for data that is not a valid snapshot.
+// ErrMalformed is returned by DecodeSnapshot for data that is not a valid snapshot.
 const ErrMalformed = errors.ConstError("malformed record data")
 
-// Encode returns the command as log entry data.
-func Encode(c Command) ([]byte, error) {
+// EncodeCommand returns the command as log entry data.
+func EncodeCommand(c Command) ([]byte, error) {
 	data, err := json.Marshal(c)
 	return data, errors.Trace(err)
 }
@@ -227,18 +227,18 @@
 	r, ok := t.records[c.Key]
 	if !ok {
 		if t.isFullFor(c.Key) {
-			return Outcome{Full: true}
+			return Outcome{TableFull: true}
 		}
 		r = &Record{
-			Key: c.Key, Body: c.Body, Entry: c.Entry, Attempt: c.Attempt,
+			Key: c.Key, BodyHash: c.BodyHash, Entry: c.Entry, Attempt: c.Attempt,
 			State: Claimed, DeadlineMillis: t.now(c.NowMillis) + c.DeadlineMillis - c.NowMillis,
 		}
 		t.add(r)
 		t.scheduleCheck(r)
 		return Outcome{Granted: true, State: Claimed}
 	}
-	if r.Body != c.Body {
-		return Outcome{Reused: true}
+	if r.BodyHash != c.BodyHash {
+		return Outcome{KeyReused: true}
 	}
 	// The log may hold a claim twice, because the entry sent it again after a lost
 	// answer. The attempt then still holds the claim.
@@ -265,7 +265,7 @@
 		t.answerBytes += f.Answer.size()
 		t.answeredKeys = append(t.answeredKeys, f.Key)
 	}
-	for t.answerBytes > MaxAnswersBytes {
+	for t.answerBytes > MaxTotalAnswerBytes {
 		t.dropOldestAnswer()
 	}
 	return Outcome{Granted: true, State: Done}
@@ -322,7 +322,7 @@
 	if t.clockMillis == 0 {
 		t.clockMillis = leaderMillis
 	}
-	t.clockMillis = max(t.clockMillis, min(leaderMillis, t.clockMillis+MaxStepMillis))
+	t.clockMillis = max(t.clockMillis, min(leaderMillis, t.clockMillis+MaxClockStepMillis))
 	return t.clockMillis
 }
 
@@ -338,7 +338,7 @@
 // isFullFor reports whether the table has no capacity for a new key. A workspace that
 // has used its part is refused, so that it cannot use up the capacity of all others.
 func (t *Table) isFullFor(key string) bool {
-	return len(t.records) >= MaxRecords || t.recordsPerWorkspace[workspaceOf(key)] >= MaxRecords/WorkspaceParts
+	return len(t.records) >= MaxRecords || t.recordsPerWorkspace[workspaceOf(key)] >= MaxRecords/WorkspaceShareDivisor
 }
 
 // workspaceOf returns the part of a key before the first slash.
@@ -395,8 +395,8 @@
 	Clock   int64     `json:"clock"`
 }
 
-// Encode returns the table as a snapshot.
-func (t *Table) Encode() ([]byte, error) {
+// EncodeSnapshot returns the table as a snapshot.
+func (t *Table) EncodeSnapshot() ([]byte, error) {
 	s := snapshot{Ended: t.answeredKeys, Clock: t.clockMillis}
 	for _, k := range t.keys() {
 		s.Records = append(s.Records, t.records[k])
@@ -405,8 +405,8 @@
 	return data, errors.Trace(err)
 }
 
-// Decode returns the table stored in a snapshot.
-func Decode(data []byte) (*Table, error) {
+// DecodeSnapshot returns the table stored in a snapshot.
+func DecodeSnapshot(data []byte) (*Table, error) {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, errors.WithType(errors.Annotate(err, "records snapshot"), ErrMalformed)
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -11,7 +11,7 @@
 
 func applyCommand(t *testing.T, table *Table, c Command) Outcome {
 	t.Helper()
-	data, err := Encode(c)
+	data, err := EncodeCommand(c)
 	assert.NilError(t, err)
 	var out Outcome
 	assert.NilError(t, json.Unmarshal(table.Apply(data), &out))
@@ -20,14 +20,14 @@
 
 // applyInSteps applies c. For an Expire it first applies the earlier Expires that a
 // leader would have sent, because one Expire advances the clock only by
-// MaxStepMillis.
+// MaxClockStepMillis.
 func applyInSteps(t *testing.T, table *Table, c Command) {
 	t.Helper()
 	if c.Expire == nil {
 		applyCommand(t, table, c)
 		return
 	}
-	for at := int64(1); at < c.Expire.NowMillis; at += MaxStepMillis {
+	for at := int64(1); at < c.Expire.NowMillis; at += MaxClockStepMillis {
 		table.apply(Command{Expire: &Expire{at}})
 	}
 	applyCommand(t, table, c)
@@ -56,13 +56,13 @@
 	for i := range MaxRecords {
 		table.apply(claim("greedy/"+strconv.Itoa(i), "a", 0))
 	}
-	assert.Equal(t, table.Len(), MaxRecords/WorkspaceParts)
-	assert.Assert(t, applyCommand(t, table, claim("greedy/x", "a", 0)).Full)
+	assert.Equal(t, table.Len(), MaxRecords/WorkspaceShareDivisor)
+	assert.Assert(t, applyCommand(t, table, claim("greedy/x", "a", 0)).TableFull)
 	assert.Assert(t, applyCommand(t, table, claim("other/x", "a", 0)).Granted)
 }
 
 func claim(key, attempt string, now int64) Command {
-	return Command{Claim: &Claim{Key: key, Body: "b", Entry: "e", Attempt: attempt, DeadlineMillis: now + 100, NowMillis: now}}
+	return Command{Claim: &Claim{Key: key, BodyHash: "b", Entry: "e", Attempt: attempt, DeadlineMillis: now + 100, NowMillis: now}}
 }
 
 // Guards against a request that runs on two entries. A caller sends one request to two
@@ -121,19 +121,19 @@
 	table := NewTable()
 	applyCommand(t, table, claim("k", "a", 0))
 	other := claim("k", "b", 0)
-	other.Claim.Body = "another"
-	assert.Assert(t, applyCommand(t, table, other).Reused)
+	other.Claim.BodyHash = "another"
+	assert.Assert(t, applyCommand(t, table, other).KeyReused)
 }
 
 func TestKeptAnswersAreBounded(t *testing.T) {
 	table := NewTable()
-	const keys = MaxAnswersBytes/MaxAnswerBytes + 10
+	const keys = MaxTotalAnswerBytes/MaxAnswerBytes + 10
 	for i := range keys {
 		key := strconv.Itoa(i)
 		applyCommand(t, table, claim(key, "a", 0))
 		applyCommand(t, table, Command{Finish: &Finish{key, "a", &Answer{Body: make([]byte, MaxAnswerBytes)}, 1}})
 	}
-	assert.Equal(t, table.answerBytes, MaxAnswersBytes)
+	assert.Equal(t, table.answerBytes, MaxTotalAnswerBytes)
 	assert.Assert(t, applyCommand(t, table, claim("0", "b", 2)).Answer == nil)
 	assert.Assert(t, applyCommand(t, table, claim(strconv.Itoa(keys-1), "b", 2)).Answer != nil)
 }
@@ -178,9 +178,9 @@
 }
 
 func restoreFromSnapshot(t *testing.T, table *Table) *Table {
-	data, err := table.Encode()
+	data, err := table.EncodeSnapshot()
 	assert.NilError(t, err)
-	again, err := Decode(data)
+	again, err := DecodeSnapshot(data)
 	assert.NilError(t, err)
 	return again
 }
--- a/internal/tool/replace.go
+++ b/internal/tool/replace.go
@@ -59,17 +59,17 @@
 	}
 	var d replacementDocument
 	source := tomlfile.Decode(path, data, &d)
-	if !source.SyntaxBroken() {
+	if !source.HasSyntaxError() {
 		resolveKeys(source, d.Workspaces, filepath.Dir(path))
 	}
-	if err := source.Faults().OrNil(); err != nil {
+	if err := source.Faults().ErrorOrNil(); err != nil {
 		return nil, err
 	}
 	replacement := &blackboard.ReplaceConfiguration{Version: d.Version, Routes: d.Routes, Services: d.Services, Limits: d.Limits}
 	for _, w := range d.Workspaces {
 		replacement.Workspaces = append(replacement.Workspaces, w.blackboardWorkspace())
 	}
-	if e := replacement.Check(); e != nil {
+	if e := replacement.Validate(); e != nil {
 		return nil, usagef("%s: %s (%s)", path, e.Message, e.Detail)
 	}
 	return replacement, nil
@@ -78,7 +78,7 @@
 // replace sends a complete configuration and waits until it is in force.
 func (i *invocation) replace(replacement *blackboard.ReplaceConfiguration, wait time.Duration) error {
 	var reply adminapi.ReplaceReply
-	if err := i.admin.post(i.ctx, adminapi.PathWholeConfiguration, replacement, &reply, ""); err != nil {
+	if err := i.admin.post(i.ctx, adminapi.PathReplaceConfiguration, replacement, &reply, ""); err != nil {
 		return errors.Trace(err)
 	}
 	waited := i.awaitInForce(wait, reply.Revision)
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -82,26 +82,26 @@
 type WAL struct {
 	path     string
 	db       *bolt.DB
-	waiter   Waiter
+	waiter   SpaceWaiter
 	identity Identity
-	saved    raft.Saved
+	saved    raft.PersistedState
 }
 
 // Open opens the data folder, or creates it with a new random identity. The waiter
 // decides whether to retry a later write that fails because the file cannot grow. A
 // nil waiter abandons such writes.
 //
-// Open returns ErrNoRoom if the file cannot grow, ErrLocked if another process has
+// Open returns ErrNoSpace if the file cannot grow, ErrLocked if another process has
 // the folder open, and a CorruptError if the file is damaged.
-func Open(folder string, waiter Waiter) (*WAL, error) {
+func Open(folder string, waiter SpaceWaiter) (*WAL, error) {
 	w, err := open(folder, waiter)
 	if isNoSpace(err) {
-		return nil, errors.Annotate(ErrNoRoom, err.Error())
+		return nil, errors.Annotate(ErrNoSpace, err.Error())
 	}
 	return w, errors.Trace(err)
 }
 
-func open(folder string, waiter Waiter) (*WAL, error) {
+func open(folder string, waiter SpaceWaiter) (*WAL, error) {
 	path := filepath.Join(folder, FileName)
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, errors.Annotatef(err, "creating the data folder %s", folder)
@@ -245,11 +245,11 @@
 // Identity returns the replica's current identity.
 func (w *WAL) Identity() Identity { return w.identity }
 
-// Saved returns the state as of Open. The WAL keeps no copy of it, so a second call
+// LoadedState returns the state as of Open. The WAL keeps no copy of it, so a second call
 // returns the zero value.
-func (w *WAL) Saved() raft.Saved {
+func (w *WAL) LoadedState() raft.PersistedState {
 	s := w.saved
-	w.saved = raft.Saved{}
+	w.saved = raft.PersistedState{}
 	return s
 }
 
@@ -290,9 +290,9 @@
 	}))
 }
 
-// Found bootstraps a new cluster: it persists the first membership as a committed
+// Bootstrap bootstraps a new cluster: it persists the first membership as a committed
 // entry, together with the identity that names the cluster.
-func (w *WAL) Found(id Identity, first raft.Entry) error {
+func (w *WAL) Bootstrap(id Identity, first raft.Entry) error {
 	err := w.update(func(tx *bolt.Tx) error {
 		if err := appendEntries(tx, []raft.Entry{first}); err != nil {
 			return errors.Trace(err)
--- a/test/capacity/link_test.go
+++ b/test/capacity/link_test.go
@@ -23,7 +23,7 @@
 }
 
 // send encodes evidence lines as frames.
-func (l *link) send(lines []evidence.Heard) []byte {
+func (l *link) send(lines []evidence.DigestLine) []byte {
 	l.t.Helper()
 	data, err := l.from.Frames(epoch, lines)
 	assert.NilError(l.t, err)
@@ -31,7 +31,7 @@
 }
 
 // receive decodes the evidence lines of frames.
-func (l *link) receive(data []byte) []evidence.Heard {
+func (l *link) receive(data []byte) []evidence.DigestLine {
 	l.t.Helper()
 	return receive(l.t, l.to, data)
 }
@@ -45,9 +45,9 @@
 }
 
 // receive decodes the evidence lines of length-prefixed frames in a session.
-func receive(t testing.TB, s *wire.Session, data []byte) []evidence.Heard {
+func receive(t testing.TB, s *wire.Session, data []byte) []evidence.DigestLine {
 	t.Helper()
-	var lines []evidence.Heard
+	var lines []evidence.DigestLine
 	for len(data) > 0 {
 		body, size := protowire.ConsumeBytes(data)
 		assert.Assert(t, size > 0)
--- a/test/capacity/slopes_test.go
+++ b/test/capacity/slopes_test.go
@@ -182,11 +182,11 @@
 func addAnnouncements(table *evidence.Table, n int, sequence uint64, now time.Time) {
 	for i := range n {
 		v := vmRow(i)
-		table.Hear(now, "entry-1", backend.Announcement{
+		table.Record(now, "entry-1", backend.Announcement{
 			ID: v.ID, Incarnation: v.Incarnation, Sequence: sequence, Kind: backend.KindEngine, Address: v.Address,
 			DataCentre: v.DataCentre, FabricDomain: v.FabricDomain, Accelerators: 4, Weights: v.Weights, Model: "memo-large",
 			Group: fmt.Sprintf("memos-%d", i/vmsPerGroup), Epoch: uint64(i/vmsPerGroup + 1), Phase: backend.PhaseReady,
-			Load: &backend.Load{Running: 7, Queued: 1, TokensInFlight: 5200, TokensPerSecond: 410.5, Capacity: 8000, AtMillis: 900},
+			Load: &backend.Load{Running: 7, Queued: 1, TokensInFlight: 5200, TokensPerSecond: 410.5, Capacity: 8000, AgeMillis: 900},
 		})
 	}
 }
@@ -248,9 +248,9 @@
 	table := record.NewTable()
 	for i := range n {
 		key, attempt := fmt.Sprintf("audits/01ebf93f-4505-42df-9f25-%012d", i), fmt.Sprint(i)
-		claim, _ := record.Encode(record.Command{Claim: &record.Claim{Key: key, Body: fmt.Sprintf("%032x", i), Entry: "entry-1", Attempt: attempt, DeadlineMillis: 60_000, NowMillis: 1}})
+		claim, _ := record.EncodeCommand(record.Command{Claim: &record.Claim{Key: key, BodyHash: fmt.Sprintf("%032x", i), Entry: "entry-1", Attempt: attempt, DeadlineMillis: 60_000, NowMillis: 1}})
 		table.Apply(claim)
-		finish, _ := record.Encode(record.Command{Finish: &record.Finish{Key: key, Attempt: attempt, NowMillis: 2}})
+		finish, _ := record.EncodeCommand(record.Command{Finish: &record.Finish{Key: key, Attempt: attempt, NowMillis: 2}})
 		table.Apply(finish)
 	}
 	return table
@@ -264,11 +264,11 @@
 		var table *record.Table
 		heap = append(heap, point{x, heapOf(func() any { table = recordTableOf(n); return table })})
 		assert.Equal(t, table.Len(), n)
-		data, err := table.Encode()
+		data, err := table.EncodeSnapshot()
 		assert.NilError(t, err)
 		size = append(size, point{x, float64(len(data))})
-		encode = append(encode, point{x, microsPerSecond * timeOf(func() { _, _ = table.Encode() })})
-		claim, _ := record.Encode(record.Command{Claim: &record.Claim{Key: "audits/again", Body: "b", Entry: "e", Attempt: "a", DeadlineMillis: 60_000, NowMillis: 3}})
+		encode = append(encode, point{x, microsPerSecond * timeOf(func() { _, _ = table.EncodeSnapshot() })})
+		claim, _ := record.EncodeCommand(record.Command{Claim: &record.Claim{Key: "audits/again", BodyHash: "b", Entry: "e", Attempt: "a", DeadlineMillis: 60_000, NowMillis: 3}})
 		one = append(one, point{x, microsPerSecond * timeOf(func() { table.Apply(claim) })})
 	}
 	r := newReport(t, "At-most-once records, as tombstones without answers")
