--- a/internal/admission/caller_timeouts.go
+++ b/internal/admission/caller_timeouts.go
@@ -18,15 +18,17 @@
 	waitMinSamples = 30
 )
 
-// CallerTimeouts learns, for each route, the timeout that callers set when they first send a request. From
-// the timeout that a request has left, it estimates how long ago the request was first sent.
+// CallerTimeouts learns, for each route, the timeout that callers set when they first send a
+// request. From the timeout that a request has left, it estimates how long ago the request was
+// first sent.
 //
 // After all processes have lost power, the requests of the outage return as retries together with
 // new requests. An entry that has just started would take all of them for new. Requests that are
 // late in any case would take the slots, and new requests would wait behind them. A caller that
 // sets a shorter timeout must not be taken for late, so the timeout is learned from the route's
 // callers. A request counts as first sent earlier by the time that its timeout is below the
-// timeout of nine in ten requests. Estimates are also stored outside the process, see EstimateToShare.
+// timeout of nine in ten requests. Estimates are also stored outside the process, see
+// EstimateToShare.
 type CallerTimeouts struct {
 	routes map[string]*waitEstimate
 }
@@ -99,8 +101,9 @@
 	shareMinChange = 0.1
 )
 
-// EstimateToShare returns the estimate of a route that other entries should learn. known is the estimate
-// that they have, 0 for none. EstimateToShare returns false if there is nothing new to share.
+// EstimateToShare returns the estimate of a route that other entries should learn. known is the
+// estimate that they have, 0 for none. EstimateToShare returns false if there is nothing new to
+// share.
 func (c *CallerTimeouts) EstimateToShare(route string, known time.Duration) (time.Duration, bool) {
 	e := c.routes[route]
 	if e == nil || e.samples < shareMinSamples {
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -64,8 +64,8 @@
 // NewGate returns a gate that limits nothing.
 func NewGate() *Gate { return &Gate{window: gateUnlimited} }
 
-// HasCapacity reports whether another request may be sent. It opens a limiting gate whose last sample is
-// older than gateStaleAfter.
+// HasCapacity reports whether another request may be sent. It opens a limiting gate whose last
+// sample is older than gateStaleAfter.
 func (g *Gate) HasCapacity(now time.Time) bool {
 	if g.Limiting() && now.Sub(g.lastFirstEvent) > gateStaleAfter {
 		*g = Gate{window: gateUnlimited, pending: g.pending}
@@ -80,14 +80,14 @@
 func (g *Gate) Limiting() bool { return g.window < gateUnlimited }
 
 const (
-	// minExpected and maxExpected bound ExpectedFirstEventRatio. With a lower value, requests that have no
-	// chance would count as on time; with a higher value, no request would.
+	// minExpected and maxExpected bound ExpectedFirstEventRatio. With a lower value, requests that
+	// have no chance would count as on time; with a higher value, no request would.
 	minExpected = 0.3
 	maxExpected = 0.9
 )
 
-// ExpectedFirstEventRatio returns the fraction of the objective that a request spends at a group until its first
-// event, estimated from recent requests.
+// ExpectedFirstEventRatio returns the fraction of the objective that a request spends at a group
+// until its first event, estimated from recent requests.
 func (g *Gate) ExpectedFirstEventRatio() float64 {
 	return min(max(g.firstEventRatio, minExpected), maxExpected)
 }
--- a/internal/admission/retry_loans.go
+++ b/internal/admission/retry_loans.go
@@ -28,14 +28,15 @@
 	minRetriesPerSecond = 1e-9
 )
 
-// RetriesPerSecondWithoutLoan returns the retries a second that one of several entries may send without a loan.
-// slack is the number of retries that all entries together may send in a retry window.
+// RetriesPerSecondWithoutLoan returns the retries a second that one of several entries may send
+// without a loan. slack is the number of retries that all entries together may send in a retry
+// window.
 func RetriesPerSecondWithoutLoan(slack float64, entries int) float64 {
 	return max(minRetriesPerSecond, ownPart*slack/retryWindowSeconds/float64(max(1, entries)))
 }
 
-// LoanPool returns the name of the pool from which an entry borrows retries for a budget. The entries
-// are divided among enough pools to keep the number of borrowers of one lender small.
+// LoanPool returns the name of the pool from which an entry borrows retries for a budget. The
+// entries are divided among enough pools to keep the number of borrowers of one lender small.
 func LoanPool(budget, entry string, entries int) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(entry))
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -38,8 +38,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// HasToken reports whether a request carries the token. An empty token allows every request. Package
-// settings accepts an empty token only where the setting permits it.
+// HasToken reports whether a request carries the token. An empty token allows every request.
+// Package settings accepts an empty token only where the setting permits it.
 func HasToken(h http.Header, token string) bool {
 	return token == "" || Equal(BearerToken(h), token)
 }
@@ -56,7 +56,8 @@
 	}
 }
 
-// RequireToken returns a handler that refuses requests without the token and passes all others to h.
+// RequireToken returns a handler that refuses requests without the token and passes all others to
+// h.
 func RequireToken(token string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !HasToken(r.Header, token) {
--- a/internal/blackboard/group.go
+++ b/internal/blackboard/group.go
@@ -53,8 +53,8 @@
 	OtherDataCentres []string      `json:"other_data_centres,omitempty"`
 	Members          []GroupMember `json:"members"`
 	Worth            int           `json:"worth"`
-	// RequiresOpenHead states that the group serves only while its first member, the head, is open; see
-	// GroupSpec.Pool.
+	// RequiresOpenHead states that the group serves only while its first member, the head, is open;
+	// see GroupSpec.Pool.
 	RequiresOpenHead bool `json:"opens,omitempty"`
 	// Reason explains why the group is in its state.
 	Reason      string `json:"reason,omitempty"`
@@ -67,8 +67,8 @@
 	phaseOpen  = "open"
 )
 
-// IsMemberReady reports whether a member in this phase is ready to serve. If RequiresOpenHead is set, the head must
-// be open.
+// IsMemberReady reports whether a member in this phase is ready to serve. If RequiresOpenHead is
+// set, the head must be open.
 func (g Group) IsMemberReady(m GroupMember, phase string) bool {
 	if g.RequiresOpenHead && len(g.Members) > 0 && g.Members[0].VM == m.VM {
 		return phase == phaseOpen
--- a/internal/control/replace.go
+++ b/internal/control/replace.go
@@ -20,9 +20,9 @@
 	Commit(ctx context.Context, r *noderpc.CommitRequest) ([]byte, error)
 }
 
-// ReplaceConfiguration writes a complete configuration through the leader, which may be another process. The
-// type of the error tells whether the outcome is known. The command may be sent again, because
-// a version is applied only once.
+// ReplaceConfiguration writes a complete configuration through the leader, which may be another
+// process. The type of the error tells whether the outcome is known. The command may be sent
+// again, because a version is applied only once.
 func (s *Server) ReplaceConfiguration(ctx context.Context, through Committer, c *blackboard.ReplaceConfiguration) (blackboard.ReplaceOutcome, error) {
 	return replaceVia(c, func(encoded []byte) ([]byte, error) { return s.commitThrough(ctx, through, encoded) })
 }
@@ -83,8 +83,9 @@
 	})
 }
 
-// ConfigurationInForce returns the configuration in force if this process leads. Otherwise it returns a
-// failure of type not_leader, whose detail is the leader's peer address if that is known.
+// ConfigurationInForce returns the configuration in force if this process leads. Otherwise it
+// returns a failure of type not_leader, whose detail is the leader's peer address if that is
+// known.
 func (s *Server) ConfigurationInForce(ctx context.Context) (*blackboard.Configuration, error) {
 	if err := s.o.Consensus.ReadBarrier(ctx); err != nil {
 		return nil, toFailure(err)
--- a/internal/controller/measures.go
+++ b/internal/controller/measures.go
@@ -8,8 +8,8 @@
 	"github.com/citronstep/citronstep/internal/evidence"
 )
 
-// CurrentMeasures returns the present values of the two measures, groups down and stranded accelerators;
-// the caller adds them up over time.
+// CurrentMeasures returns the present values of the two measures, groups down and stranded
+// accelerators; the caller adds them up over time.
 //
 // A wanted replica is down unless a group of its spec is routable by the evidence of this
 // process: a group with a paused member does not work although the blackboard still states
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -42,8 +42,8 @@
 }
 
 // send plans an order. It plans nothing if the lease is too short, the same order was sent less
-// than Timing.ResendAfter ago, too many orders are in flight, or the weight store has no capacity for
-// the load that the order starts; then a later run plans the order.
+// than Timing.ResendAfter ago, too many orders are in flight, or the weight store has no capacity
+// for the load that the order starts; then a later run plans the order.
 func send(v View, now time.Time, a *Actions, vm blackboard.VM, incarnation string, o backend.Order) bool {
 	deadline, ok := orderDeadline(v, now)
 	if !ok {
--- a/internal/controller/stalls.go
+++ b/internal/controller/stalls.go
@@ -28,8 +28,8 @@
 	stallReportTTL = 5 * time.Second
 )
 
-// StallReports collects the reports of entries about groups that make no progress, and decides when the
-// reports confirm each other. It is not safe for concurrent use.
+// StallReports collects the reports of entries about groups that make no progress, and decides
+// when the reports confirm each other. It is not safe for concurrent use.
 type StallReports struct {
 	reports map[GroupEpoch]map[string]stallReport
 }
--- a/internal/controller/timing.go
+++ b/internal/controller/timing.go
@@ -7,7 +7,8 @@
 // evidence.AnnounceInterval and reloads that take tens of seconds; the constants give their
 // reasons.
 type Timing struct {
-	// PausedAfter and DeadAfter are how long a backend server must be silent to count as paused or dead.
+	// PausedAfter and DeadAfter are how long a backend server must be silent to count as paused or
+	// dead.
 	PausedAfter, DeadAfter time.Duration
 	// FaultTimeout is how long a reported fault that may be temporary must last.
 	FaultTimeout time.Duration
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -25,7 +25,8 @@
 	Term uint64
 	// LeaseUntil is the end of the leader's lease by this process's clock.
 	LeaseUntil time.Time
-	// ConfirmedStalls holds when entries last confirmed that a group epoch makes no progress on requests.
+	// ConfirmedStalls holds when entries last confirmed that a group epoch makes no progress on
+	// requests.
 	ConfirmedStalls map[GroupEpoch]time.Time
 	// Timing holds the times that differ from the defaults.
 	Timing Timing
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -30,8 +30,8 @@
 	Logger  log.Logger
 	// OnChange is called with each new board, always from the same goroutine.
 	OnChange func(*blackboard.Board)
-	// OnControlAddresses is called with the peer addresses of the control replicas as a control process
-	// reports them. It may be nil.
+	// OnControlAddresses is called with the peer addresses of the control replicas as a control
+	// process reports them. It may be nil.
 	OnControlAddresses func([]string)
 	// StartWithoutLease lets an entry that holds no board start with the last known state of
 	// the control processes while none of them leads.
--- a/internal/placement/packing/forecast.go
+++ b/internal/placement/packing/forecast.go
@@ -5,8 +5,8 @@
 // Forecast describes the expected failures and returns of VMs, from the pool's own history. Fields
 // without observations hold the priors of DefaultForecast.
 type Forecast struct {
-	// AbsentFraction is the average fraction of VMs that are unavailable: dead and expected to return, or
-	// held by a group that is being dissolved.
+	// AbsentFraction is the average fraction of VMs that are unavailable: dead and expected to
+	// return, or held by a group that is being dissolved.
 	AbsentFraction float64
 	// MeanLifetime is the mean time until a VM is lost.
 	MeanLifetime time.Duration
@@ -16,12 +16,12 @@
 
 // DefaultForecast returns the forecast for a pool without history.
 //
-// The prior of AbsentFraction favours one model in a domain. VMs that hold the same model can replace
-// each other. With two models a loss strands the rest of a group, although there are enough
-// spare VMs of the other model. A tenth is a cautious value: a calmer pool has spare VMs and
-// learns its lower rate within a minute. The prior of MeanLifetime, a VM lost every four minutes,
-// describes a pool in trouble: until more is known, the layout does not change when one VM
-// leaves and returns.
+// The prior of AbsentFraction favours one model in a domain. VMs that hold the same model can
+// replace each other. With two models a loss strands the rest of a group, although there are
+// enough spare VMs of the other model. A tenth is a cautious value: a calmer pool has spare VMs
+// and learns its lower rate within a minute. The prior of MeanLifetime, a VM lost every four
+// minutes, describes a pool in trouble: until more is known, the layout does not change when one
+// VM leaves and returns.
 func DefaultForecast() Forecast { return Forecast{AbsentFraction: 0.1, MeanLifetime: 4 * time.Minute} }
 
 // servedFraction returns the fraction of time that a group of size VMs serves. The group first
--- a/internal/placement/packing/packing.go
+++ b/internal/placement/packing/packing.go
@@ -52,8 +52,8 @@
 	Size int
 	// Share is the model's share of the pool's work; shares need not add up to 1.
 	Share float64
-	// StoreLoad is the time to load weights from the store; StagedLoad is the time to load them from the
-	// VM's own host.
+	// StoreLoad is the time to load weights from the store; StagedLoad is the time to load them from
+	// the VM's own host.
 	StoreLoad, StagedLoad time.Duration
 }
 
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -242,8 +242,8 @@
 	return limit.PerSecond / float64(sharing), float64(rank) / float64(sharing)
 }
 
-// RateLimitedUntil reports whether the rate limits of their backend servers block all targets that a
-// request may use, and when the first of them may receive a request again. isTemporary is true
+// RateLimitedUntil reports whether the rate limits of their backend servers block all targets that
+// a request may use, and when the first of them may receive a request again. isTemporary is true
 // if one of these limits ends by itself, perhaps sooner.
 func (p *Picker) RateLimitedUntil(now time.Time, r Request) (nextSend time.Time, isTemporary, throttled bool) {
 	pool := p.pools[r.Model]
--- a/test/workload/run.go
+++ b/test/workload/run.go
@@ -18,8 +18,8 @@
 	// Duration is how long faults and new works go on.
 	Duration time.Duration
 	Callers  int
-	// ConcurrentFaults is the number of faults and planned stops that go on at the same time, each on its
-	// own processes; 0 means one.
+	// ConcurrentFaults is the number of faults and planned stops that go on at the same time, each on
+	// its own processes; 0 means one.
 	ConcurrentFaults int
 	// Groups is the number of serving groups; 0 means three.
 	Groups int
