--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -9,9 +9,8 @@
 	//
 	// With these values, the gate limits requests only while most first events are far too late.
 	// One slow or lost group in four does not make it limit them, and neither do well loaded
-	// groups. With gateShrinkAbove at 0.9, the models with long prompts, of whose first events
-	// one in two is late, were limited all day: one of their classes earned 0.48 in place of
-	// 0.55, and of 0.60 without a gate.
+	// groups. With gateShrinkAbove at 0.9, a gate limits models with long prompts, of whose first
+	// events one in two is late, all the time, and their classes earn less than without a gate.
 	gateShrinkAbove = 1.2
 	gateGrowBelow   = 0.9
 	gateMaxSample   = 2
